--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -133,7 +133,7 @@
             stop.await;
             let told = Instant::now();
             *lock(&shared.phase) = Phase::Leaving;
-            let last = server::last(&shared.settings);
+            let last = server::shutdown_timeout(&shared.settings);
             shared.note(|now, direct| direct.stop(now + last));
             events::stopping(&shared);
             heartbeat::farewell(&shared, &listeners.beats).await;
@@ -142,7 +142,7 @@
                 membership.leave().await;
                 future::pending::<()>().await;
             };
-            future::or(server::drained(&shared, told), leave).await;
+            future::or(server::drain(&shared, told), leave).await;
         }));
         drop(end);
         let joined = thread.join();
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -34,7 +34,7 @@
 
 /// Answers on one listener.
 pub async fn serve(shared: Arc<Shared>, socket: net::TcpListener, executor: Executor) {
-    let count = server::Count::new(server::most(&shared.settings) / PART);
+    let count = server::ConnectionCount::new(server::max_connections(&shared.settings) / PART);
     server::accept(Queries(shared), socket, executor, count).await;
 }
 
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -89,12 +89,12 @@
 
 /// Open connections, and how many there may be.
 #[derive(Clone, Debug)]
-pub struct Count {
+pub struct ConnectionCount {
     open: Arc<AtomicUsize>,
     most: usize,
 }
 
-impl Count {
+impl ConnectionCount {
     /// None open, `most` at a time.
     pub fn new(most: usize) -> Self {
         Self {
@@ -123,7 +123,7 @@
 
 /// Callers' connections at a time: each request needs a connection to a target
 /// besides its own.
-pub fn most(settings: &Settings) -> usize {
+pub fn max_connections(settings: &Settings) -> usize {
     let most = settings.descriptors.saturating_sub(RESERVE) / 2;
     usize::try_from(most).unwrap_or(usize::MAX)
 }
@@ -162,7 +162,7 @@
     service: S,
     socket: net::TcpListener,
     executor: Executor,
-    count: Count,
+    count: ConnectionCount,
 ) {
     let shared = Arc::clone(service.shared());
     let numbers = AtomicU64::new(0);
@@ -213,17 +213,17 @@
 const QUIET: Duration = Duration::from_millis(300);
 
 /// Time from the word to stop to the end of the process, at most.
-pub fn last(settings: &Settings) -> Duration {
+pub fn shutdown_timeout(settings: &Settings) -> Duration {
     settings.bounds.grace.mul_f64(END)
 }
 
 /// Waits until callers have gone, at most for the grace time, which runs since
 /// `start`.
-pub async fn drained(shared: &Shared, start: Instant) {
+pub async fn drain(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
     let count = &shared.count;
     let mut quiet = start;
-    while start.elapsed() < last(&shared.settings) {
+    while start.elapsed() < shutdown_timeout(&shared.settings) {
         if start.elapsed() > grace.mul_f64(LINGER) {
             shared.close();
         }
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -64,7 +64,7 @@
     /// The platform's store.
     pub(super) store: platform::store::Store,
     /// Callers' open connections.
-    pub(super) count: server::Count,
+    pub(super) count: server::ConnectionCount,
     pub(super) metrics: metrics::Metrics,
     /// Bytes of callers' bodies that are held.
     pub(super) bodies: Arc<AtomicUsize>,
@@ -129,7 +129,7 @@
             closing,
             close,
             store: platform::store::Store::new(store, settings.store),
-            count: server::Count::new(server::most(&settings)),
+            count: server::ConnectionCount::new(server::max_connections(&settings)),
             metrics: metrics::Metrics::new()?,
             bodies: Arc::default(),
             quota: events::Quota::default(),
