--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -50,7 +50,7 @@
 
 /// Everything, packed for instances that start; many often do at a time.
 #[derive(Debug, Default)]
-pub struct Packed(Mutex<Option<Changes>>);
+pub struct SnapshotCache(Mutex<Option<Changes>>);
 
 /// Answers other instances until the process ends.
 pub async fn serve(shared: Arc<Shared>, socket: net::TcpListener, executor: Executor) {
@@ -101,7 +101,7 @@
     if !update.whole || update.revision == 0 {
         return Changes::new(&update, contact).answered(stale, held);
     }
-    let mut packed = lock(&shared.packed.0);
+    let mut packed = lock(&shared.snapshot_cache.0);
     if let Some(old) = &*packed {
         let missed = replica.since(old.revision);
         if !missed.whole && missed.items.len() < REPACK {
@@ -116,14 +116,14 @@
 }
 
 /// A connection to another instance.
-pub struct Link {
+pub struct Connection {
     addr: SocketAddr,
     calls: PeerClient,
     /// Carries the calls; ends when it is dropped.
     _carrier: smol::Task<()>,
 }
 
-impl Link {
+impl Connection {
     /// Connects; `None` if nobody answers in time.
     pub async fn open(addr: SocketAddr, executor: &Executor) -> Option<Self> {
         let late = async {
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -50,7 +50,7 @@
     pub(super) asking: Event,
     /// Whether one has, since that was last looked at.
     urgent: AtomicBool,
-    pub(super) packed: peer::Packed,
+    pub(super) snapshot_cache: peer::SnapshotCache,
     /// Whether the store has taken this instance's row away.
     pub(super) unlisted: AtomicBool,
     /// Told when something begins to wait.
@@ -121,7 +121,7 @@
             told: Event::new(),
             asking: Event::new(),
             urgent: AtomicBool::new(false),
-            packed: peer::Packed::default(),
+            snapshot_cache: peer::SnapshotCache::default(),
             unlisted: AtomicBool::new(false),
             waiting,
             targets: pool::Pool::new(Arc::clone(traffic), limits),
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -21,7 +21,7 @@
 use steer::process::direct::{Contact, Direct};
 use wire::near;
 
-use super::peer::Link;
+use super::peer::Connection;
 use super::{Executor, Shared, events, lock, member};
 
 /// Time that a watch waits for changes. Also the longest time for which a
@@ -83,7 +83,7 @@
     shared: Arc<Shared>,
     executor: Executor,
     /// Connection to the instance last read from.
-    link: Option<Link>,
+    link: Option<Connection>,
     /// Whether the last call to the store failed.
     lost: bool,
     /// Where it last read from, as the log names it.
@@ -207,7 +207,7 @@
         fit: impl Fn(&Shared, (&near::Changes, Time)) -> bool,
     ) -> bool {
         if self.link.as_ref().is_none_or(|link| link.addr() != addr) {
-            self.link = Link::open(addr, &self.executor).await;
+            self.link = Connection::open(addr, &self.executor).await;
         }
         let Some(link) = &self.link else {
             return false;
@@ -302,7 +302,7 @@
 /// What came first at a start.
 enum First {
     /// An instance, by name, has told everything.
-    Told(Arc<str>, Link, near::Changes, Time),
+    Told(Arc<str>, Connection, near::Changes, Time),
     /// The store has answered.
     Read(Result<Read, Error>),
 }
@@ -313,8 +313,8 @@
     shared: &Shared,
     addr: SocketAddr,
     executor: &Executor,
-) -> Option<(Link, near::Changes)> {
-    let link = Link::open(addr, executor).await?;
+) -> Option<(Connection, near::Changes)> {
+    let link = Connection::open(addr, executor).await?;
     let known = lock(&shared.replica).revision();
     let changes = link.changes(known, Duration::ZERO).await?;
     is_fresh(&changes).then_some((link, changes))
@@ -400,7 +400,7 @@
         before = ahead.map(|_| revision);
         if let Some(addr) = freshest.or(ahead.filter(|_| stuck)) {
             let asked = shared.now();
-            let answer = match Link::open(addr, &executor).await {
+            let answer = match Connection::open(addr, &executor).await {
                 Some(link) => link.changes(revision, Duration::ZERO).await,
                 None => None,
             };
