--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -136,7 +136,7 @@
             let last = server::shutdown_timeout(&shared.settings);
             shared.note(|now, direct| direct.stop(now + last));
             events::stopping(&shared);
-            heartbeat::farewell(&shared, &listeners.beats).await;
+            heartbeat::farewell(&shared, &listeners.heartbeats).await;
             // The store may be silent, and the grace time runs.
             let leave = async {
                 membership.leave().await;
@@ -184,7 +184,7 @@
         let serve = queries::serve(Arc::clone(shared), socket.clone(), Arc::clone(control));
         control.spawn(serve).detach();
     }
-    let beats = &listeners.beats;
+    let beats = &listeners.heartbeats;
     control
         .spawn(source::follow(Arc::clone(shared), Arc::clone(control)))
         .detach();
--- a/crates/auburnrouter/src/direct/listeners.rs
+++ b/crates/auburnrouter/src/direct/listeners.rs
@@ -13,7 +13,7 @@
     pub(super) directory: net::TcpListener,
     pub(super) peers: net::TcpListener,
     pub(super) operators: net::TcpListener,
-    pub(super) beats: net::UdpSocket,
+    pub(super) heartbeats: net::UdpSocket,
 }
 
 impl Listeners {
@@ -24,7 +24,7 @@
             ready: self.ready.local_addr()?,
             directory: self.directory.local_addr()?,
             peers: self.peers.local_addr()?,
-            beats: self.beats.local_addr()?,
+            beats: self.heartbeats.local_addr()?,
             operators: self.operators.local_addr()?,
         })
     }
@@ -40,7 +40,7 @@
             directory: bind(settings.listen.directory)?,
             peers: bind(settings.listen.peers)?,
             operators: bind(settings.listen.operators)?,
-            beats: {
+            heartbeats: {
                 let addr = settings.listen.beats;
                 future::block_on(net::UdpSocket::bind(addr))
                     .map_err(|e| Failure::Listen(addr, e))?
