--- a/crates/auburnrouter/tests/direct.rs
+++ b/crates/auburnrouter/tests/direct.rs
@@ -1,8 +1,8 @@
 //! The whole path on the users' platform: entry instances as processes, with
 //! stand-ins of the store, the operator and the targets.
 
-#[path = "direct/bench.rs"]
-mod bench;
+#[path = "direct/harness.rs"]
+mod harness;
 
 #[path = "direct/answers.rs"]
 mod answers;
--- a/crates/auburnrouter/tests/direct/follow.rs
+++ b/crates/auburnrouter/tests/direct/follow.rs
@@ -7,77 +7,79 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use super::bench::{Bench, Entry, HOST, ROUTES, ask, await_line, await_that};
+use super::harness::{Entry, HOST, Harness, ROUTES, send_raw, wait_for_line, wait_until};
 
 /// A new version takes a route away and adds one; an older one arrives later
 /// and must change nothing.
 #[test]
 fn follow_configuration_upwards() {
-    let bench = Bench::start(1);
+    let harness = Harness::start(1);
     let added = Route {
         prefix: "/added/",
         service: "sheets",
         safe: true,
     };
-    bench.store.configure(9, HOST, &[added]);
-    await_that("the new route is there", || {
-        bench.entry.send("GET", "/added/x", "r1", "").status == 200
+    harness.store.configure(9, HOST, &[added]);
+    wait_until("the new route is there", || {
+        harness.entry.send("GET", "/added/x", "r1", "").status == 200
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r2", "").status, 404);
-    bench.store.configure(5, HOST, &ROUTES);
-    bench
+    assert_eq!(harness.entry.send("GET", "/view/x", "r2", "").status, 404);
+    harness.store.configure(5, HOST, &ROUTES);
+    harness
         .store
         .write("servers/mark", &serde_json::json!("no entry"));
-    await_that("it has read what came after", || {
-        let lines = bench.entry.lines.lock().expect("no one panics with it");
+    wait_until("it has read what came after", || {
+        let lines = harness.entry.lines.lock().expect("no one panics with it");
         lines
             .iter()
             .any(|l| l.contains("entry-refused") && l.contains("mark"))
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r3", "").status, 404);
-    assert_eq!(bench.entry.send("GET", "/added/x", "r4", "").status, 200);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r3", "").status, 404);
+    assert_eq!(harness.entry.send("GET", "/added/x", "r4", "").status, 200);
 }
 
 /// A domain is evacuated and taken back, and a target leaves. What comes back
 /// is cold: a process that has just started sends it nothing for a second.
 #[test]
 fn follow_evacuation_and_leaving() {
-    let bench = Bench::start(1);
+    let harness = Harness::start(1);
     let other = Target::start("u0", "sheets", "near-b").expect("a port is free");
-    other.register(&bench.store, "ready", 1);
-    await_that("it is known", || bench.entry.dump().contains("\"u0\""));
-    bench
+    other.register(&harness.store, "ready", 1);
+    wait_until("it is known", || harness.entry.dump().contains("\"u0\""));
+    harness
         .store
         .write("op/evacuate/near-a", &serde_json::json!({}));
-    await_that("it is evacuated", || {
-        bench.entry.dump().contains("\"evacuated\":[\"near-a\"]")
+    wait_until("it is evacuated", || {
+        harness.entry.dump().contains("\"evacuated\":[\"near-a\"]")
     });
-    let before = bench.runs().len();
+    let before = harness.runs().len();
     for i in 0..5 {
         assert_eq!(
-            bench
+            harness
                 .entry
                 .send("GET", "/view/x", &format!("r{i}"), "")
                 .status,
             200
         );
     }
-    assert_eq!(bench.runs().len(), before);
-    bench.store.remove("op/evacuate/near-a");
-    other.register(&bench.store, "draining", 2);
-    await_that("it is taken back", || {
-        let dump = bench.entry.dump();
+    assert_eq!(harness.runs().len(), before);
+    harness.store.remove("op/evacuate/near-a");
+    other.register(&harness.store, "draining", 2);
+    wait_until("it is taken back", || {
+        let dump = harness.entry.dump();
         dump.contains("\"evacuated\":[]") && dump.contains("\"leaving\"]")
     });
     let there = other.runs().len();
     let mut count = 0;
-    await_that("the domain serves again", || {
+    wait_until("the domain serves again", || {
         count += 1;
-        let answer = bench.entry.send("GET", "/view/x", &format!("s{count}"), "");
+        let answer = harness
+            .entry
+            .send("GET", "/view/x", &format!("s{count}"), "");
         assert!([200, 503].contains(&answer.status), "{answer:?}");
         answer.status == 200
     });
-    assert_eq!(bench.runs().len(), before + 1);
+    assert_eq!(harness.runs().len(), before + 1);
     assert_eq!(other.runs().len(), there);
 }
 
@@ -85,40 +87,40 @@
 /// hold.
 #[test]
 fn pass_over_malformed_entries() {
-    let bench = Bench::start(1);
-    bench
+    let harness = Harness::start(1);
+    harness
         .store
         .write_bytes("servers/bytes", vec![0xFF, 0x00, 0x7B]);
-    bench.store.write("servers/number", &serde_json::json!(7));
+    harness.store.write("servers/number", &serde_json::json!(7));
     let state = serde_json::json!({
         "address": "127.0.0.1:1", "info": { "service": "sheets", "zone": "near-a", "slots": 3 },
         "status": { "state": "resting", "seq": 1, "warmup_left_s": 0 },
     });
-    bench.store.write("servers/state", &state);
-    await_that("all are seen", || {
-        let lines = bench.entry.lines.lock().expect("no one panics with it");
+    harness.store.write("servers/state", &state);
+    wait_until("all are seen", || {
+        let lines = harness.entry.lines.lock().expect("no one panics with it");
         lines.iter().filter(|l| l.contains("entry-refused")).count() >= 3
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r1", "").status, 200);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
 /// The store drops its history while an entry changes: everything is read anew.
 #[test]
 fn read_anew_without_history() {
-    let bench = Bench::start(1);
-    bench.store.set(Mode::Busy);
-    bench.store.remove("servers/t0");
+    let harness = Harness::start(1);
+    harness.store.set(Mode::Busy);
+    harness.store.remove("servers/t0");
     let new = Target::start("n0", "sheets", "near-a").expect("a port is free");
-    new.register(&bench.store, "ready", 1);
-    bench.store.compact();
-    bench.store.set(Mode::Up);
-    await_that("the new target is known", || {
-        bench.entry.dump().contains("\"n0\"")
+    new.register(&harness.store, "ready", 1);
+    harness.store.compact();
+    harness.store.set(Mode::Up);
+    wait_until("the new target is known", || {
+        harness.entry.dump().contains("\"n0\"")
     });
-    await_that("the old one is gone", || {
-        !bench.entry.dump().contains("\"t0\"")
+    wait_until("the old one is gone", || {
+        !harness.entry.dump().contains("\"t0\"")
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r1", "").status, 200);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
 /// The store is away. One instance knows everything; another starts and has
@@ -127,12 +129,12 @@
 #[case::busy(Mode::Busy)]
 #[case::silent(Mode::Silent)]
 fn learn_from_peer_without_store(#[case] mode: Mode) {
-    let bench = Bench::start(1);
-    bench.store.set(mode);
-    let seeds = [bench.entry.peers];
-    let late = Entry::start("near-2", "near-b", bench.store.addr(), &seeds);
+    let harness = Harness::start(1);
+    harness.store.set(mode);
+    let seeds = [harness.entry.peers];
+    let late = Entry::start("near-2", "near-b", harness.store.addr(), &seeds);
     late.await_ready();
-    await_that("it serves", || {
+    wait_until("it serves", || {
         late.send("GET", "/view/x", "r1", "").status == 200
     });
 }
@@ -141,25 +143,25 @@
 /// as long as both run: one is killed, and its row ends with its lease.
 #[test]
 fn name_only_running_instances() {
-    let bench = Bench::start(1);
-    let mut other = Entry::start("near-2", "near-b", bench.store.addr(), &[]);
+    let harness = Harness::start(1);
+    let mut other = Entry::start("near-2", "near-b", harness.store.addr(), &[]);
     other.await_ready();
     let ask_where = || {
         let text =
             "GET /v1/resolve?name=a.example&region=near&zone=near-a HTTP/1.1\r\nHost: x\r\n\r\n";
-        ask(bench.entry.directory, text)
+        send_raw(harness.entry.directory, text)
             .map(|a| a.body)
             .unwrap_or_default()
     };
     let named = |addr: std::net::SocketAddr| format!("\"{addr}\"");
-    await_that("both are named", || {
+    wait_until("both are named", || {
         let body = ask_where();
-        body.contains(&named(bench.entry.callers)) && body.contains(&named(other.callers))
+        body.contains(&named(harness.entry.callers)) && body.contains(&named(other.callers))
     });
     other.signal(Signal::KILL);
-    other.ended();
+    other.wait_exit();
     let killed = Instant::now();
-    await_that("one is named", || {
+    wait_until("one is named", || {
         !ask_where().contains(&named(other.callers))
     });
     assert!(
@@ -167,7 +169,7 @@
         "{:?}",
         killed.elapsed()
     );
-    assert!(ask_where().contains(&named(bench.entry.callers)));
+    assert!(ask_where().contains(&named(harness.entry.callers)));
 }
 
 /// Where an instance reads what the store holds, by its own dump.
@@ -187,11 +189,11 @@
 
 impl Domain {
     fn start() -> Self {
-        let Bench {
+        let Harness {
             store,
             targets,
             entry,
-        } = Bench::start(1);
+        } = Harness::start(1);
         let names = ["near-2", "near-3", "near-4"];
         let others = names.map(|name| Entry::start(name, "near-a", store.addr(), &[]));
         let mut entries = vec![entry];
@@ -199,7 +201,7 @@
         for entry in &entries {
             entry.await_ready();
         }
-        await_that("one of them reads the store", || {
+        wait_until("one of them reads the store", || {
             let readers = entries.iter().filter(|e| upstream(e) == "store");
             readers.count() == 1
         });
@@ -232,19 +234,19 @@
     } = Domain::start();
     store.configure(9, HOST, &[added()]);
     for entry in &entries {
-        await_that("the new route is there", || {
+        wait_until("the new route is there", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
     let calls = |entry: &Entry| {
-        let metrics = ask(entry.operators, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
+        let metrics = send_raw(entry.operators, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
         let text = metrics.map(|a| a.body).unwrap_or_default();
         let line = text.lines().find(|l| l.contains("kind=\"watch\""));
         let count = line.and_then(|l| l.rsplit(' ').next()?.parse::<u64>().ok());
         count.expect("the metric is there")
     };
     let before: Vec<u64> = entries.iter().map(calls).collect();
-    await_that("the first watches on", || {
+    wait_until("the first watches on", || {
         calls(&entries[0]) > before[0] + 1
     });
     for (entry, before) in entries.iter().zip(before).skip(1) {
@@ -269,7 +271,7 @@
     store.configure(9, HOST, &[added()]);
     let written = Instant::now();
     for entry in &entries[1..] {
-        await_that("the new route is there", || {
+        wait_until("the new route is there", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
@@ -287,13 +289,13 @@
         entries,
     } = Domain::start();
     store.set(Mode::Busy);
-    await_that("all notice", || {
+    wait_until("all notice", || {
         entries.iter().all(|e| e.dump().contains("\"store\":false"))
     });
     store.configure(9, HOST, &[added()]);
     store.set(Mode::Up);
     for entry in &entries {
-        await_that("the new route is there", || {
+        wait_until("the new route is there", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
@@ -303,12 +305,12 @@
 /// configuration. It must not serve by that one: its routes may be gone.
 #[test]
 fn start_from_old_list() {
-    let mut bench = Bench::start(1);
-    bench.store.lag();
-    bench.store.configure(9, HOST, &[added()]);
-    bench.entry = Entry::start("far-1", "far-a", bench.store.addr(), &[]);
-    bench.entry.await_ready();
-    let first = await_line(&bench.entry, "\"event\":\"config\"");
+    let mut harness = Harness::start(1);
+    harness.store.lag();
+    harness.store.configure(9, HOST, &[added()]);
+    harness.entry = Entry::start("far-1", "far-a", harness.store.addr(), &[]);
+    harness.entry.await_ready();
+    let first = wait_for_line(&harness.entry, "\"event\":\"config\"");
     assert!(first.contains("\"version\":9"), "{first}");
 }
 
@@ -319,16 +321,16 @@
 #[case::never(Mode::Busy)]
 fn keep_caller_during_start(#[case] mode: Mode) {
     const HELD_MS: u64 = 500;
-    let bench = Bench::start(1);
-    bench.store.set(mode);
-    let late = Entry::start("far-1", "far-a", bench.store.addr(), &[]);
+    let harness = Harness::start(1);
+    harness.store.set(mode);
+    let late = Entry::start("far-1", "far-a", harness.store.addr(), &[]);
     let answer = late.send("GET", "/view/x", "r1", "");
     if mode == Mode::Busy {
         assert_eq!(answer.status, 503);
         assert!(answer.header("retry-after").is_some(), "{answer:?}");
         return;
     }
-    let line = await_line(&late, "\"event\":\"config\"");
+    let line = wait_for_line(&late, "\"event\":\"config\"");
     let line: serde_json::Value = serde_json::from_str(&line).expect("a line is JSON");
     let soon = line["at_ms"].as_u64().is_some_and(|at| at < HELD_MS);
     assert!(answer.status == 200 || !soon, "{answer:?}, {line}");
@@ -338,13 +340,13 @@
 /// slow to list it: it learns from one of them and serves at once.
 #[test]
 fn start_from_neighbour() {
-    let bench = Bench::start(1);
-    await_that("the first is listed", || {
-        !bench.store.keys("auburnrouter/instances/").is_empty()
+    let harness = Harness::start(1);
+    wait_until("the first is listed", || {
+        !harness.store.keys("auburnrouter/instances/").is_empty()
     });
-    bench.store.withhold();
-    let late = Entry::start("near-2", "near-a", bench.store.addr(), &[]);
+    harness.store.withhold();
+    let late = Entry::start("near-2", "near-a", harness.store.addr(), &[]);
     late.await_ready();
-    let first = await_line(&late, "\"event\":\"upstream\"");
+    let first = wait_for_line(&late, "\"event\":\"upstream\"");
     assert!(first.contains("\"from\":\"near-1\""), "{first}");
 }
--- a/crates/auburnrouter/tests/direct/harness.rs
+++ b/crates/auburnrouter/tests/direct/harness.rs
@@ -13,7 +13,7 @@
 use platform_standin::{Store, Target};
 
 /// Longest that anything is waited for.
-pub const BOUND: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const MS: Duration = Duration::from_millis(1);
 
@@ -123,16 +123,16 @@
     }
 
     /// Waits until it has ended; its exit code.
-    pub fn ended(&mut self) -> Option<i32> {
-        await_that("the process ends", || {
+    pub fn wait_exit(&mut self) -> Option<i32> {
+        wait_until("the process ends", || {
             self.child.try_wait().expect("it was started").is_some()
         });
         self.child.wait().expect("it was started").code()
     }
 
     pub fn await_ready(&self) {
-        await_that("the instance is ready", || {
-            ask(self.ready, "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
+        wait_until("the instance is ready", || {
+            send_raw(self.ready, "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
                 .is_some_and(|a| a.status == 200)
         });
     }
@@ -144,12 +144,12 @@
 
     /// The same; `None` if the connection ends without an answer.
     pub fn try_send(&self, method: &str, path: &str, id: &str, body: &str) -> Option<Answer> {
-        ask(self.callers, &request(method, path, id, body))
+        send_raw(self.callers, &request(method, path, id, body))
     }
 
     /// Its state.
     pub fn dump(&self) -> String {
-        let found = ask(self.operators, "GET /dump HTTP/1.1\r\nHost: x\r\n\r\n");
+        let found = send_raw(self.operators, "GET /dump HTTP/1.1\r\nHost: x\r\n\r\n");
         found.map(|a| a.body).unwrap_or_default()
     }
 }
@@ -177,15 +177,15 @@
 }
 
 /// Sends text on a connection of its own and reads one answer.
-pub fn ask(addr: SocketAddr, text: &str) -> Option<Answer> {
+pub fn send_raw(addr: SocketAddr, text: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(BOUND)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
-    read(&mut stream)
+    read_answer(&mut stream)
 }
 
 /// Reads one answer.
-pub fn read(stream: &mut TcpStream) -> Option<Answer> {
+pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -214,8 +214,8 @@
 }
 
 /// Looks again and again, for a bounded time.
-pub fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + BOUND;
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "in vain: {what}");
         std::thread::yield_now();
@@ -224,24 +224,24 @@
 
 /// The first line of an instance's log that has `part`; lines come a moment after
 /// what they tell.
-pub fn await_line(entry: &Entry, part: &str) -> String {
+pub fn wait_for_line(entry: &Entry, part: &str) -> String {
     let find = || {
         let lines = entry.lines.lock().expect("no one panics with it");
         lines.iter().find(|l| l.contains(part)).cloned()
     };
-    await_that(part, || find().is_some());
+    wait_until(part, || find().is_some());
     find().unwrap_or_default()
 }
 
 /// A store with a configuration, targets of service `sheets`, and an instance
 /// that is ready and knows all of them.
-pub struct Bench {
+pub struct Harness {
     pub store: Store,
     pub targets: Vec<Target>,
     pub entry: Entry,
 }
 
-impl Bench {
+impl Harness {
     pub fn start(targets: usize) -> Self {
         let store = Store::start().expect("a port is free");
         store.configure(3, HOST, &ROUTES);
@@ -254,16 +254,16 @@
         let targets: Vec<Target> = (0..targets).map(start).collect();
         let entry = Entry::start("near-1", "near-a", store.addr(), &[]);
         entry.await_ready();
-        let bench = Self {
+        let harness = Self {
             store,
             targets,
             entry,
         };
-        let last = format!("\"t{}\"", bench.targets.len() - 1);
-        await_that("all targets are known", || {
-            bench.entry.dump().contains(&last)
+        let last = format!("\"t{}\"", harness.targets.len() - 1);
+        wait_until("all targets are known", || {
+            harness.entry.dump().contains(&last)
         });
-        bench
+        harness
     }
 
     /// Requests that ran, over all targets.
--- a/crates/auburnrouter/tests/direct/operators.rs
+++ b/crates/auburnrouter/tests/direct/operators.rs
@@ -6,20 +6,20 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use super::bench::{Bench, Entry, HOST, ROUTES, ask, await_that};
+use super::harness::{Entry, HOST, Harness, ROUTES, send_raw, wait_until};
 
 #[test]
 fn keep_serving_on_hangup() {
-    let bench = Bench::start(1);
-    bench.entry.signal(Signal::HUP);
-    let lines = std::sync::Arc::clone(&bench.entry.lines);
-    await_that("it says so", || {
+    let harness = Harness::start(1);
+    harness.entry.signal(Signal::HUP);
+    let lines = std::sync::Arc::clone(&harness.entry.lines);
+    wait_until("it says so", || {
         let lines = lines.lock().expect("no one panics with it");
         lines
             .iter()
             .any(|l| l.contains("\"reload\"") && l.contains("\"same\""))
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r1", "").status, 200);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
 /// Nobody reads the log. A full pipe must not hold a request up.
@@ -42,10 +42,12 @@
 
 #[test]
 fn print_metrics() {
-    let bench = Bench::start(1);
-    assert_eq!(bench.entry.send("GET", "/view/x", "r1", "").status, 200);
+    let harness = Harness::start(1);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
     let text = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
-    let printed = ask(bench.entry.operators, text).expect("it answers").body;
+    let printed = send_raw(harness.entry.operators, text)
+        .expect("it answers")
+        .body;
     let ended = "auburnrouter_attempts_total{ending=\"answered\"} 1";
     assert!(printed.contains(ended), "{printed}");
     assert!(printed.contains("auburnrouter_config_version 3"));
--- a/crates/auburnrouter/tests/direct/pipeline.rs
+++ b/crates/auburnrouter/tests/direct/pipeline.rs
@@ -6,16 +6,16 @@
 
 use rustix::process::Signal;
 
-use super::bench::{Answer, BOUND, Bench, HOST, MS, await_that, read, request};
+use super::harness::{Answer, HOST, Harness, MS, WAIT_TIMEOUT, read_answer, request, wait_until};
 
 /// A caller's connection.
 struct Caller(TcpStream);
 
 impl Caller {
-    fn connect(bench: &Bench) -> Self {
-        let stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+    fn connect(harness: &Harness) -> Self {
+        let stream = TcpStream::connect(harness.entry.callers).expect("it listens");
         stream
-            .set_read_timeout(Some(BOUND))
+            .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("the time isn't zero");
         Self(stream)
     }
@@ -25,7 +25,7 @@
     }
 
     fn read(&mut self) -> Answer {
-        read(&mut self.0).expect("it is answered")
+        read_answer(&mut self.0).expect("it is answered")
     }
 
     /// Whether an answer has begun to arrive.
@@ -33,7 +33,9 @@
         let stream = &self.0;
         stream.set_read_timeout(Some(MS)).expect("it isn't zero");
         let found = stream.peek(&mut [0]);
-        stream.set_read_timeout(Some(BOUND)).expect("it isn't zero");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("it isn't zero");
         found.is_ok()
     }
 
@@ -52,8 +54,8 @@
     request("PUT", &format!("/pay/{id}?work_ms={work}"), id, "body")
 }
 
-fn ran(bench: &Bench, id: &str) -> bool {
-    bench.runs().iter().any(|r| r.id == id)
+fn ran(harness: &Harness, id: &str) -> bool {
+    harness.runs().iter().any(|r| r.id == id)
 }
 
 /// A caller sends four look-ups at once; the first takes longest. They run side
@@ -61,8 +63,8 @@
 /// answer is its own request's, in the order of the requests.
 #[test]
 fn answer_pipeline_in_order() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let sent = Instant::now();
     let works = [500, 400, 10, 300];
     let text: String = (0..4)
@@ -77,7 +79,7 @@
     }
     // The sum is 1,210 ms.
     assert!(sent.elapsed() < 1_000 * MS, "{:?}", sent.elapsed());
-    assert_eq!(bench.runs().len(), 4);
+    assert_eq!(harness.runs().len(), 4);
 }
 
 /// A payment stands behind a look-up, and a look-up behind the payment. Each
@@ -86,26 +88,26 @@
 /// again.
 #[test]
 fn hold_payment_behind_look_up() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let text = look_up("r0", 300) + &pay("r1", 300) + &look_up("r2", 0);
     caller.send(&text);
-    await_that("the look-up runs", || ran(&bench, "r0"));
-    assert!(!ran(&bench, "r1") && !ran(&bench, "r2"));
+    wait_until("the look-up runs", || ran(&harness, "r0"));
+    assert!(!ran(&harness, "r1") && !ran(&harness, "r2"));
     assert_eq!(caller.read().body, "body of r0");
-    await_that("the payment runs", || ran(&bench, "r1"));
-    assert!(!ran(&bench, "r2"));
+    wait_until("the payment runs", || ran(&harness, "r1"));
+    assert!(!ran(&harness, "r2"));
     assert_eq!(caller.read().body, "body of r1");
     assert_eq!(caller.read().body, "body of r2");
-    assert_eq!(bench.runs().len(), 3);
+    assert_eq!(harness.runs().len(), 3);
 }
 
 /// Something malformed stands behind two look-ups, and a payment behind it. The
 /// look-ups are answered, then the caller is told; nothing behind is read.
 #[test]
 fn refuse_malformed_in_its_turn() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let text = look_up("r0", 200) + &look_up("r1", 0) + "NONSENSE\r\n\r\n" + &pay("r2", 0);
     caller.send(&text);
     assert_eq!(caller.read().body, "body of r0");
@@ -114,15 +116,15 @@
     assert_eq!(refused.status, 400);
     assert_eq!(refused.header("connection"), Some("close"));
     assert!(caller.has_ended());
-    assert!(!ran(&bench, "r2"));
+    assert!(!ran(&harness, "r2"));
 }
 
 /// The second of three look-ups is rejected, since no route is there for it;
 /// the others are served, each with its own answer.
 #[test]
 fn reject_one_in_the_middle() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let lost = request("GET", "/nowhere/", "r1", "");
     caller.send(&(look_up("r0", 200) + &lost + &look_up("r2", 100)));
     assert_eq!(caller.read().body, "body of r0");
@@ -136,33 +138,33 @@
 /// sends after that never runs.
 #[test]
 fn close_where_caller_asks() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let last = look_up("r1", 0).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
     caller.send(&(look_up("r0", 200) + &last + &pay("r2", 0)));
     assert_eq!(caller.read().header("connection"), None);
     assert_eq!(caller.read().header("connection"), Some("close"));
     assert!(caller.has_ended());
-    assert!(!ran(&bench, "r2"));
+    assert!(!ran(&harness, "r2"));
 }
 
 /// The caller leaves while three of its look-ups run: all targets are freed at
 /// once, and the payment behind them never starts.
 #[test]
 fn cancel_pipeline_with_caller() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let ids = ["r0", "r1", "r2"];
     let text: String = ids.iter().map(|id| look_up(id, 10_000)).collect();
     caller.send(&(text + &pay("r3", 0)));
-    await_that("all run", || ids.iter().all(|id| ran(&bench, id)));
+    wait_until("all run", || ids.iter().all(|id| ran(&harness, id)));
     let left = Instant::now();
     drop(caller);
-    await_that("all targets are left alone", || {
-        bench.runs().iter().all(|r| r.left_alone)
+    wait_until("all targets are left alone", || {
+        harness.runs().iter().all(|r| r.left_alone)
     });
     assert!(left.elapsed() < 500 * MS, "{:?}", left.elapsed());
-    assert!(!ran(&bench, "r3"));
+    assert!(!ran(&harness, "r3"));
 }
 
 /// SIGTERM comes while two look-ups run and a payment waits behind them. Both
@@ -170,13 +172,13 @@
 /// never runs: its caller sends it elsewhere.
 #[test]
 fn stop_behind_what_has_started() {
-    let mut bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let mut harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     caller.send(&(look_up("r0", 700) + &look_up("r1", 300) + &pay("r2", 0)));
-    await_that("both run", || ran(&bench, "r0") && ran(&bench, "r1"));
-    bench.entry.signal(Signal::TERM);
-    await_that("it is leaving", || {
-        let lines = bench.entry.lines.lock().expect("no one panics with it");
+    wait_until("both run", || ran(&harness, "r0") && ran(&harness, "r1"));
+    harness.entry.signal(Signal::TERM);
+    wait_until("it is leaving", || {
+        let lines = harness.entry.lines.lock().expect("no one panics with it");
         lines.iter().any(|l| l.contains("\"stopping\""))
     });
     let first = caller.read();
@@ -187,8 +189,8 @@
     assert_eq!(second.header("connection"), Some("close"));
     assert!(caller.has_ended());
     drop(caller);
-    assert_eq!(bench.entry.ended(), Some(0));
-    assert!(!ran(&bench, "r2"));
+    assert_eq!(harness.entry.wait_exit(), Some(0));
+    assert!(!ran(&harness, "r2"));
 }
 
 /// A caller sends hundreds of look-ups and reads no answer. A bounded number of
@@ -197,18 +199,18 @@
 #[test]
 fn bound_what_is_sent_ahead() {
     const SENT: usize = 400;
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let first = look_up("first", 1_000);
     let rest: String = (0..SENT).map(|i| look_up(&format!("r{i}"), 0)).collect();
     caller.send(&first);
-    await_that("the first runs", || ran(&bench, "first"));
+    wait_until("the first runs", || ran(&harness, "first"));
     let mut writer = caller.0.try_clone().expect("a descriptor is free");
     let writing = std::thread::spawn(move || writer.write_all(rest.as_bytes()));
     // Until the first is answered, no more than the bound start beside it.
     let mut most = 0;
     loop {
-        let started = bench.runs().len();
+        let started = harness.runs().len();
         if caller.is_answered() {
             break;
         }
@@ -227,8 +229,8 @@
 /// is told so in its turn, within the time for a request to arrive.
 #[test]
 fn refuse_half_sent_behind_another() {
-    let bench = Bench::start(4);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(4);
+    let mut caller = Caller::connect(&harness);
     let half = format!("PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 9\r\n\r\nhalf");
     let sent = Instant::now();
     caller.send(&(look_up("r0", 300) + &half));
@@ -242,8 +244,8 @@
 /// A caller waits to be told before it sends its body.
 #[test]
 fn tell_caller_to_go_on() {
-    let bench = Bench::start(1);
-    let mut caller = Caller::connect(&bench);
+    let harness = Harness::start(1);
+    let mut caller = Caller::connect(&harness);
     let head = format!(
         "PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r0\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
     );
@@ -251,5 +253,5 @@
     assert_eq!(caller.read().status, 100);
     caller.send("body");
     assert_eq!(caller.read().body, "body of r0");
-    assert_eq!(bench.runs()[0].body, b"body");
+    assert_eq!(harness.runs()[0].body, b"body");
 }
--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -10,19 +10,21 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use super::bench::{Bench, Entry, HOST, MS, ROUTES, ask, await_that, read, request};
+use super::harness::{
+    Entry, HOST, Harness, MS, ROUTES, read_answer, request, send_raw, wait_until,
+};
 
 #[test]
 fn pass_request_on_unchanged() {
-    let bench = Bench::start(1);
-    let answer = bench
+    let harness = Harness::start(1);
+    let answer = harness
         .entry
         .send("PUT", "/pay/a%20b/../c?d=e&f", "r1", "the body");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.header("response-seal"), Some("seal-r1"));
     assert_eq!(answer.header("own-header"), Some("kept"));
     assert_eq!(answer.body, "body of r1");
-    let runs = bench.runs();
+    let runs = harness.runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].method, "PUT");
     assert_eq!(runs[0].path, "/pay/a%20b/../c?d=e&f");
@@ -43,31 +45,33 @@
 )]
 #[case::nonsense("NONSENSE\r\n\r\n", 400)]
 fn refuse_at_once(#[case] text: &str, #[case] status: u16) {
-    let bench = Bench::start(1);
-    let answer = ask(bench.entry.callers, text).expect("it answers");
+    let harness = Harness::start(1);
+    let answer = send_raw(harness.entry.callers, text).expect("it answers");
     assert_eq!(answer.status, status, "{answer:?}");
-    assert!(bench.runs().is_empty());
+    assert!(harness.runs().is_empty());
 }
 
 #[test]
 fn refuse_long_body() {
-    let bench = Bench::start(1);
-    let answer = bench.entry.send("PUT", "/pay/x", "r1", &"x".repeat(70_000));
+    let harness = Harness::start(1);
+    let answer = harness
+        .entry
+        .send("PUT", "/pay/x", "r1", &"x".repeat(70_000));
     assert_eq!(answer.status, 413);
-    assert!(bench.runs().is_empty());
+    assert!(harness.runs().is_empty());
 }
 
 /// Callers send bodies of a length that would take all memory together. Those
 /// beyond a quarter of it are told to come back; others are served.
 #[test]
 fn bound_memory_of_bodies() {
-    let bench = Bench::start(1);
-    bench.store.configure_limits(9, HOST, &ROUTES, 64 << 20);
-    await_that("the new limits are in force", || {
-        bench.entry.dump().contains("\"version\":9")
+    let harness = Harness::start(1);
+    harness.store.configure_limits(9, HOST, &ROUTES, 64 << 20);
+    wait_until("the new limits are in force", || {
+        harness.entry.dump().contains("\"version\":9")
     });
     let begin = |id: &str| {
-        let mut stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+        let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
         let length = 40 << 20;
         let head = format!(
             "PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nContent-Length: {length}\r\n\r\n"
@@ -76,14 +80,14 @@
         stream
     };
     let _held = begin("r1");
-    await_that("a second one has no room", || {
+    wait_until("a second one has no room", || {
         let mut stream = begin("r2");
         stream
             .set_read_timeout(Some(100 * MS))
             .expect("the time isn't zero");
-        read(&mut stream).is_some_and(|a| a.status == 503)
+        read_answer(&mut stream).is_some_and(|a| a.status == 503)
     });
-    assert_eq!(bench.entry.send("GET", "/view/x", "r3", "").status, 200);
+    assert_eq!(harness.entry.send("GET", "/view/x", "r3", "").status, 200);
 }
 
 /// An instance starts before there is a configuration. It says "come back" and
@@ -92,7 +96,7 @@
 fn ask_back_without_configuration() {
     let store = Store::start().expect("a port is free");
     let entry = Entry::start("near-1", "near-a", store.addr(), &[]);
-    await_that("it listens", || {
+    wait_until("it listens", || {
         entry.try_send("GET", "/view/x", "r", "").is_some()
     });
     let answer = entry.send("GET", "/view/x", "r1", "");
@@ -104,11 +108,11 @@
 /// meanwhile. "Come back" rather than "there is none".
 #[test]
 fn doubt_missing_route_without_store() {
-    let bench = Bench::start(1);
-    assert_eq!(bench.entry.send("GET", "/added/x", "r1", "").status, 404);
-    bench.store.set(Mode::Busy);
-    await_that("it is out of touch", || {
-        bench.entry.send("GET", "/added/x", "r2", "").status == 503
+    let harness = Harness::start(1);
+    assert_eq!(harness.entry.send("GET", "/added/x", "r1", "").status, 404);
+    harness.store.set(Mode::Busy);
+    wait_until("it is out of touch", || {
+        harness.entry.send("GET", "/added/x", "r2", "").status == 503
     });
 }
 
@@ -116,15 +120,15 @@
 /// freed at once.
 #[test]
 fn cancel_with_caller() {
-    let bench = Bench::start(1);
-    bench.targets[0].set(Manner::Well, Duration::from_secs(10));
-    let mut stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+    let harness = Harness::start(1);
+    harness.targets[0].set(Manner::Well, Duration::from_secs(10));
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
     let text = request("GET", "/view/x", "r1", "");
     stream.write_all(text.as_bytes()).expect("it is open");
-    await_that("it runs", || !bench.runs().is_empty());
+    wait_until("it runs", || !harness.runs().is_empty());
     let left = Instant::now();
     drop(stream);
-    await_that("the target is left alone", || bench.runs()[0].left_alone);
+    wait_until("the target is left alone", || harness.runs()[0].left_alone);
     assert!(left.elapsed() < 500 * MS, "{:?}", left.elapsed());
 }
 
@@ -134,18 +138,20 @@
 /// and whoever starts what it has read before it reads on works for nobody.
 #[test]
 fn forget_who_left_unread() {
-    let bench = Bench::start(1);
+    let harness = Harness::start(1);
     for round in 0..5 {
-        bench.entry.signal(Signal::STOP);
-        let mut stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+        harness.entry.signal(Signal::STOP);
+        let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
         let left = format!("left{round}");
         let text = request("GET", "/view/x", &left, "");
         stream.write_all(text.as_bytes()).expect("it is open");
         drop(stream);
-        bench.entry.signal(Signal::CONT);
-        let answer = bench.entry.send("GET", "/view/x", &format!("r{round}"), "");
+        harness.entry.signal(Signal::CONT);
+        let answer = harness
+            .entry
+            .send("GET", "/view/x", &format!("r{round}"), "");
         assert_eq!(answer.status, 200);
-        let ran = bench.runs().iter().any(|r| r.id == left);
+        let ran = harness.runs().iter().any(|r| r.id == left);
         assert!(!ran, "{left} ran");
     }
 }
@@ -162,22 +168,22 @@
     let settings = platform_standin::settings("near-1", "near-a", store.addr(), &[]);
     let few = settings.replace("\"descriptors\":1024", "\"descriptors\":80");
     let entry = Entry::start_with(&few);
-    await_that("a target is known", || entry.dump().contains("\"t0\""));
+    wait_until("a target is known", || entry.dump().contains("\"t0\""));
     let mut first = TcpStream::connect(entry.callers).expect("it listens");
     let mut ask_first = |id: &str| {
         let text = request("GET", "/view/x", id, "");
         first.write_all(text.as_bytes()).expect("it is open");
-        read(&mut first).expect("it is answered").status
+        read_answer(&mut first).expect("it is answered").status
     };
     assert_eq!(ask_first("r1"), 200);
     let open = || TcpStream::connect(entry.callers).expect("it listens");
     let held: Vec<TcpStream> = (0..20).map(|_| open()).collect();
-    let told = read(&mut open()).expect("it is told at once");
+    let told = read_answer(&mut open()).expect("it is told at once");
     assert_eq!(told.status, 503);
     assert_eq!(told.header("retry-after"), Some("1"));
     assert_eq!(ask_first("r2"), 200);
     drop(held);
-    await_that("there is room again", || {
+    wait_until("there is room again", || {
         entry
             .try_send("GET", "/view/x", "r3", "")
             .is_some_and(|a| a.status == 200)
--- a/crates/auburnrouter/tests/direct/stop.rs
+++ b/crates/auburnrouter/tests/direct/stop.rs
@@ -6,54 +6,54 @@
 use platform_standin::target::Manner;
 use rustix::process::Signal;
 
-use super::bench::{Bench, MS, ask, await_that, read, request};
+use super::harness::{Harness, MS, read_answer, request, send_raw, wait_until};
 
 /// SIGTERM comes while a payment runs. Its caller gets the answer, whole, and is
 /// told that the connection closes; the process ends well before it is killed.
 #[test]
 fn stop_without_a_cut() {
-    let mut bench = Bench::start(1);
-    bench.targets[0].set(Manner::Well, 700 * MS);
-    let mut stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+    let mut harness = Harness::start(1);
+    harness.targets[0].set(Manner::Well, 700 * MS);
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
     let text = request("PUT", "/pay/x", "r1", "");
     stream.write_all(text.as_bytes()).expect("it is open");
-    await_that("it runs", || !bench.runs().is_empty());
-    bench.entry.signal(Signal::TERM);
-    let answer = read(&mut stream).expect("it is answered");
+    wait_until("it runs", || !harness.runs().is_empty());
+    harness.entry.signal(Signal::TERM);
+    let answer = read_answer(&mut stream).expect("it is answered");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("connection"), Some("close"));
-    let ready = ask(
-        bench.entry.ready,
+    let ready = send_raw(
+        harness.entry.ready,
         "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n",
     );
     assert!(ready.is_none_or(|a| a.status == 503));
-    await_that("its row is gone", || {
-        bench.store.keys("auburnrouter/").is_empty()
+    wait_until("its row is gone", || {
+        harness.store.keys("auburnrouter/").is_empty()
     });
-    assert_eq!(bench.entry.ended(), Some(0));
+    assert_eq!(harness.entry.wait_exit(), Some(0));
 }
 
 /// A look-up is at a target that is slow today, and would soon be asked of
 /// another. SIGTERM comes: it ends where it is, and its caller gets the answer.
 #[test]
 fn stop_without_breaking_off_a_slow_target() {
-    let mut bench = Bench::start(2);
+    let mut harness = Harness::start(2);
     for i in 0..8 {
-        bench.entry.send("GET", "/view/x", &format!("w{i}"), "");
+        harness.entry.send("GET", "/view/x", &format!("w{i}"), "");
     }
-    for target in &bench.targets {
+    for target in &harness.targets {
         target.set(Manner::Well, 1_500 * MS);
     }
-    let before = bench.runs().len();
-    let mut stream = TcpStream::connect(bench.entry.callers).expect("it listens");
+    let before = harness.runs().len();
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
     let text = request("GET", "/view/x", "r1", "");
     stream.write_all(text.as_bytes()).expect("it is open");
-    await_that("it runs", || bench.runs().len() > before);
-    bench.entry.signal(Signal::TERM);
-    let answer = read(&mut stream).expect("it is answered");
+    wait_until("it runs", || harness.runs().len() > before);
+    harness.entry.signal(Signal::TERM);
+    let answer = read_answer(&mut stream).expect("it is answered");
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(bench.runs().len(), before + 1);
-    assert_eq!(bench.entry.ended(), Some(0));
+    assert_eq!(harness.runs().len(), before + 1);
+    assert_eq!(harness.entry.wait_exit(), Some(0));
 }
 
 /// Callers that still know the address keep coming after SIGTERM. One that is
@@ -61,13 +61,13 @@
 /// none is taken, and each that was taken gets its whole answer.
 #[test]
 fn stop_taking_requests_in_time_to_answer() {
-    let mut bench = Bench::start(4);
-    for target in &bench.targets {
+    let mut harness = Harness::start(4);
+    for target in &harness.targets {
         target.set(Manner::Well, 1_200 * MS);
     }
-    bench.entry.signal(Signal::TERM);
+    harness.entry.signal(Signal::TERM);
     let mut taken = Vec::new();
-    while let Ok(mut stream) = TcpStream::connect(bench.entry.callers) {
+    while let Ok(mut stream) = TcpStream::connect(harness.entry.callers) {
         let id = format!("r{}", taken.len());
         let text = request("GET", &format!("/view/{id}"), &id, "");
         let asked = std::thread::spawn(move || {
@@ -75,7 +75,7 @@
             if stream.write_all(text.as_bytes()).is_err() {
                 return None;
             }
-            read(&mut stream).map(|answer| (id, answer))
+            read_answer(&mut stream).map(|answer| (id, answer))
         });
         taken.push(asked);
         // Callers come one after the other, as many as the targets can serve.
@@ -91,10 +91,10 @@
         assert!(known, "{id}: {answer:?}");
     }
     // Each that a target ran was answered with what the target said.
-    for run in bench.runs().iter().filter(|r| r.id.starts_with('r')) {
+    for run in harness.runs().iter().filter(|r| r.id.starts_with('r')) {
         let answered = answers.iter().find(|a| a.0 == run.id);
         let status = answered.map(|a| a.1.status);
         assert_eq!(status, Some(200), "{run:?}");
     }
-    assert_eq!(bench.entry.ended(), Some(0));
+    assert_eq!(harness.entry.wait_exit(), Some(0));
 }
--- a/crates/auburnrouter/tests/soak.rs
+++ b/crates/auburnrouter/tests/soak.rs
@@ -6,11 +6,11 @@
 //! --test soak -- --nocapture` plays more; without them two short seeds are
 //! played.
 
-#[path = "direct/bench.rs"]
-#[allow(dead_code, reason = "shared with other tests, which use all of it")]
-mod bench;
 #[path = "soak/callers.rs"]
 mod callers;
+#[path = "direct/harness.rs"]
+#[allow(dead_code, reason = "shared with other tests, which use all of it")]
+mod harness;
 #[path = "soak/ledger.rs"]
 mod ledger;
 #[path = "soak/proxy.rs"]
--- a/crates/auburnrouter/tests/soak/callers.rs
+++ b/crates/auburnrouter/tests/soak/callers.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 
-use super::bench;
+use super::harness;
 use super::ledger::{Asked, Told};
 
 /// Callers at the same time.
@@ -68,7 +68,7 @@
     // Objects of their own, or one target would get every request.
     let object = rng.u8(0..24);
     let path = format!("{path}{object}");
-    let text = bench::request(method, &path, &id, "");
+    let text = harness::request(method, &path, &id, "");
     let text = text.replace("Affinity-Key: 7", &format!("Affinity-Key: {object}"));
     Wish {
         id,
@@ -105,9 +105,9 @@
         let leaves = rng.u8(0..20) == 0;
         for wish in wishes {
             let answer = (open && !leaves)
-                .then(|| bench::read(&mut stream))
+                .then(|| harness::read_answer(&mut stream))
                 .flatten();
-            let closes = |a: &bench::Answer| a.header("connection") == Some("close");
+            let closes = |a: &harness::Answer| a.header("connection") == Some("close");
             open &= answer.as_ref().is_some_and(|a| !closes(a));
             asked.push(Asked {
                 id: wish.id,
--- a/crates/auburnrouter/tests/soak/ledger.rs
+++ b/crates/auburnrouter/tests/soak/ledger.rs
@@ -4,7 +4,7 @@
 
 use platform_standin::target::Run;
 
-use super::bench;
+use super::harness;
 
 /// One request as its caller saw it.
 #[derive(Clone, Debug)]
@@ -26,8 +26,8 @@
     pub body: String,
 }
 
-impl From<bench::Answer> for Told {
-    fn from(answer: bench::Answer) -> Self {
+impl From<harness::Answer> for Told {
+    fn from(answer: harness::Answer) -> Self {
         let field = |name| answer.header(name).unwrap_or_default().to_owned();
         Self {
             status: answer.status,
--- a/crates/auburnrouter/tests/soak/world.rs
+++ b/crates/auburnrouter/tests/soak/world.rs
@@ -14,8 +14,8 @@
 use rustix::process::Signal;
 use serde_json::json;
 
-use super::bench::{Entry, HOST, MS, ROUTES, await_that};
 use super::callers;
+use super::harness::{Entry, HOST, MS, ROUTES, wait_until};
 use super::ledger::Seen;
 use super::proxy::{Harm, Proxy};
 
@@ -327,7 +327,7 @@
     fn serve_again(&self) {
         for (number, entry) in self.entries.iter().enumerate() {
             let entry = entry.as_ref().expect("all have returned");
-            await_that(&format!("i{number} serves again"), || {
+            wait_until(&format!("i{number} serves again"), || {
                 entry
                     .try_send("OPTIONS", "/view/again", "again", "")
                     .is_some_and(|a| a.status == 200)
@@ -341,7 +341,7 @@
             self.leaving.push(entry);
         }
         for entry in &mut self.leaving {
-            let code = entry.ended();
+            let code = entry.wait_exit();
             if code != Some(0) {
                 let lines = entry.lines.lock().expect("no one panics with it");
                 let last: Vec<String> = lines.iter().rev().take(5).cloned().collect();
