--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -4,18 +4,18 @@
 //! will not; everything else that fails is 502 or 504. A caller that leaves
 //! takes its request with it. A caller's key goes no further than here.
 
-mod room;
+mod body_memory;
 
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use body_memory::Reservation;
 use futures_lite::future;
 use hyper::body::Bytes;
 use hyper::header::HOST;
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
-use room::Room;
 use smol::net;
 use steer::clock::Time;
 use steer::process::direct::access::{Access, Presented};
@@ -74,20 +74,20 @@
     }
 }
 
-type Request = hyper::Request<Bytes>;
+type HttpRequest = hyper::Request<Bytes>;
 
 #[derive(Clone)]
 struct Callers(Arc<Shared>);
 
 impl Service for Callers {
-    type Room = Room;
+    type Reservation = Reservation;
 
     fn limits(&self) -> server::Limits {
         limits(&self.0)
     }
 
-    fn room(&self, length: Option<u64>) -> Option<Room> {
-        Room::take(&self.0, limits(&self.0).body, length)
+    fn reserve_body(&self, length: Option<u64>) -> Option<Reservation> {
+        Reservation::take(&self.0, limits(&self.0).body, length)
     }
 
     fn refuse(&self, caller: Caller, why: Refusal) -> Response {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn is_idempotent(&self, request: &Request) -> bool {
+    fn is_idempotent(&self, request: &HttpRequest) -> bool {
         let host = host(request);
         let path = request.uri().path();
         // What is on no route is answered here, without a run.
@@ -114,7 +114,10 @@
         })
     }
 
-    fn answer(&self, arrival: Arrival<Room>) -> impl Future<Output = Response> + Send + use<> {
+    fn answer(
+        &self,
+        arrival: Arrival<Reservation>,
+    ) -> impl Future<Output = Response> + Send + use<> {
         answer(Arc::clone(&self.0), arrival)
     }
 
@@ -167,7 +170,7 @@
     origin: Origin,
 }
 
-async fn answer(shared: Arc<Shared>, arrival: Arrival<Room>) -> Response {
+async fn answer(shared: Arc<Shared>, arrival: Arrival<Reservation>) -> Response {
     let arrived = shared.at(arrival.read);
     let begun = shared.at(arrival.begun);
     let request = arrival.request;
@@ -203,7 +206,7 @@
         Access::Unsure => return asker.reject(&shared, &route.name, "unsure-of-keys"),
     };
     let Asker { caller, origin } = asker;
-    let _room = arrival.room;
+    let _reservation = arrival.reservation;
     let (head, body) = request.into_parts();
     let mut fields = head.headers;
     headers::strip(&mut fields);
@@ -266,7 +269,7 @@
     Fingerprint(head << 64 | u128::from(direct::hash(body)))
 }
 
-fn host(request: &Request) -> String {
+fn host(request: &HttpRequest) -> String {
     let named = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = named.or_else(|| request.uri().host()).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _)| host);
--- a/crates/auburnrouter/src/direct/connection.rs
+++ b/crates/auburnrouter/src/direct/connection.rs
@@ -71,8 +71,8 @@
     /// Requests ahead of it on its connection that were unanswered when it
     /// started.
     pub ahead: usize,
-    /// Memory that its body takes.
-    pub room: Option<M>,
+    /// Memory reserved for its body.
+    pub reservation: Option<M>,
 }
 
 /// What an answer must know of its request.
@@ -100,14 +100,14 @@
     socket: Socket,
     caller: Caller,
     reader: Reader,
-    pipeline: Pipeline<Arrival<S::Room>, Response, Note>,
+    pipeline: Pipeline<Arrival<S::Reservation>, Response, Note>,
     running: FuturesUnordered<Running>,
     out: BytesMut,
     /// The rest of an answer that was too long to copy.
     tail: Bytes,
     clock: Clock,
-    /// Memory for the body that is arriving.
-    room: Option<S::Room>,
+    /// Memory reserved for the body that is arriving.
+    reservation: Option<S::Reservation>,
     /// The caller waits for a word before it sends a body.
     expects: bool,
 }
@@ -169,7 +169,7 @@
                 writing: None,
                 idle: Instant::now(),
             },
-            room: None,
+            reservation: None,
             expects: false,
         }
     }
@@ -292,9 +292,9 @@
     /// A body follows: takes memory for it, or nothing more.
     fn admit(&mut self, length: Option<u64>, expects: bool) {
         self.clock.read = Some(Instant::now());
-        self.room = self.service.room(length);
+        self.reservation = self.service.reserve_body(length);
         self.expects = expects;
-        if self.room.is_none() {
+        if self.reservation.is_none() {
             self.refuse(Refusal::NoRoom);
         }
     }
@@ -313,7 +313,7 @@
             begun: self.clock.begun.take().unwrap_or(now),
             read: self.clock.read.take().unwrap_or(now),
             ahead: 0,
-            room: self.room.take(),
+            reservation: self.reservation.take(),
         };
         self.expects = false;
         self.pipeline.push(arrival, note, whole.bytes, whole.closes);
@@ -323,7 +323,7 @@
     fn refuse(&mut self, why: Refusal) {
         let answer = self.service.refuse(self.caller, why);
         self.reader.end();
-        self.room = None;
+        self.reservation = None;
         self.expects = false;
         self.clock.begun = None;
         self.clock.read = None;
@@ -336,7 +336,7 @@
 
     fn start(&mut self) {
         let service = &self.service;
-        let is_idempotent = |a: &Arrival<S::Room>| service.is_idempotent(&a.request);
+        let is_idempotent = |a: &Arrival<S::Reservation>| service.is_idempotent(&a.request);
         while let Some(start) = self.pipeline.start(is_idempotent) {
             let mut arrival = start.request;
             arrival.ahead = start.ahead;
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -42,13 +42,13 @@
 struct Queries(Arc<Shared>);
 
 impl Service for Queries {
-    type Room = ();
+    type Reservation = ();
 
     fn limits(&self) -> Limits {
         LIMITS
     }
 
-    fn room(&self, _length: Option<u64>) -> Option<()> {
+    fn reserve_body(&self, _length: Option<u64>) -> Option<()> {
         Some(())
     }
 
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -22,14 +22,15 @@
 
 /// Answers the requests of connections.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// Memory that the body of a request takes.
-    type Room: Send + 'static;
+    /// Memory reserved for the body of a request; released on drop.
+    type Reservation: Send + 'static;
 
     /// Bounds on a connection that is opened now.
     fn limits(&self) -> Limits;
 
-    /// Memory for a body of `length`, if the caller says it.
-    fn room(&self, length: Option<u64>) -> Option<Self::Room>;
+    /// Reserves memory for a body of `length` bytes, or of unknown length. `None` if
+    /// there is not enough.
+    fn reserve_body(&self, length: Option<u64>) -> Option<Self::Reservation>;
 
     /// Tells a caller why its connection ends unread.
     fn refuse(&self, caller: Caller, why: Refusal) -> Response;
@@ -40,7 +41,7 @@
     /// Answers a request. Dropped, it must not run any further.
     fn answer(
         &self,
-        arrival: Arrival<Self::Room>,
+        arrival: Arrival<Self::Reservation>,
     ) -> impl Future<Output = Response> + Send + use<Self>;
 
     /// The process all this is in.
