--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -357,10 +357,10 @@
         });
         let word = word.unwrap_or_default();
         if named {
-            events::limit(&self.shared, &go.target, word.limit, self.id());
+            events::limit_changed(&self.shared, &go.target, word.limit, self.id());
         }
         let status = answer.as_ref().map_or(0, |a| a.status().as_u16());
-        events::attempt(
+        events::attempt_ended(
             &self.shared,
             &events::Attempt {
                 request: self.id(),
@@ -369,12 +369,12 @@
                 origin: self.origin,
                 target: &go.target,
                 number: go.attempt,
-                held: millis(began, self.arrived),
-                took: millis(self.shared.now(), began),
-                ending: name(ending),
+                held_ms: millis(began, self.arrived),
+                took_ms: millis(self.shared.now(), began),
+                outcome: name(ending),
                 status,
-                word,
-                go,
+                feedback: word,
+                assignment: go,
                 object: self.object,
             },
         );
@@ -428,16 +428,16 @@
 
     fn own(&self, status: StatusCode, why: &str) -> Response {
         let held = millis(self.shared.now(), self.arrived);
-        let given = events::Given {
+        let answer = events::OwnAnswer {
             request: self.id(),
             route: &self.route.name,
             team: self.team.as_deref(),
             origin: self.origin,
             status: status.as_u16(),
-            why,
+            reason: why,
             held_ms: held,
         };
-        events::own(&self.shared, &given);
+        events::own_answer(&self.shared, &answer);
         let mut response = server::empty(status);
         headers::name(response.headers_mut(), self.whole.id.as_ref());
         response
@@ -453,16 +453,16 @@
 impl Asker {
     fn own(&self, shared: &Shared, route: &str, status: StatusCode, why: &str) -> Response {
         let id = self.caller.id.as_ref();
-        let given = events::Given {
+        let answer = events::OwnAnswer {
             request: id.and_then(|id| id.to_str().ok()).unwrap_or_default(),
             route,
             team: None,
             origin: self.origin,
             status: status.as_u16(),
-            why,
+            reason: why,
             held_ms: 0,
         };
-        events::own(shared, &given);
+        events::own_answer(shared, &answer);
         let mut response = server::empty(status);
         headers::name(response.headers_mut(), id);
         response
--- a/crates/auburnrouter/src/direct/events.rs
+++ b/crates/auburnrouter/src/direct/events.rs
@@ -14,7 +14,7 @@
 use steer::version::routes::{Route, Routes};
 use steer::version::teams::Team;
 
-pub use requests::{Attempt, Given, Origin, attempt, own};
+pub use requests::{Attempt, Origin, OwnAnswer, attempt_ended, own_answer};
 
 use super::Shared;
 
@@ -29,11 +29,11 @@
 
 /// Lines of one kind that are written in a second; a busy instance decides on
 /// a hundred requests a second, twice over.
-const QUOTA: u32 = 400;
+const LINES_PER_SECOND_MAX: u32 = 400;
 
 /// What was written of each kind in the current second.
 #[derive(Debug, Default)]
-pub struct Quota(Mutex<Vec<Kind>>);
+pub struct LogQuota(Mutex<Vec<Kind>>);
 
 #[derive(Debug)]
 struct Kind {
@@ -43,7 +43,7 @@
     left_out: u64,
 }
 
-impl Quota {
+impl LogQuota {
     /// Whether a line of this kind may be written now, and how many were left
     /// out before it.
     fn take(&self, event: &'static str, second: u64) -> Option<u64> {
@@ -66,7 +66,7 @@
             kind.second = second;
             kind.count = 0;
         }
-        if kind.count >= QUOTA {
+        if kind.count >= LINES_PER_SECOND_MAX {
             kind.left_out += 1;
             return None;
         }
@@ -321,7 +321,7 @@
 }
 
 /// A target names another limit than before, or none any more.
-pub fn limit(shared: &Shared, target: &str, rate: Option<f64>, request: &str) {
+pub fn limit_changed(shared: &Shared, target: &str, rate: Option<f64>, request: &str) {
     let fields = Limited {
         target,
         rate,
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Serialize)]
-struct Attempted<'a> {
+struct AttemptFields<'a> {
     request: &'a str,
     route: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -67,56 +67,56 @@
     /// Which attempt, from 1.
     pub number: usize,
     /// Milliseconds from the request's arrival to this attempt.
-    pub held: u64,
+    pub held_ms: u64,
     /// Milliseconds that it took.
-    pub took: u64,
+    pub took_ms: u64,
     /// How it ended.
-    pub ending: &'a str,
+    pub outcome: &'a str,
     /// The target's status; 0 if there is none.
     pub status: u16,
     /// What the target says of itself.
-    pub word: Word,
+    pub feedback: Word,
     /// What decided it.
-    pub go: &'a steer::process::direct::Go,
+    pub assignment: &'a steer::process::direct::Go,
     /// The object's hash; 0 if it names none.
     pub object: u64,
 }
 
 /// An attempt has ended.
-pub fn attempt(shared: &Shared, a: &Attempt<'_>) {
+pub fn attempt_ended(shared: &Shared, a: &Attempt<'_>) {
     let metrics = &shared.metrics;
-    metrics.attempts.with_label_values(&[a.ending]).inc();
-    metrics.held.observe(seconds(a.held));
-    metrics.took.observe(seconds(a.took));
-    if a.go.limit.is_some() {
+    metrics.attempts.with_label_values(&[a.outcome]).inc();
+    metrics.held.observe(seconds(a.held_ms));
+    metrics.took.observe(seconds(a.took_ms));
+    if a.assignment.limit.is_some() {
         metrics.limited.inc();
     }
-    let fields = Attempted {
+    let fields = AttemptFields {
         request: a.request,
         route: a.route,
         team: a.team,
         origin: a.origin,
         target: a.target,
         attempt: a.number,
-        held_ms: a.held,
-        took_ms: a.took,
-        ending: a.ending,
+        held_ms: a.held_ms,
+        took_ms: a.took_ms,
+        ending: a.outcome,
         status: a.status,
-        believed: a.go.load,
-        believed_ms: millis(a.go.age),
-        load: a.word.load.unwrap_or_default(),
-        limit: a.word.limit,
-        limit_known: a.go.limit,
-        warm: a.go.warm,
-        expected_ms: a.go.work * 1000.0,
+        believed: a.assignment.load,
+        believed_ms: millis(a.assignment.age),
+        load: a.feedback.load.unwrap_or_default(),
+        limit: a.feedback.limit,
+        limit_known: a.assignment.limit,
+        warm: a.assignment.warm,
+        expected_ms: a.assignment.work * 1000.0,
         object: a.object,
-        config: a.go.version,
+        config: a.assignment.version,
     };
     write(shared, "attempt", fields);
 }
 
 #[derive(Serialize)]
-struct Own<'a> {
+struct OwnAnswerFields<'a> {
     request: &'a str,
     route: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -137,7 +137,7 @@
 }
 
 /// What is known of an answer of this system's own.
-pub struct Given<'a> {
+pub struct OwnAnswer<'a> {
     /// The request's id.
     pub request: &'a str,
     /// Name of its route; empty if it has none.
@@ -149,33 +149,33 @@
     /// The answer's status.
     pub status: u16,
     /// Why.
-    pub why: &'a str,
+    pub reason: &'a str,
     /// Milliseconds from the request's arrival.
     pub held_ms: u64,
 }
 
 /// An answer of this system's own was given.
-pub fn own(shared: &Shared, given: &Given<'_>) {
-    let Given {
+pub fn own_answer(shared: &Shared, answer: &OwnAnswer<'_>) {
+    let OwnAnswer {
         request,
         route,
         team,
         origin,
         status,
-        why,
+        reason,
         held_ms,
-    } = *given;
-    let labels = [&*status.to_string(), why];
+    } = *answer;
+    let labels = [&*status.to_string(), reason];
     shared.metrics.own.with_label_values(&labels).inc();
     let (waiting, config, store, stale) =
         shared.read(|now, d| (d.waiting(), d.version(), d.store_age(now), d.staleness(now)));
-    let fields = Own {
+    let fields = OwnAnswerFields {
         request,
         route,
         team,
         origin,
         status,
-        why,
+        why: reason,
         held_ms,
         waiting,
         config,
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -68,7 +68,7 @@
     pub(super) metrics: metrics::Metrics,
     /// Bytes of callers' bodies that are held.
     pub(super) bodies: Arc<AtomicUsize>,
-    pub(super) quota: events::Quota,
+    pub(super) quota: events::LogQuota,
 }
 
 /// Decisions and who waits for them.
@@ -132,7 +132,7 @@
             count: server::Count::new(server::most(&settings)),
             metrics: metrics::Metrics::new()?,
             bodies: Arc::default(),
-            quota: events::Quota::default(),
+            quota: events::LogQuota::default(),
             settings,
             given,
         })
