--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -134,7 +134,7 @@
             let told = Instant::now();
             *lock(&shared.phase) = Phase::Leaving;
             let last = server::last(&shared.settings);
-            shared.note(|now, direct| direct.stop(now + last));
+            shared.update(|now, direct| direct.stop(now + last));
             events::stopping(&shared);
             heartbeat::farewell(&shared, &listeners.beats).await;
             // The store may be silent, and the grace time runs.
@@ -233,7 +233,7 @@
 async fn upkeep(shared: Arc<Shared>) {
     loop {
         smol::Timer::after(UPKEEP).await;
-        shared.targets.upkeep();
+        shared.target_pool.upkeep();
         let dropped = shared.decide(|now, direct| direct.sweep(now));
         for id in dropped {
             events::target_gone(&shared, &id);
--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -64,7 +64,7 @@
     let Ok(request) = request(go, whole, left) else {
         return Ended::without(Ending::Unreached);
     };
-    let pool = &shared.targets;
+    let pool = &shared.target_pool;
     // What must not run twice goes on a connection of its own: whether it was
     // sent is then never in doubt because an idle connection was just closing.
     let sent = if whole.idempotent {
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -59,14 +59,14 @@
         smol::Timer::after(START).await;
     };
     future::or(configured(&shared), late).await;
-    let count = shared.count.clone();
+    let count = shared.connections.clone();
     server::accept(Callers(shared), socket, executor, count).await;
 }
 
 /// Ends when a configuration is known.
 async fn configured(shared: &Shared) {
     loop {
-        let told = shared.told.listen();
+        let told = shared.updated.listen();
         if shared.read(|_, d| d.routes().is_some()) {
             return;
         }
@@ -150,7 +150,7 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.shared.forget(self.ticket);
+        self.shared.release(self.ticket);
     }
 }
 
@@ -275,7 +275,7 @@
 
 impl Errand {
     async fn run(self, ask: Ask) -> Response {
-        let (ticket, orders) = match self.shared.arrive(ask) {
+        let (ticket, orders) = match self.shared.submit(ask) {
             Ok(taken) => taken,
             Err(why) => return self.give_up(why, NOT_YET),
         };
--- a/crates/auburnrouter/src/direct/callers/room.rs
+++ b/crates/auburnrouter/src/direct/callers/room.rs
@@ -29,7 +29,7 @@
         // An operator's limit may be larger than any memory.
         let bytes = said.min(most).min(all.saturating_add(1));
         let room = Self {
-            held: Arc::clone(&shared.bodies),
+            held: Arc::clone(&shared.body_bytes),
             bytes,
         };
         let before = room.held.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -96,7 +96,7 @@
             store: direct.is_in_touch(now),
             store_calls: shared.store_calls(),
             upstream: upstream(&direct.upstream(now)),
-            connections: shared.count.get(),
+            connections: shared.connections.get(),
             requests: direct.count(),
             waiting: direct.waiting(),
             evacuated: direct.roster.evacuated().to_vec(),
--- a/crates/auburnrouter/src/direct/events.rs
+++ b/crates/auburnrouter/src/direct/events.rs
@@ -83,7 +83,7 @@
 
 fn write<T: Serialize>(shared: &Shared, event: &'static str, fields: T) {
     let second = shared.now().as_micros() / 1_000_000;
-    match shared.quota.take(event, second) {
+    match shared.log_quota.take(event, second) {
         None => {
             shared.metrics.left_out.inc();
             return;
@@ -175,7 +175,7 @@
         Err(_) => "unreadable",
         Ok(text) => match settings::direct::Settings::parse(&name, &text) {
             Err(_) => "faulty",
-            Ok(new) if new == shared.given => "same",
+            Ok(new) if new == shared.original_settings => "same",
             Ok(_) => "changed, in force at the next start",
         },
     };
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -84,7 +84,7 @@
         let due = async {
             smol::Timer::after(pace).await;
         };
-        future::or(shared.asked(), due).await;
+        future::or(shared.until_quota_wait(), due).await;
         let due = {
             let mut steering = lock(&shared.steering);
             let now = shared.now();
@@ -112,7 +112,9 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(beat)) => shared.note(|now, direct| direct.hear(now, (*beat).into())),
+            Ok(Message::Beat(beat)) => {
+                shared.update(|now, direct| direct.hear(now, (*beat).into()))
+            }
             Ok(Message::Report(report)) => {
                 let grant = {
                     let mut steering = lock(&shared.steering);
--- a/crates/auburnrouter/src/direct/member.rs
+++ b/crates/auburnrouter/src/direct/member.rs
@@ -90,7 +90,7 @@
     }
 
     async fn write(&self, lease: u64) -> Result<(), Error> {
-        let row = near::Row::from(self.shared.row());
+        let row = near::Row::from(self.shared.registration());
         let value = serde_json::to_vec(&row).unwrap_or_default();
         let key = format!("{PREFIX}{}", self.shared.settings.name);
         let put = self.shared.store.put(&key, &value, lease).await;
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -80,7 +80,7 @@
     async fn changes(self, _: context::Context, known: u64, wait_ms: u32) -> Changes {
         let shared = &self.0;
         let asked = shared.now();
-        let told = shared.told.listen();
+        let told = shared.updated.listen();
         if lock(&shared.replica).revision() <= known {
             let wait = Duration::from_millis(wait_ms.into()).min(WAIT_MOST);
             let over = async {
@@ -101,7 +101,7 @@
     if !update.whole || update.revision == 0 {
         return Changes::new(&update, contact).answered(stale, held);
     }
-    let mut packed = lock(&shared.packed.0);
+    let mut packed = lock(&shared.snapshot_cache.0);
     if let Some(old) = &*packed {
         let missed = replica.since(old.revision);
         if !missed.whole && missed.items.len() < REPACK {
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -136,17 +136,17 @@
 /// serve the host's requests, or of all. Those that aren't sure of keys only if
 /// no other is there: what needs no key is served by them.
 fn addresses(shared: &Shared, from: &Where) -> Vec<SocketAddr> {
-    let ready = shared.is_ready().then(|| shared.row());
+    let ready = shared.is_ready().then(|| shared.registration());
     let (mut rows, homes) = shared.read(|now, direct| {
         let serving = direct.serving(now).map(|(_, row)| row.clone());
         let rows: Vec<Row> = ready.into_iter().chain(serving).collect();
         let routes = direct.routes();
         (rows, routes.map_or_else(Vec::new, |r| r.homes(&from.host)))
     });
-    if rows.is_empty() && shared.takes_callers() {
+    if rows.is_empty() && shared.is_serving() {
         rows = shared.read(|now, direct| {
             let others = direct.others(now).map(|(_, row)| row.clone());
-            others.chain([shared.row()]).collect()
+            others.chain([shared.registration()]).collect()
         });
     }
     let of = |fit: &dyn Fn(&Row) -> bool| -> Vec<SocketAddr> {
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -169,7 +169,7 @@
     loop {
         let accepted = async { Some(socket.accept().await) };
         let closing = async {
-            shared.closed().await;
+            shared.until_closing().await;
             None
         };
         let (mut stream, addr) = match future::or(closing, accepted).await {
@@ -196,7 +196,7 @@
         let shared = Arc::clone(&shared);
         let serve = async move {
             let _entered = entered;
-            connection.serve(shared.closed()).await;
+            connection.serve(shared.until_closing()).await;
         };
         executor.spawn(serve).detach();
     }
@@ -221,11 +221,11 @@
 /// `start`.
 pub async fn drained(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
-    let count = &shared.count;
+    let count = &shared.connections;
     let mut quiet = start;
     while start.elapsed() < last(&shared.settings) {
         if start.elapsed() > grace.mul_f64(LINGER) {
-            shared.close();
+            shared.start_closing();
         }
         if count.get() > 0 || shared.phase() < Phase::Closing {
             quiet = Instant::now();
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -38,25 +38,25 @@
     /// The settings, with the addresses that are in fact listened on.
     pub(super) settings: Settings,
     /// The settings as they were read.
-    pub(super) given: Settings,
+    pub(super) original_settings: Settings,
     /// When it started, by the clock that goes on while the machine sleeps.
     start: Duration,
     pub(super) steering: Mutex<Steering>,
     /// What the store holds, for instances that don't read it.
     pub(super) replica: Mutex<Replica>,
     /// Told with each answer of the store or of who reads it.
-    pub(super) told: Event,
+    pub(super) updated: Event,
     /// Told when a request begins to wait for its team's quota.
-    pub(super) asking: Event,
+    pub(super) quota_wait: Event,
     /// Whether one has, since that was last looked at.
-    urgent: AtomicBool,
-    pub(super) packed: peer::Packed,
+    is_quota_urgent: AtomicBool,
+    pub(super) snapshot_cache: peer::Packed,
     /// Whether the store has taken this instance's row away.
-    pub(super) unlisted: AtomicBool,
+    pub(super) is_unlisted: AtomicBool,
     /// Told when something begins to wait.
-    pub(super) waiting: async_channel::Sender<()>,
+    pub(super) ticker: async_channel::Sender<()>,
     /// Connections to targets.
-    pub(super) targets: Arc<pool::Pool>,
+    pub(super) target_pool: Arc<pool::Pool>,
     pub(super) phase: Mutex<Phase>,
     /// Closed when the process begins to close connections.
     pub(super) closing: async_channel::Receiver<()>,
@@ -64,11 +64,11 @@
     /// The platform's store.
     pub(super) store: platform::store::Store,
     /// Callers' open connections.
-    pub(super) count: server::Count,
+    pub(super) connections: server::Count,
     pub(super) metrics: metrics::Metrics,
     /// Bytes of callers' bodies that are held.
-    pub(super) bodies: Arc<AtomicUsize>,
-    pub(super) quota: events::LogQuota,
+    pub(super) body_bytes: Arc<AtomicUsize>,
+    pub(super) log_quota: events::LogQuota,
 }
 
 /// Decisions and who waits for them.
@@ -92,8 +92,8 @@
 impl Shared {
     pub(super) fn new(
         settings: Settings,
-        given: Settings,
-        waiting: async_channel::Sender<()>,
+        original_settings: Settings,
+        ticker: async_channel::Sender<()>,
         traffic: &Executor,
         control: &Executor,
     ) -> Result<Self, Failure> {
@@ -118,23 +118,23 @@
                 waiters: Vec::new(),
             }),
             replica: Mutex::default(),
-            told: Event::new(),
-            asking: Event::new(),
-            urgent: AtomicBool::new(false),
-            packed: peer::Packed::default(),
-            unlisted: AtomicBool::new(false),
-            waiting,
-            targets: pool::Pool::new(Arc::clone(traffic), limits),
+            updated: Event::new(),
+            quota_wait: Event::new(),
+            is_quota_urgent: AtomicBool::new(false),
+            snapshot_cache: peer::Packed::default(),
+            is_unlisted: AtomicBool::new(false),
+            ticker,
+            target_pool: pool::Pool::new(Arc::clone(traffic), limits),
             phase: Mutex::new(Phase::Serving),
             closing,
             close,
             store: platform::store::Store::new(store, settings.store),
-            count: server::Count::new(server::most(&settings)),
+            connections: server::Count::new(server::most(&settings)),
             metrics: metrics::Metrics::new()?,
-            bodies: Arc::default(),
-            quota: events::LogQuota::default(),
+            body_bytes: Arc::default(),
+            log_quota: events::LogQuota::default(),
             settings,
-            given,
+            original_settings,
         })
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// Begins to close connections; nothing more is accepted.
-    pub(super) fn close(&self) {
+    pub(super) fn start_closing(&self) {
         *lock(&self.phase) = Phase::Closing;
         self.close.close();
     }
 
     /// Ends when the process begins to close connections.
-    pub(super) async fn closed(&self) {
+    pub(super) async fn until_closing(&self) {
         // Nothing is ever sent; an error says that it was closed.
         let _ = self.closing.recv().await;
     }
@@ -177,20 +177,20 @@
         let urgent = steering.direct.take_urgent();
         drop(steering);
         if urgent {
-            self.urgent.store(true, Ordering::Relaxed);
-            self.asking.notify(1);
+            self.is_quota_urgent.store(true, Ordering::Relaxed);
+            self.quota_wait.notify(1);
         }
         if waiting {
             // Full means that the ticker has been told already.
-            let _ = self.waiting.try_send(());
+            let _ = self.ticker.try_send(());
         }
         found
     }
 
     /// Tells the steering state something that settles no request.
-    pub(super) fn note(&self, note: impl FnOnce(Time, &mut Direct)) {
+    pub(super) fn update(&self, update: impl FnOnce(Time, &mut Direct)) {
         let mut steering = lock(&self.steering);
-        note(self.now(), &mut steering.direct);
+        update(self.now(), &mut steering.direct);
     }
 
     /// Calls made to the store.
@@ -199,27 +199,27 @@
     }
 
     /// Where this instance is reached.
-    pub(super) fn row(&self) -> Row {
+    pub(super) fn registration(&self) -> Row {
         row(&self.settings)
     }
 
     /// The store's word on this instance's own row.
-    pub(super) fn own_row(&self, listed: bool) {
-        self.unlisted.store(!listed, Ordering::Relaxed);
+    pub(super) fn set_listed(&self, listed: bool) {
+        self.is_unlisted.store(!listed, Ordering::Relaxed);
     }
 
     /// Ends when a request waits for its team's quota.
-    pub(super) async fn asked(&self) {
-        let asked = self.asking.listen();
-        if !self.urgent.swap(false, Ordering::Relaxed) {
+    pub(super) async fn until_quota_wait(&self) {
+        let asked = self.quota_wait.listen();
+        if !self.is_quota_urgent.swap(false, Ordering::Relaxed) {
             asked.await;
-            self.urgent.store(false, Ordering::Relaxed);
+            self.is_quota_urgent.store(false, Ordering::Relaxed);
         }
     }
 
     /// Whether the store has taken the row away since it was last asked.
     pub(super) fn take_unlisted(&self) -> bool {
-        self.unlisted.swap(false, Ordering::Relaxed)
+        self.is_unlisted.swap(false, Ordering::Relaxed)
     }
 
     /// Reads the steering state.
@@ -229,7 +229,7 @@
     }
 
     /// Takes a request in, registered for its orders before any is given.
-    pub(super) fn arrive(&self, ask: Ask) -> Result<(Ticket, async_channel::Receiver<Order>), Why> {
+    pub(super) fn submit(&self, ask: Ask) -> Result<(Ticket, async_channel::Receiver<Order>), Why> {
         let (order, orders) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
         let ticket = steering.direct.arrive(self.now(), ask)?;
@@ -241,7 +241,7 @@
     }
 
     /// A request is settled or its caller has left.
-    pub(super) fn forget(&self, ticket: Ticket) {
+    pub(super) fn release(&self, ticket: Ticket) {
         let mut steering = lock(&self.steering);
         if let Ok(at) = steering.waiters.binary_search_by_key(&ticket, |w| w.ticket) {
             steering.waiters.remove(at);
@@ -252,11 +252,11 @@
 
     /// Whether callers should come here.
     pub(super) fn is_ready(&self) -> bool {
-        self.takes_callers() && self.read(|now, d| d.is_sound(now))
+        self.is_serving() && self.read(|now, d| d.is_sound(now))
     }
 
     /// Whether callers that need no key can come here.
-    pub(super) fn takes_callers(&self) -> bool {
+    pub(super) fn is_serving(&self) -> bool {
         self.phase() == Phase::Serving
             && self.read(|_, d| d.routes().is_some() && !d.roster.all().is_empty())
     }
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -175,7 +175,8 @@
                     smol::Timer::after(pause).await;
                     return;
                 }
-                self.shared.note(|now, d| d.upstream_failed(now, &upstream));
+                self.shared
+                    .update(|now, d| d.upstream_failed(now, &upstream));
                 let first = self.shared.read(|now, d| d.is_reader(now));
                 smol::Timer::after(if first { PAUSE } else { PAUSE_OTHERS }).await;
             }
@@ -185,7 +186,8 @@
                     return;
                 }
                 events::upstream_failed(&self.shared, name);
-                self.shared.note(|now, d| d.upstream_failed(now, &upstream));
+                self.shared
+                    .update(|now, d| d.upstream_failed(now, &upstream));
                 smol::Timer::after(PAUSE_PEER).await;
             }
         }
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -39,7 +39,7 @@
     // Held until all is applied: what comes from elsewhere meanwhile is later.
     let mut replica = lock(&shared.replica);
     let changed = replica.take(update);
-    shared.note(|now, direct| direct.told(now, contact, revision));
+    shared.update(|now, direct| direct.told(now, contact, revision));
     let mut targets = Vec::new();
     for item in &changed {
         match (item.key.strip_prefix(entry::PREFIX), &item.value) {
@@ -49,10 +49,10 @@
     }
     put_targets(shared, &targets);
     if let Some(at) = confirmed {
-        shared.note(|_, direct| direct.confirm(at));
+        shared.update(|_, direct| direct.confirm(at));
     }
     drop(replica);
-    shared.told.notify(usize::MAX);
+    shared.updated.notify(usize::MAX);
 }
 
 fn apply(shared: &Shared, key: &str, value: Option<&[u8]>) {
@@ -85,7 +85,7 @@
             }
         }
         Err(error) => {
-            shared.note(|_, direct| direct.configuration_unread());
+            shared.update(|_, direct| direct.configuration_unread());
             events::refused(shared, document::KEY, &error.to_string());
         }
     }
@@ -140,9 +140,9 @@
         None => None,
     };
     if *name == *shared.settings.name {
-        shared.own_row(row.is_some());
+        shared.set_listed(row.is_some());
     }
     let listed = row.is_some();
-    shared.note(|now, direct| direct.member(now, name, row));
+    shared.update(|now, direct| direct.member(now, name, row));
     events::member(shared, name, listed);
 }
