--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -84,7 +84,7 @@
 
 impl State {
     /// The state now.
-    pub fn of(shared: &Shared) -> Self {
+    pub fn capture(shared: &Shared) -> Self {
         let ready = shared.is_ready();
         let leaving = shared.phase() > Phase::Serving;
         shared.read(|now, direct| Self {
--- a/crates/auburnrouter/src/direct/events.rs
+++ b/crates/auburnrouter/src/direct/events.rs
@@ -85,7 +85,7 @@
     let second = shared.now().as_micros() / 1_000_000;
     match shared.log_quota.take(event, second) {
         None => {
-            shared.metrics.left_out.inc();
+            shared.metrics.dropped_lines.inc();
             return;
         }
         Some(0) => {}
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -86,10 +86,10 @@
 pub fn attempt_ended(shared: &Shared, a: &Attempt<'_>) {
     let metrics = &shared.metrics;
     metrics.attempts.with_label_values(&[a.outcome]).inc();
-    metrics.held.observe(seconds(a.held_ms));
-    metrics.took.observe(seconds(a.took_ms));
+    metrics.hold_time.observe(seconds(a.held_ms));
+    metrics.attempt_time.observe(seconds(a.took_ms));
     if a.assignment.limit.is_some() {
-        metrics.limited.inc();
+        metrics.limited_attempts.inc();
     }
     let fields = AttemptFields {
         request: a.request,
@@ -166,7 +166,7 @@
         held_ms,
     } = *answer;
     let labels = [&*status.to_string(), reason];
-    shared.metrics.own.with_label_values(&labels).inc();
+    shared.metrics.own_answers.with_label_values(&labels).inc();
     let (waiting, config, store, stale) =
         shared.read(|now, d| (d.waiting(), d.version(), d.store_age(now), d.staleness(now)));
     let fields = OwnAnswerFields {
--- a/crates/auburnrouter/src/direct/metrics.rs
+++ b/crates/auburnrouter/src/direct/metrics.rs
@@ -27,17 +27,17 @@
     /// Attempts at targets by ending.
     pub attempts: IntCounterVec,
     /// Answers of this system's own by status and cause.
-    pub own: IntCounterVec,
+    pub own_answers: IntCounterVec,
     /// Time from a request's arrival to its being sent.
-    pub held: Histogram,
+    pub hold_time: Histogram,
     /// Time that attempts took.
-    pub took: Histogram,
+    pub attempt_time: Histogram,
     /// Attempts at targets that were known to name a limit.
-    pub limited: IntCounter,
+    pub limited_attempts: IntCounter,
     /// Log lines left out.
-    pub left_out: IntCounter,
+    pub dropped_lines: IntCounter,
     /// Connections that were turned away.
-    pub turned_away: IntCounter,
+    pub rejected_connections: IntCounter,
     requests: IntGauge,
     waiting: IntGauge,
     targets: IntGauge,
@@ -75,21 +75,21 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
-        let limited = IntCounter::new(
+        let limited_attempts = IntCounter::new(
             "auburnrouter_attempts_limited_total",
             "Attempts at targets that were known to name a limit",
         )?;
-        registry.register(Box::new(limited.clone()))?;
-        let left_out = IntCounter::new(
+        registry.register(Box::new(limited_attempts.clone()))?;
+        let dropped_lines = IntCounter::new(
             "auburnrouter_log_lines_left_out_total",
             "Log lines left out, by the bound a second or a slow reader",
         )?;
-        registry.register(Box::new(left_out.clone()))?;
-        let turned_away = IntCounter::new(
+        registry.register(Box::new(dropped_lines.clone()))?;
+        let rejected_connections = IntCounter::new(
             "auburnrouter_connections_turned_away_total",
             "Callers' connections beyond what the process's descriptors allow",
         )?;
-        registry.register(Box::new(turned_away.clone()))?;
+        registry.register(Box::new(rejected_connections.clone()))?;
         let store_calls = IntGaugeVec::new(
             Opts::new(
                 "auburnrouter_store_calls",
@@ -104,19 +104,19 @@
                 "Attempts at targets, by ending",
                 &["ending"],
             )?,
-            own: counters(
+            own_answers: counters(
                 "auburnrouter_own_answers_total",
                 "Answers that no target gave, by status and cause",
                 &["status", "cause"],
             )?,
-            held: histogram(
+            hold_time: histogram(
                 "auburnrouter_held_seconds",
                 "Time from a request's arrival to its being sent",
             )?,
-            took: histogram("auburnrouter_attempt_seconds", "Time that attempts took")?,
-            limited,
-            left_out,
-            turned_away,
+            attempt_time: histogram("auburnrouter_attempt_seconds", "Time that attempts took")?,
+            limited_attempts,
+            dropped_lines,
+            rejected_connections,
             requests: gauge("auburnrouter_requests", "Requests that are here")?,
             waiting: gauge("auburnrouter_waiting", "Requests that wait for a target")?,
             targets: gauge("auburnrouter_targets", "Targets listed")?,
@@ -143,8 +143,8 @@
     ///
     /// # Errors
     /// If they can't be printed.
-    pub fn print(&self, shared: &Shared) -> Result<Vec<u8>, Error> {
-        let state = super::dump::State::of(shared);
+    pub fn encode(&self, shared: &Shared) -> Result<Vec<u8>, Error> {
+        let state = super::dump::State::capture(shared);
         self.requests.set(int(state.requests));
         self.waiting.set(int(state.waiting));
         self.targets.set(int(state.targets.len()));
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -82,9 +82,9 @@
 /// What operators ask.
 fn operator(shared: &Shared, path: &str) -> Response {
     let printed = match path {
-        "/metrics" => shared.metrics.print(shared).ok(),
+        "/metrics" => shared.metrics.encode(shared).ok(),
         "/status" => serde_json::to_vec(&status(shared)).ok(),
-        "/dump" => serde_json::to_vec(&dump::State::of(shared)).ok(),
+        "/dump" => serde_json::to_vec(&dump::State::capture(shared)).ok(),
         _ => return server::empty(StatusCode::NOT_FOUND),
     };
     match printed {
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -181,7 +181,7 @@
             }
         };
         let Some(entered) = count.enter() else {
-            shared.metrics.turned_away.inc();
+            shared.metrics.rejected_connections.inc();
             // It may have left already; its request isn't read in any case.
             let _ = stream.write(TOO_MANY).await;
             continue;
