--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -50,7 +50,7 @@
     pub(super) quota_wait: Event,
     /// Whether one has, since that was last looked at.
     is_quota_urgent: AtomicBool,
-    pub(super) snapshot_cache: peer::Packed,
+    pub(super) snapshot_cache: peer::SnapshotCache,
     /// Whether the store has taken this instance's row away.
     pub(super) is_unlisted: AtomicBool,
     /// Told when something begins to wait.
@@ -64,7 +64,7 @@
     /// The platform's store.
     pub(super) store: platform::store::Store,
     /// Callers' open connections.
-    pub(super) connections: server::Count,
+    pub(super) connections: server::ConnectionCount,
     pub(super) metrics: metrics::Metrics,
     /// Bytes of callers' bodies that are held.
     pub(super) body_bytes: Arc<AtomicUsize>,
@@ -121,7 +121,7 @@
             updated: Event::new(),
             quota_wait: Event::new(),
             is_quota_urgent: AtomicBool::new(false),
-            snapshot_cache: peer::Packed::default(),
+            snapshot_cache: peer::SnapshotCache::default(),
             is_unlisted: AtomicBool::new(false),
             ticker,
             target_pool: pool::Pool::new(Arc::clone(traffic), limits),
@@ -129,7 +129,7 @@
             closing,
             close,
             store: platform::store::Store::new(store, settings.store),
-            connections: server::Count::new(server::most(&settings)),
+            connections: server::ConnectionCount::new(server::max_connections(&settings)),
             metrics: metrics::Metrics::new()?,
             body_bytes: Arc::default(),
             log_quota: events::LogQuota::default(),
