--- a/crates/emulator/src/brain.rs
+++ b/crates/emulator/src/brain.rs
@@ -7,14 +7,14 @@
 
 use std::str::FromStr;
 
-use steer::process::direct::levers::{Levers, Unknown};
+use steer::process::direct::mechanisms::{Mechanisms, Unknown};
 use thiserror::Error;
 
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Brain {
     /// The product, with some mechanisms.
-    Product(Levers),
+    Product(Mechanisms),
     /// Everything is known at once; `bound`: the share of a region's requests
     /// elsewhere changes no faster than the operator allows.
     Ceiling {
@@ -35,7 +35,7 @@
     Name(String),
     /// No such mechanism.
     #[error(transparent)]
-    Lever(#[from] Unknown),
+    Mechanism(#[from] Unknown),
 }
 
 impl FromStr for Brain {
@@ -54,10 +54,10 @@
         if words.next() != Some("product") {
             return Err(Error::Name(text.to_owned()));
         }
-        let mut levers = Levers::ALL;
+        let mut mechanisms = Mechanisms::ALL;
         for name in words {
-            levers = levers.without(name)?;
+            mechanisms = mechanisms.without(name)?;
         }
-        Ok(Self::Product(levers))
+        Ok(Self::Product(mechanisms))
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -13,7 +13,7 @@
 use emulator::plan::{Plan, Set};
 use emulator::trial::Trial;
 use lexopt::{Arg, ValueExt};
-use steer::process::direct::levers::Levers;
+use steer::process::direct::mechanisms::Mechanisms;
 use thiserror::Error;
 
 const HELP: &str = "\
@@ -111,7 +111,7 @@
     while let Some(arg) = args.next()? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => {
-                println!("{HELP}{}", Levers::NAMES.join(" "));
+                println!("{HELP}{}", Mechanisms::NAMES.join(" "));
                 return Ok(None);
             }
             Arg::Long("seeds") => {
@@ -161,13 +161,13 @@
 }
 
 fn product() -> (String, Brain) {
-    ("product".into(), Brain::Product(Levers::ALL))
+    ("product".into(), Brain::Product(Mechanisms::ALL))
 }
 
 fn ablated() -> Vec<(String, Brain)> {
-    let out = Levers::NAMES.iter().filter_map(|name| {
-        let levers = Levers::ALL.without(name).ok()?;
-        Some((format!("product-{name}"), Brain::Product(levers)))
+    let out = Mechanisms::NAMES.iter().filter_map(|name| {
+        let mechanisms = Mechanisms::ALL.without(name).ok()?;
+        Some((format!("product-{name}"), Brain::Product(mechanisms)))
     });
     core::iter::once(product()).chain(out).collect()
 }
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -120,7 +120,7 @@
     /// A process starts.
     pub(super) fn restart(&mut self, number: usize) {
         self.instances[number].up = true;
-        let Brain::Product(levers) = self.brain else {
+        let Brain::Product(mechanisms) = self.brain else {
             return;
         };
         let row = self.row(number);
@@ -135,7 +135,7 @@
         };
         let domains = self.plan.domains.iter();
         let domains = domains.map(|d| (Arc::clone(&d.name), Arc::clone(&d.region)));
-        let direct = Direct::with(home, self.plan.bounds, domains.collect(), levers);
+        let direct = Direct::with(home, self.plan.bounds, domains.collect(), mechanisms);
         instance.direct = Some(direct);
         instance.asks.clear();
         instance.ticking = false;
--- a/crates/emulator/tests/emulate.rs
+++ b/crates/emulator/tests/emulate.rs
@@ -8,9 +8,9 @@
 use emulator::trial::{Mean, Trial};
 use emulator::world::{End, World};
 use rstest::rstest;
-use steer::process::direct::levers::Levers;
+use steer::process::direct::mechanisms::Mechanisms;
 
-const PRODUCT: Brain = Brain::Product(Levers::ALL);
+const PRODUCT: Brain = Brain::Product(Mechanisms::ALL);
 
 const SMALL: &str = r#"{
   // Two regions of one domain each.
--- a/crates/emulator/tests/patterns.rs
+++ b/crates/emulator/tests/patterns.rs
@@ -12,7 +12,7 @@
 use emulator::plan::Plan;
 use emulator::trial::Trial;
 use rstest::rstest;
-use steer::process::direct::levers::Levers;
+use steer::process::direct::mechanisms::Mechanisms;
 
 /// Part of the ceiling's worth that is aimed at.
 const AIM: f64 = 0.9;
@@ -31,7 +31,7 @@
     let product = Trial::play(
         "product",
         &plan,
-        Brain::Product(Levers::ALL),
+        Brain::Product(Mechanisms::ALL),
         1,
         SEEDS,
         |_| (),
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -17,9 +17,9 @@
 pub mod health;
 mod job;
 pub mod learn;
-pub mod levers;
 pub mod limit;
 mod line;
+pub mod mechanisms;
 pub mod members;
 mod message;
 pub mod parts;
@@ -49,7 +49,7 @@
 use health::Trouble;
 use job::{Job, State};
 use learn::Learnt;
-use levers::{Lever, Levers};
+use mechanisms::{Mechanism, Mechanisms};
 use members::Members;
 use parts::Sharer;
 use roster::Roster;
@@ -62,7 +62,7 @@
 pub struct Direct {
     home: Home,
     bounds: Bounds,
-    levers: Levers,
+    mechanisms: Mechanisms,
     routes: Option<Arc<Routes>>,
     /// Targets.
     pub roster: Roster,
@@ -102,7 +102,7 @@
     /// Nothing known yet.
     #[must_use]
     pub fn new(home: Home, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
-        Self::with(home, bounds, domains, Levers::ALL)
+        Self::with(home, bounds, domains, Mechanisms::ALL)
     }
 
     /// The same with only some mechanisms, to measure the others.
@@ -111,12 +111,12 @@
         home: Home,
         bounds: Bounds,
         domains: Vec<(Arc<str>, Arc<str>)>,
-        levers: Levers,
+        mechanisms: Mechanisms,
     ) -> Self {
         Self {
             home,
             bounds,
-            levers,
+            mechanisms,
             routes: None,
             roster: Roster::new(domains),
             learnt: Learnt::default(),
@@ -248,7 +248,7 @@
     fn work(&self, job: &Job) -> learn::Work {
         let route = &job.ask.route;
         let goal = route.goal.as_secs_f64();
-        if self.levers.has(Lever::Learning) {
+        if self.mechanisms.has(Mechanism::Learning) {
             self.learnt.work(&job.service, &route.name, goal)
         } else {
             Learnt::default().work(&job.service, &route.name, goal)
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -13,7 +13,7 @@
 
 use super::Direct;
 use super::job::State;
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::members::mark;
 use crate::clock::Time;
 
@@ -296,7 +296,7 @@
 
     /// Takes what another instance saw.
     pub(super) fn hear_troubles(&mut self, now: Time, told: &[Trouble]) {
-        if told.is_empty() || !self.levers.has(Lever::Health) {
+        if told.is_empty() || !self.mechanisms.has(Mechanism::Health) {
             return;
         }
         for target in self.roster.all_mut() {
--- a/crates/steer/src/process/direct/line.rs
+++ b/crates/steer/src/process/direct/line.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use super::job::{Job, State};
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::message::{Go, Order, Ticket, Why};
 use super::spillover::Spillover;
 use super::{Direct, SPARE, place, unit};
@@ -43,7 +43,7 @@
         for job in &self.jobs {
             if matches!(job.state, State::Waiting) {
                 let late = now > job.objective();
-                let priority = if self.levers.has(Lever::Priority) {
+                let priority = if self.mechanisms.has(Mechanism::Priority) {
                     job.ask.priority()
                 } else {
                     (0, 0)
@@ -95,7 +95,7 @@
         let finish = now + Duration::from_secs_f64(best.cost);
         let hopeless = finish + SPARE > job.limit || self.outlasts(now, &best);
         let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.limit;
-        let reject = self.levers.has(Lever::Reject);
+        let reject = self.mechanisms.has(Mechanism::Reject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
             let after = Self::after(&self.jobs[at], best.wait);
             return Some(self.reject(now, at, Why::Overload, Some(after)));
@@ -191,9 +191,9 @@
     fn choose_side(&mut self, now: Time, at: usize) {
         let (pressure, position) = self.pressure(now, &self.jobs[at]);
         let service = Arc::clone(&self.jobs[at].service);
-        let has = |lever| self.levers.has(lever);
-        let pressure = pressure.filter(|_| has(Lever::Elsewhere));
-        let start = has(Lever::Start);
+        let has = |mechanism| self.mechanisms.has(mechanism);
+        let pressure = pressure.filter(|_| has(Mechanism::Elsewhere));
+        let start = has(Mechanism::Start);
         let used = self.used(now, &service);
         let side = pressure.is_some_and(|pressure| {
             let share = if start { self.lacking(&service) } else { 0.0 };
--- a/crates/steer/src/process/direct/levers.rs
+++ b/crates/steer/src/process/direct/mechanisms.rs
@@ -6,16 +6,16 @@
 
 /// Which mechanisms are in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Levers(u32);
+pub struct Mechanisms(u32);
 
 /// There is no such mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("no mechanism is called \"{0}\"; known are {names}", names = Levers::NAMES.join(", "))]
+#[error("no mechanism is called \"{0}\"; known are {names}", names = Mechanisms::NAMES.join(", "))]
 pub struct Unknown(pub String);
 
 /// One mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lever {
+pub enum Mechanism {
     /// Objects are sent where they were handled lately.
     Affinity,
     /// An object belongs to one target of a region first, by hash.
@@ -47,8 +47,8 @@
     Priority,
 }
 
-impl Levers {
-    /// Names of all, in the order of [`Lever`].
+impl Mechanisms {
+    /// Names of all, in the order of [`Mechanism`].
     pub const NAMES: [&'static str; 14] = [
         "affinity",
         "first",
@@ -81,7 +81,7 @@
 
     /// Whether one is in.
     #[must_use]
-    pub const fn has(self, lever: Lever) -> bool {
-        self.0 & (1 << lever as u32) != 0
+    pub const fn has(self, mechanism: Mechanism) -> bool {
+        self.0 & (1 << mechanism as u32) != 0
     }
 }
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -11,7 +11,7 @@
 
 use super::health::Usual;
 use super::job::Job;
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::target::{COLD_SPAN, Target};
 use super::{Direct, FADE, hash, mark_of, unit};
 use crate::clock::Time;
@@ -194,11 +194,15 @@
         let route = &job.ask.route;
         let goal = route.goal.as_secs_f64();
         let work = self.work(job);
-        let levers = self.levers;
-        let object = job.ask.object.filter(|_| levers.has(Lever::First));
+        let mechanisms = self.mechanisms;
+        let object = job.ask.object.filter(|_| mechanisms.has(Mechanism::First));
         let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
-        let vain = if levers.has(Lever::Vain) { SOCIAL } else { 0.0 };
-        let extra = if levers.has(Lever::Hold) {
+        let vain = if mechanisms.has(Mechanism::Vain) {
+            SOCIAL
+        } else {
+            0.0
+        };
+        let extra = if mechanisms.has(Mechanism::Hold) {
             EXTRA
         } else {
             f64::INFINITY
@@ -209,7 +213,10 @@
             if !self.is_usable(now, job, target, near) {
                 continue;
             }
-            let object = job.ask.object.filter(|_| levers.has(Lever::Affinity));
+            let object = job
+                .ask
+                .object
+                .filter(|_| mechanisms.has(Mechanism::Affinity));
             let warm = object.is_some_and(|o| target.holds(now, mark_of(o)));
             let place = preferred.iter().position(|p| *p == Some(index));
             let base = match (warm, place) {
@@ -219,7 +226,7 @@
                 (false, None) => work.other,
             };
             let cold = if target.is_cold(now) { COLD } else { 1.0 };
-            let slowness = if levers.has(Lever::Slowness) {
+            let slowness = if mechanisms.has(Mechanism::Slowness) {
                 target.health.slowness(now).max(SLOW_LEAST)
             } else {
                 1.0
@@ -237,7 +244,7 @@
             let far = if near { 0.0 } else { FAR };
             // An ill target fails that share of its requests, each of which
             // has to begin anew elsewhere. Load breaks ties.
-            let illness = if levers.has(Lever::Illness) {
+            let illness = if mechanisms.has(Mechanism::Illness) {
                 (target.health.refusal(now) + target.health.illness(now) * lost) * goal
             } else {
                 0.0
@@ -266,7 +273,7 @@
 
     /// Requests believed to be at a target.
     pub(super) fn load(&self, now: Time, target: &Target) -> f64 {
-        if self.levers.has(Lever::Counts) {
+        if self.mechanisms.has(Mechanism::Counts) {
             target.load(now, FADE)
         } else {
             f64::from(target.flying + target.reserved)
@@ -335,7 +342,7 @@
                 && job.ask.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
-        let shared = self.levers.has(Lever::Health);
+        let shared = self.mechanisms.has(Mechanism::Health);
         let fit = self.roster.of(&job.service).filter(|(_, t)| fits(t));
         let fit: Vec<(usize, &Target)> = fit.collect();
         let usual = Usual::of(now, fit.iter().map(|(_, t)| &t.health));
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/settle.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use super::job::{Job, State};
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::message::{Ending, Go, Next, Ticket};
 use super::target::Word;
 use super::{Direct, SPARE, mark_of, members};
@@ -138,7 +138,7 @@
         );
         let job = &mut self.jobs[at];
         job.may_have_run |= !not_run;
-        let allowed = self.levers.has(Lever::Again);
+        let allowed = self.mechanisms.has(Mechanism::Again);
         let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
         let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
         let left = job.tried.len() < job.ask.route.attempts.max(1);
