--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -58,7 +58,7 @@
     let far = members::Beat {
         flying: Vec::new(),
         held: Vec::new(),
-        troubles: Vec::new(),
+        observations: Vec::new(),
         ..beat.clone()
     };
     let near = Message::Beat(Box::new(Beat::from(beat))).encode();
--- a/crates/emulator/src/world/instance/knowledge.rs
+++ b/crates/emulator/src/world/instance/knowledge.rs
@@ -191,7 +191,7 @@
         let far = Beat {
             flying: Vec::new(),
             held: Vec::new(),
-            troubles: Vec::new(),
+            observations: Vec::new(),
             ..beat.clone()
         };
         let to = direct.audience(now);
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -46,7 +46,7 @@
 use budget::Budget;
 pub use contact::Contact;
 use contact::Touch;
-use health::Trouble;
+use health::Observation;
 use job::{Job, State};
 use learn::Learnt;
 use mechanisms::{Mechanism, Mechanisms};
@@ -83,7 +83,7 @@
     /// Objects that targets have come to hold since the last heartbeat.
     news: Vec<(u32, u32)>,
     /// What was seen of slow and failing targets since then.
-    troubles: Vec<Trouble>,
+    observations: Vec<Observation>,
     /// How far heartbeats have told all that targets hold.
     told: usize,
     /// The same of the limits that targets name.
@@ -131,7 +131,7 @@
             end: None,
             suspects: Suspects::default(),
             news: Vec::new(),
-            troubles: Vec::new(),
+            observations: Vec::new(),
             told: 0,
             named: 0,
             beats: 0,
--- a/crates/steer/src/process/direct/contact.rs
+++ b/crates/steer/src/process/direct/contact.rs
@@ -184,7 +184,7 @@
         for (mark, object) in &beat.held {
             self.roster.told_held(now, *mark, *object);
         }
-        self.hear_troubles(now, &beat.troubles);
+        self.receive_observations(now, &beat.observations);
         self.hear_limits(now, &beat.limits);
         let changed = self.members.hear(now, beat);
         self.roster.hear(now, &self.members);
@@ -203,7 +203,7 @@
     pub fn beat(&mut self, now: Time, row: bool) -> Beat {
         self.beats += 1;
         let held = self.held(now);
-        let troubles = self.take_troubles(now);
+        let observations = self.take_observations(now);
         let limits = self.named_limits(now);
         let struck = self.suspects.lately(now, TOLD);
         Beat {
@@ -218,7 +218,7 @@
             held,
             struck: struck.map(|c| (c.print.0, c.strikes)).collect(),
             flying: self.roster.flying(),
-            troubles,
+            observations,
             limits,
         }
     }
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -190,7 +190,7 @@
 
 /// What an instance saw of a target since its last heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Trouble {
+pub struct Observation {
     /// The target's mark.
     pub mark: u32,
     /// Requests that it failed.
@@ -203,7 +203,7 @@
 /// Eighths in one.
 const EIGHTHS: f64 = 8.0;
 
-impl Trouble {
+impl Observation {
     /// A failed request.
     #[must_use]
     pub const fn failed(mark: u32) -> Self {
@@ -236,9 +236,9 @@
 }
 
 /// Puts what was seen of each target together, sorted by mark.
-pub(super) fn gather(mut seen: Vec<Trouble>) -> Vec<Trouble> {
+pub(super) fn gather(mut seen: Vec<Observation>) -> Vec<Observation> {
     seen.sort_unstable();
-    let mut all: Vec<Trouble> = Vec::new();
+    let mut all: Vec<Observation> = Vec::new();
     for next in seen {
         match all.last_mut() {
             Some(last) if last.mark == next.mark => {
@@ -255,20 +255,20 @@
     /// Notes a slow answer for the next heartbeat.
     pub(super) fn note_slow(&mut self, id: &str, ratio: Option<f64>) {
         if let Some(ratio) = ratio.filter(|r| *r >= TOLD_RATIO) {
-            self.troubles.push(Trouble::slow(mark(id), ratio));
+            self.observations.push(Observation::slow(mark(id), ratio));
         }
     }
 
     /// Notes a failed request for the next heartbeat.
     pub(super) fn note_failed(&mut self, id: &str) {
-        self.troubles.push(Trouble::failed(mark(id)));
+        self.observations.push(Observation::failed(mark(id)));
     }
 
     /// What the next heartbeat tells: what was noted, and requests that are at
     /// targets for far longer than they should be. Their answers come too late
     /// to keep others from the same target.
-    pub(super) fn take_troubles(&mut self, now: Time) -> Vec<Trouble> {
-        let mut seen = core::mem::take(&mut self.troubles);
+    pub(super) fn take_observations(&mut self, now: Time) -> Vec<Observation> {
+        let mut seen = core::mem::take(&mut self.observations);
         let mut overdue = Vec::new();
         for job in &self.jobs {
             if let State::At {
@@ -286,7 +286,7 @@
             }
         }
         for (id, ratio) in overdue {
-            seen.push(Trouble::slow(mark(&id), ratio));
+            seen.push(Observation::slow(mark(&id), ratio));
             if let Some(target) = self.roster.get_mut(&id) {
                 target.health.slow(now, ratio);
             }
@@ -295,7 +295,7 @@
     }
 
     /// Takes what another instance saw.
-    pub(super) fn hear_troubles(&mut self, now: Time, told: &[Trouble]) {
+    pub(super) fn receive_observations(&mut self, now: Time, told: &[Observation]) {
         if told.is_empty() || !self.mechanisms.has(Mechanism::Health) {
             return;
         }
--- a/crates/steer/src/process/direct/members.rs
+++ b/crates/steer/src/process/direct/members.rs
@@ -17,7 +17,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::health::Trouble;
+use super::health::Observation;
 use super::limit::Named;
 use crate::clock::Time;
 
@@ -82,7 +82,7 @@
     /// Requests under which targets broke lately: fingerprint, and strikes.
     pub struck: Vec<(u128, u8)>,
     /// What it saw of slow and failing targets, sorted by mark.
-    pub troubles: Vec<Trouble>,
+    pub observations: Vec<Observation>,
     /// Limits that targets have named to it, or no longer name.
     pub limits: Vec<Named>,
 }
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -43,7 +43,7 @@
         flying: Vec::new(),
         held: Vec::new(),
         struck: Vec::new(),
-        troubles: Vec::new(),
+        observations: Vec::new(),
         limits: Vec::new(),
     }
 }
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 
 use rstest::rstest;
-use steer::process::direct::health::Trouble;
+use steer::process::direct::health::Observation;
 use steer::process::direct::members::{Beat, mark};
 use steer::process::direct::{Ending, Order};
 use steer::version::routes::Route;
@@ -23,9 +23,9 @@
     (bench, first)
 }
 
-fn tell(bench: &mut Bench, millis: u64, seq: u64, troubles: &[Trouble]) {
+fn tell(bench: &mut Bench, millis: u64, seq: u64, observations: &[Observation]) {
     let told = Beat {
-        troubles: troubles.to_vec(),
+        observations: observations.to_vec(),
         ..beat("near-2", seq)
     };
     bench.direct.hear(at(millis), told);
@@ -45,7 +45,7 @@
 fn avoid_target_that_fails_others() {
     let (mut bench, first) = served(unsafe_route());
     for seq in 1..=4 {
-        let seen = [Trouble::failed(mark(&first))];
+        let seen = [Observation::failed(mark(&first))];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(24_200), Some(OBJECT));
@@ -60,7 +60,7 @@
 fn avoid_target_slow_to_others(#[case] ratio: f64) {
     let (mut bench, first) = served(route());
     for seq in 1..=12 {
-        let seen = [Trouble::slow(mark(&first), ratio)];
+        let seen = [Observation::slow(mark(&first), ratio)];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(24_200), Some(OBJECT));
@@ -72,7 +72,7 @@
 #[test]
 fn stay_after_single_failure() {
     let (mut bench, first) = served(route());
-    tell(&mut bench, 21_000, 1, &[Trouble::failed(mark(&first))]);
+    tell(&mut bench, 21_000, 1, &[Observation::failed(mark(&first))]);
     let go = bench.send(at(21_100), Some(OBJECT));
     assert_eq!(*go.target, *first);
 }
@@ -83,7 +83,7 @@
 fn come_back_when_told_no_more() {
     let (mut bench, first) = served(route());
     for seq in 1..=12 {
-        let seen = [Trouble::slow(mark(&first), 12.0)];
+        let seen = [Observation::slow(mark(&first), 12.0)];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(45_000), Some(OBJECT));
@@ -97,12 +97,12 @@
     let (mut bench, first) = served(route());
     let now = at(SELDOM + 2_000);
     bench.send(now, Some(OBJECT));
-    let seen = bench.direct.beat(now + 500 * MS, false).troubles;
+    let seen = bench.direct.beat(now + 500 * MS, false).observations;
     assert_eq!(seen, [], "it may only be cold there");
     let seen = bench
         .direct
         .beat(now + Duration::from_secs(3), false)
-        .troubles;
+        .observations;
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].mark, mark(&first));
     assert!(seen[0].eighths > 16, "{seen:?}");
@@ -118,9 +118,9 @@
     let now = at(SELDOM + 2_000);
     let go = bench.send(now, Some(OBJECT));
     bench.direct.ended(now + 100 * MS, go.ticket, ending);
-    let seen = bench.direct.beat(now + 200 * MS, false).troubles;
-    assert_eq!(seen, [Trouble::failed(mark(&first))]);
-    assert_eq!(bench.direct.beat(now + 450 * MS, false).troubles, []);
+    let seen = bench.direct.beat(now + 200 * MS, false).observations;
+    assert_eq!(seen, [Observation::failed(mark(&first))]);
+    assert_eq!(bench.direct.beat(now + 450 * MS, false).observations, []);
 }
 
 /// A target turns requests away, being full or for another reason. It still
@@ -133,7 +133,7 @@
     bench
         .direct
         .ended(now + 100 * MS, go.ticket, Ending::NotRun);
-    assert_eq!(bench.direct.beat(now + 200 * MS, false).troubles, []);
+    assert_eq!(bench.direct.beat(now + 200 * MS, false).observations, []);
     let Some(Order::Go(_)) = bench.order(now + 200 * MS) else {
         panic!("what wasn't run is sent again");
     };
@@ -148,7 +148,7 @@
     let (mut bench, first) = served(route());
     let ids = ["t1", "t2", "t3", "t4", "t5", "t6"];
     for seq in 1..=4 {
-        let mut seen = ids.map(|id| Trouble::failed(mark(id)));
+        let mut seen = ids.map(|id| Observation::failed(mark(id)));
         seen.sort_unstable();
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
--- a/crates/wire/src/near.rs
+++ b/crates/wire/src/near.rs
@@ -390,9 +390,9 @@
         flying.truncate(FLYING_MOST);
         let mut struck = beat.struck;
         struck.truncate(STRUCK_MOST);
-        let mut troubles = beat.troubles;
+        let mut troubles = beat.observations;
         troubles.truncate(TROUBLES_MOST);
-        let trouble = |t: health::Trouble| (t.mark.to_le_bytes(), t.failed, t.eighths);
+        let trouble = |t: health::Observation| (t.mark.to_le_bytes(), t.failed, t.eighths);
         Self {
             name: beat.name.as_ref().to_owned(),
             life: beat.life,
@@ -427,7 +427,7 @@
         let mut flying: Vec<(u32, u8)> = beat.flying.into_iter().map(count).collect();
         flying.sort_unstable();
         let held = |(target, object)| (u32::from_le_bytes(target), u32::from_le_bytes(object));
-        let trouble = |(target, failed, eighths)| health::Trouble {
+        let trouble = |(target, failed, eighths)| health::Observation {
             mark: u32::from_le_bytes(target),
             failed,
             eighths,
@@ -452,7 +452,7 @@
             flying,
             held: beat.held.into_iter().map(held).collect(),
             struck: beat.struck.into_iter().map(strikes).collect(),
-            troubles,
+            observations: troubles,
             limits: beat.limits.into_iter().map(named).collect(),
         }
     }
--- a/crates/wire/tests/near.rs
+++ b/crates/wire/tests/near.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 
 use rstest::rstest;
-use steer::process::direct::health::Trouble;
+use steer::process::direct::health::Observation;
 use steer::process::direct::limit::Named;
 use steer::process::direct::members::{Beat, Row};
 use wire::near::Message;
@@ -32,9 +32,9 @@
         flying: vec![(0xFFFF_0001, 3), (0xFFFF_0002, 1)],
         held: vec![(0xFFFF_0001, 0xABCD_1234); 12],
         struck: vec![(u128::MAX - 1, 2)],
-        troubles: vec![
-            Trouble::failed(0xFFFF_0001),
-            Trouble::slow(0xFFFF_0002, 3.5),
+        observations: vec![
+            Observation::failed(0xFFFF_0001),
+            Observation::slow(0xFFFF_0002, 3.5),
         ],
         limits: vec![
             Named {
@@ -78,7 +78,7 @@
         flying: Vec::new(),
         held: Vec::new(),
         struck: Vec::new(),
-        troubles: Vec::new(),
+        observations: Vec::new(),
         limits: Vec::new(),
         ..beat()
     };
