--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -120,7 +120,7 @@
                     service: Arc::clone(&t.entry.service),
                     domain: Arc::clone(&t.entry.domain),
                     marks: marks(t, now),
-                    flying: t.flying,
+                    flying: t.in_flight,
                     limit: t.limit(),
                     slowness: t.health.slowness(now),
                     illness: t.health.illness(now).max(t.health.refusal(now)),
@@ -146,7 +146,7 @@
         ("leaving", target.entry.draining),
         ("gone", target.gone),
         ("cold", target.is_cold(now)),
-        ("aside", target.is_aside(now)),
+        ("aside", target.is_ejected(now)),
     ];
     all.iter().filter(|m| m.1).map(|m| m.0).collect()
 }
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -36,7 +36,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-pub use hash::{hash, mark_of, unit};
+pub use hash::{hash, short_hash, unit};
 pub use message::{Admission, Ask, Bounds, Ending, Go, Home, Next, Order, Ticket, Why};
 
 use crate::clock::Time;
--- a/crates/steer/src/process/direct/hash.rs
+++ b/crates/steer/src/process/direct/hash.rs
@@ -16,7 +16,7 @@
     clippy::cast_possible_truncation,
     reason = "a mark is a part of the hash"
 )]
-pub const fn mark_of(object: u64) -> u32 {
+pub const fn short_hash(object: u64) -> u32 {
     (object >> 32) as u32
 }
 
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -300,7 +300,7 @@
             return;
         }
         for target in self.roster.all_mut() {
-            let Ok(at) = told.binary_search_by_key(&target.mark(), |t| t.mark) else {
+            let Ok(at) = told.binary_search_by_key(&target.short_hash(), |t| t.mark) else {
                 continue;
             };
             for _ in 0..told[at].failed {
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -168,7 +168,7 @@
     /// more instances, the wider they are spread.
     fn patience(&self, target: &Target) -> Duration {
         let count = u32::try_from(self.sharers.len() + 1).unwrap_or(u32::MAX);
-        let own = members::mark(&self.home.name) ^ target.mark();
+        let own = members::mark(&self.home.name) ^ target.short_hash();
         let own = u64::from(own).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let window = self.bounds.limit.window;
         QUIET + window.saturating_mul(count).mul_f64(unit(own))
@@ -185,7 +185,7 @@
     pub(super) fn named_limits(&mut self, now: Time) -> Vec<Named> {
         let targets = self.roster.all().iter();
         let all: Vec<Named> = targets
-            .filter_map(|t| t.named().told(now, t.mark()))
+            .filter_map(|t| t.named().told(now, t.short_hash()))
             .collect();
         let room = TOLD_MOST.min(all.len());
         let from = self.named % all.len().max(1);
@@ -213,6 +213,6 @@
             mark: members::mark(&self.home.name),
         };
         let region = &target.region;
-        parts::part(total, &own, &self.sharers, region, target.mark())
+        parts::part(total, &own, &self.sharers, region, target.short_hash())
     }
 }
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -13,7 +13,7 @@
 use super::job::Job;
 use super::mechanisms::Mechanism;
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, FADE, hash, mark_of, unit};
+use super::{Direct, FADE, hash, short_hash, unit};
 use crate::clock::Time;
 
 /// A target for a request.
@@ -217,7 +217,7 @@
                 .ask
                 .object
                 .filter(|_| mechanisms.has(Mechanism::Affinity));
-            let warm = object.is_some_and(|o| target.holds(now, mark_of(o)));
+            let warm = object.is_some_and(|o| target.holds(now, short_hash(o)));
             let place = preferred.iter().position(|p| *p == Some(index));
             let base = match (warm, place) {
                 (true, _) => work.warm,
@@ -276,7 +276,7 @@
         if self.mechanisms.has(Mechanism::Counts) {
             target.load(now, FADE)
         } else {
-            f64::from(target.flying + target.reserved)
+            f64::from(target.in_flight + target.reserved)
         }
     }
 
@@ -288,7 +288,7 @@
     fn is_fit(&self, now: Time, job: &Job, target: &Target, near: bool) -> bool {
         (target.region == self.home.region) == near
             && target.is_open()
-            && !target.is_aside(now)
+            && !target.is_ejected(now)
             && job.ask.allows(&target.region)
             && !self.roster.is_evacuated(&target.entry.domain)
             && !job.tried.contains(&target.entry.id)
--- a/crates/steer/src/process/direct/roster.rs
+++ b/crates/steer/src/process/direct/roster.rs
@@ -81,9 +81,9 @@
                     || entry.addr != known.addr
                     || entry.service != known.service;
                 if restarted {
-                    let flying = target.flying;
+                    let flying = target.in_flight;
                     *target = Target::new(now, entry, region);
-                    target.flying = flying;
+                    target.in_flight = flying;
                     *moved = true;
                     return true;
                 }
@@ -107,7 +107,7 @@
         };
         let changed = !self.targets[at].gone;
         self.targets[at].gone = true;
-        if self.targets[at].flying == 0 {
+        if self.targets[at].in_flight == 0 {
             self.targets.remove(at);
             self.reindex();
         }
@@ -143,9 +143,9 @@
     /// What this instance has at targets, by mark, sorted.
     #[must_use]
     pub fn flying(&self) -> Vec<(u32, u8)> {
-        let busy = self.targets.iter().filter(|t| t.flying > 0);
-        let count = |t: &Target| u8::try_from(t.flying).unwrap_or(u8::MAX);
-        let mut flying: Vec<(u32, u8)> = busy.map(|t| (t.mark(), count(t))).collect();
+        let busy = self.targets.iter().filter(|t| t.in_flight > 0);
+        let count = |t: &Target| u8::try_from(t.in_flight).unwrap_or(u8::MAX);
+        let mut flying: Vec<(u32, u8)> = busy.map(|t| (t.short_hash(), count(t))).collect();
         flying.sort_unstable();
         flying
     }
@@ -156,7 +156,7 @@
     pub fn held(&self, now: Time, region: &str) -> Vec<(u32, u32)> {
         let near = self.targets.iter().filter(|t| *t.region == *region);
         let open = near.filter(|t| t.is_open());
-        open.flat_map(|t| t.own_held(now).map(|object| (t.mark(), object)))
+        open.flat_map(|t| t.own_held(now).map(|object| (t.short_hash(), object)))
             .collect()
     }
 
@@ -216,7 +216,7 @@
             .collect();
         for target in &mut self.targets {
             if back.contains(&target.entry.domain) {
-                target.chill(now + warmup);
+                target.mark_cold(now + warmup);
                 target.forget();
             }
         }
@@ -255,7 +255,7 @@
 
     fn drop_gone(&mut self) {
         let before = self.targets.len();
-        self.targets.retain(|t| !t.gone || t.flying > 0);
+        self.targets.retain(|t| !t.gone || t.in_flight > 0);
         if self.targets.len() != before {
             self.reindex();
         }
@@ -276,7 +276,7 @@
             .targets
             .iter()
             .enumerate()
-            .map(|(at, t)| (t.mark(), at));
+            .map(|(at, t)| (t.short_hash(), at));
         self.marks = marks.collect();
         self.marks.sort_unstable();
     }
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/settle.rs
@@ -10,7 +10,7 @@
 use super::mechanisms::Mechanism;
 use super::message::{Ending, Go, Next, Ticket};
 use super::target::Word;
-use super::{Direct, SPARE, mark_of, members};
+use super::{Direct, SPARE, members, short_hash};
 use crate::clock::Time;
 use crate::request::poison::STRIKES;
 
@@ -74,10 +74,10 @@
                 Ending::Answered => {
                     target.answered(now, ratio);
                     if let Some(object) = object
-                        && target.handled(now, mark_of(object), true)
+                        && target.handled(now, short_hash(object), true)
                     {
                         let mark = members::mark(&target.entry.id);
-                        self.news.push((mark, mark_of(object)));
+                        self.news.push((mark, short_hash(object)));
                     }
                 }
                 Ending::NotRun => target.health.refused(now),
@@ -183,7 +183,7 @@
 
     fn landed(&mut self, target: &str) {
         if let Some(target) = self.roster.get_mut(target) {
-            target.flying = target.flying.saturating_sub(1);
+            target.in_flight = target.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -83,7 +83,7 @@
     /// Whether discovery has dropped it.
     pub gone: bool,
     /// Requests of this instance that are at it now.
-    pub flying: u32,
+    pub in_flight: u32,
     /// Requests planned for it in the current step.
     pub reserved: u32,
     /// Requests of others that were there at the last report.
@@ -92,7 +92,7 @@
     limit: Limit,
     /// Requests that other instances say they have there.
     pub(super) near: u32,
-    mark: u32,
+    short_hash: u32,
     /// Hash of its name.
     hash: u64,
     /// When it is dropped unless it is listed again.
@@ -111,12 +111,12 @@
     pub(super) fn new(now: Time, entry: Entry, region: Arc<str>) -> Self {
         let cold_until = now + entry.cold;
         Self {
-            mark: members::mark(&entry.id),
+            short_hash: members::mark(&entry.id),
             hash: hash(entry.id.as_bytes()),
             entry,
             region,
             gone: false,
-            flying: 0,
+            in_flight: 0,
             reserved: 0,
             others: 0.0,
             told: now,
@@ -134,8 +134,8 @@
 
     /// The mark by which heartbeats name it.
     #[must_use]
-    pub const fn mark(&self) -> u32 {
-        self.mark
+    pub const fn short_hash(&self) -> u32 {
+        self.short_hash
     }
 
     /// Hash of its name.
@@ -152,7 +152,7 @@
 
     /// Whether it is set aside after failures.
     #[must_use]
-    pub fn is_aside(&self, now: Time) -> bool {
+    pub fn is_ejected(&self, now: Time) -> bool {
         now < self.aside
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Marks it cold for a while, as after its domain was evacuated.
-    pub fn chill(&mut self, until: Time) {
+    pub fn mark_cold(&mut self, until: Time) {
         self.cold_until = self.cold_until.max(until);
     }
 
@@ -176,13 +176,13 @@
             let age = now.since(self.told).as_secs_f64() / fade.as_secs_f64().max(0.001);
             others = others.max(self.others * (-age).exp());
         }
-        f64::from(self.flying + self.reserved) + others
+        f64::from(self.in_flight + self.reserved) + others
     }
 
     /// Notes the target's own report: requests running and waiting there, with
     /// the one that it answers and that has ended here.
     pub fn tell(&mut self, now: Time, present: u32) {
-        self.others = f64::from(present.saturating_sub(self.flying + 1));
+        self.others = f64::from(present.saturating_sub(self.in_flight + 1));
         self.told = now;
     }
 
@@ -279,7 +279,7 @@
 
     /// Notes a request sent to it; those older than `span` are forgotten.
     pub fn sent(&mut self, now: Time, span: Duration) {
-        self.flying += 1;
+        self.in_flight += 1;
         while self
             .sent_at
             .front()
