--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -50,7 +50,7 @@
     pub(super) asking: Event,
     /// Whether one has, since that was last looked at.
     urgent: AtomicBool,
-    pub(super) packed: peer::Packed,
+    pub(super) snapshot_cache: peer::SnapshotCache,
     /// Whether the store has taken this instance's row away.
     pub(super) unlisted: AtomicBool,
     /// Told when something begins to wait.
@@ -64,7 +64,7 @@
     /// The platform's store.
     pub(super) store: platform::store::Store,
     /// Callers' open connections.
-    pub(super) count: server::Count,
+    pub(super) count: server::ConnectionCount,
     pub(super) metrics: metrics::Metrics,
     /// Bytes of callers' bodies that are held.
     pub(super) bodies: Arc<AtomicUsize>,
@@ -121,7 +121,7 @@
             told: Event::new(),
             asking: Event::new(),
             urgent: AtomicBool::new(false),
-            packed: peer::Packed::default(),
+            snapshot_cache: peer::SnapshotCache::default(),
             unlisted: AtomicBool::new(false),
             waiting,
             targets: pool::Pool::new(Arc::clone(traffic), limits),
@@ -129,7 +129,7 @@
             closing,
             close,
             store: platform::store::Store::new(store, settings.store),
-            count: server::Count::new(server::most(&settings)),
+            count: server::ConnectionCount::new(server::max_connections(&settings)),
             metrics: metrics::Metrics::new()?,
             bodies: Arc::default(),
             quota: events::Quota::default(),
