--- a/crates/auburnrouter/src/direct/callers/body_memory.rs
+++ b/crates/auburnrouter/src/direct/callers/body_memory.rs
@@ -31,7 +31,7 @@
         // below from overflowing.
         let bytes = announced.min(max).min(capacity.saturating_add(1));
         let reservation = Self {
-            total: Arc::clone(&shared.bodies),
+            total: Arc::clone(&shared.body_bytes),
             bytes,
         };
         let before = reservation.total.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -170,7 +170,7 @@
     loop {
         let accepted = async { Some(socket.accept().await) };
         let closing = async {
-            shared.closed().await;
+            shared.until_closing().await;
             None
         };
         let (mut stream, addr) = match future::or(closing, accepted).await {
@@ -182,7 +182,7 @@
             }
         };
         let Some(entered) = count.enter() else {
-            shared.metrics.turned_away.inc();
+            shared.metrics.rejected_connections.inc();
             // It may have left already; its request isn't read in any case.
             let _ = stream.write(TOO_MANY).await;
             continue;
@@ -197,7 +197,7 @@
         let shared = Arc::clone(&shared);
         let serve = async move {
             let _entered = entered;
-            connection.serve(shared.closed()).await;
+            connection.serve(shared.until_closing()).await;
         };
         executor.spawn(serve).detach();
     }
@@ -222,11 +222,11 @@
 /// `start`.
 pub async fn drain(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
-    let count = &shared.count;
+    let count = &shared.connections;
     let mut quiet = start;
     while start.elapsed() < shutdown_timeout(&shared.settings) {
         if start.elapsed() > grace.mul_f64(LINGER) {
-            shared.close();
+            shared.start_closing();
         }
         if count.get() > 0 || shared.phase() < Phase::Closing {
             quiet = Instant::now();
