--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -124,7 +124,10 @@
                 let ending = calls
                     .forward(addr, &request, budget, engine.hop(true))
                     .await;
-                engine.report(traffic::Event::Forwarded { id, ending });
+                engine.report(traffic::Event::Forwarded {
+                    id,
+                    outcome: ending,
+                });
             }
             Kind::Ask {
                 ask,
@@ -215,7 +218,7 @@
         let event = traffic::Event::Ended {
             id,
             attempt,
-            ending: ended.ending,
+            outcome: ended.ending,
         };
         self.handle(&mut inner, event);
         drop(inner);
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -1,6 +1,6 @@
 //! Carries one attempt to a target and says how it ended.
 //!
-//! Invariant: [`dispatch::Ending::Unreachable`] is only said when no byte of
+//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is only said when no byte of
 //! the request left this process.
 
 use std::net::SocketAddr;
@@ -51,13 +51,13 @@
 /// How an attempt ended, and what the target said of itself.
 pub struct Ended {
     /// How it ended.
-    pub ending: dispatch::Ending,
+    pub ending: dispatch::AttemptOutcome,
     /// The target's report, if it gave one.
     pub report: Option<dispatch::Report>,
 }
 
-impl From<dispatch::Ending> for Ended {
-    fn from(ending: dispatch::Ending) -> Self {
+impl From<dispatch::AttemptOutcome> for Ended {
+    fn from(ending: dispatch::AttemptOutcome) -> Self {
         Self {
             ending,
             report: None,
@@ -95,7 +95,7 @@
     pub async fn send(&self, attempt: Attempt<'_>) -> Ended {
         let late = async {
             smol::Timer::after(attempt.budget).await;
-            Ended::from(dispatch::Ending::TimedOut)
+            Ended::from(dispatch::AttemptOutcome::TimedOut)
         };
         future::or(self.exchange(&attempt), late).await
     }
@@ -147,14 +147,14 @@
 
     async fn exchange(&self, attempt: &Attempt<'_>) -> Ended {
         let Some(request) = build(attempt) else {
-            return dispatch::Ending::Unreachable.into();
+            return dispatch::AttemptOutcome::Unreachable.into();
         };
         match self.pool.send(attempt.addr, request).await {
             Ok(exchange) => receive(attempt.name, exchange).await,
             Err(pool::Error::Full) => busy(),
-            Err(pool::Error::Unsent) => dispatch::Ending::Unreachable.into(),
-            Err(pool::Error::Broken) => dispatch::Ending::Broken.into(),
-            Err(pool::Error::Garbled) => dispatch::Ending::BadAnswer.into(),
+            Err(pool::Error::Unsent) => dispatch::AttemptOutcome::Unreachable.into(),
+            Err(pool::Error::Broken) => dispatch::AttemptOutcome::Broken.into(),
+            Err(pool::Error::Garbled) => dispatch::AttemptOutcome::BadAnswer.into(),
         }
     }
 }
@@ -172,12 +172,12 @@
     let named = head.headers.get(headers::ATTEMPT);
     let own = named.is_some_and(|named| named == name);
     if !own && (named.is_some() || !rest.is_first()) {
-        return dispatch::Ending::BadAnswer.into();
+        return dispatch::AttemptOutcome::BadAnswer.into();
     }
     let report = report(&head.headers);
     let Some(body) = collect(body).await else {
         // The connection is dropped with its half-read answer.
-        let ending = dispatch::Ending::BadAnswer;
+        let ending = dispatch::AttemptOutcome::BadAnswer;
         return Ended { ending, report };
     };
     if own {
@@ -185,14 +185,14 @@
     }
     let ending = match refusal(&head) {
         Some(ending) => ending,
-        None => dispatch::Ending::Answered(Arc::new(answer(&head, &body))),
+        None => dispatch::AttemptOutcome::Answered(Arc::new(answer(&head, &body))),
     };
     Ended { ending, report }
 }
 
 /// As good as a refusal by the target: it has more than it can take from here.
 fn busy() -> Ended {
-    dispatch::Ending::Refused {
+    dispatch::AttemptOutcome::Refused {
         after: None,
         leaving: false,
     }
@@ -234,14 +234,14 @@
 
 /// A 503 counts as "not run" only with the header that says so: a 503 from the
 /// service's own code may come after the work was done.
-fn refusal(head: &hyper::http::response::Parts) -> Option<dispatch::Ending> {
+fn refusal(head: &hyper::http::response::Parts) -> Option<dispatch::AttemptOutcome> {
     if head.status != hyper::StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
     let why = head.headers.get(headers::TARGET_REFUSED)?;
     let after = head.headers.get(headers::RETRY_AFTER);
     let seconds = after.and_then(|v| v.to_str().ok()?.parse().ok());
-    Some(dispatch::Ending::Refused {
+    Some(dispatch::AttemptOutcome::Refused {
         after: seconds.map(Duration::from_secs),
         leaving: why == "leaving",
     })
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -1,6 +1,6 @@
 //! Calls made to peers.
 //!
-//! Invariant: [`dispatch::Ending::Unreachable`] is only said when nothing of
+//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is only said when nothing of
 //! the request left; a connection on which a call got no answer in time is not
 //! used again, since whatever it waits for may never come.
 
@@ -125,21 +125,21 @@
         request: &Inbound,
         budget: Duration,
         hop: Hop,
-    ) -> dispatch::Ending {
+    ) -> dispatch::AttemptOutcome {
         let forward = outgoing(request, budget, &hop);
         let Some(client) = self.client(addr).await else {
-            return dispatch::Ending::Unreachable;
+            return dispatch::AttemptOutcome::Unreachable;
         };
         let call = client.forward(context(budget), forward).compat();
         match call.await {
             Ok(forwarded) => ending(forwarded),
             Err(client::RpcError::DeadlineExceeded) => {
                 self.forget(addr);
-                dispatch::Ending::TimedOut
+                dispatch::AttemptOutcome::TimedOut
             }
             Err(_) => {
                 self.forget(addr);
-                dispatch::Ending::Broken
+                dispatch::AttemptOutcome::Broken
             }
         }
     }
@@ -325,10 +325,10 @@
     }
 }
 
-fn ending(forwarded: peer::Forwarded) -> dispatch::Ending {
+fn ending(forwarded: peer::Forwarded) -> dispatch::AttemptOutcome {
     match peer::Settled::try_from(forwarded) {
-        Ok(Ok(answer)) => dispatch::Ending::Answered(answer),
-        Ok(Err(refusal)) => dispatch::Ending::PeerRefused(refusal),
-        Err(_) => dispatch::Ending::BadAnswer,
+        Ok(Ok(answer)) => dispatch::AttemptOutcome::Answered(answer),
+        Ok(Err(refusal)) => dispatch::AttemptOutcome::PeerRefused(refusal),
+        Err(_) => dispatch::AttemptOutcome::BadAnswer,
     }
 }
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -124,7 +124,8 @@
                     self.feed(now, gate::Event::Stored { id, result });
                 }
                 gate::Action::Forward { .. } => {
-                    let ending = steer::process::dispatch::Ending::Answered(self.answer.clone());
+                    let ending =
+                        steer::process::dispatch::AttemptOutcome::Answered(self.answer.clone());
                     self.feed(now, gate::Event::Forwarded { id, ending });
                 }
                 gate::Action::Run(_) => self.feed(now, gate::Event::Settled { id, verdict }),
--- a/crates/explorer/src/world/message.rs
+++ b/crates/explorer/src/world/message.rs
@@ -92,7 +92,7 @@
         payload: Payload,
     },
     /// How a hop, or a send to a target, ended.
-    Ended(dispatch::Ending),
+    Ended(dispatch::AttemptOutcome),
     /// A question to the process at an address.
     Ask {
         /// Process that listens there.
@@ -147,8 +147,10 @@
             Kind::Stored(result) => write!(f, "store says {result:?}"),
             Kind::Told(Some(word)) => write!(f, "word \"{word}\""),
             Kind::Told(None) => f.write_str("no word"),
-            Kind::Ended(dispatch::Ending::Answered(_)) => f.write_str("answer"),
-            Kind::Ended(dispatch::Ending::PeerRefused(refusal)) => write!(f, "refusal: {refusal}"),
+            Kind::Ended(dispatch::AttemptOutcome::Answered(_)) => f.write_str("answer"),
+            Kind::Ended(dispatch::AttemptOutcome::PeerRefused(refusal)) => {
+                write!(f, "refusal: {refusal}")
+            }
             Kind::Ended(other) => write!(f, "ending {other:?}"),
         }?;
         if let Some((process, _)) = self.sender.process() {
--- a/crates/explorer/src/world/perform.rs
+++ b/crates/explorer/src/world/perform.rs
@@ -54,7 +54,7 @@
                     }
                     sender => self.post(
                         sender,
-                        message::Kind::Ended(dispatch::Ending::PeerRefused(refusal)),
+                        message::Kind::Ended(dispatch::AttemptOutcome::PeerRefused(refusal)),
                     ),
                 }
             }
@@ -164,7 +164,7 @@
             }
             sender => self.post(
                 sender,
-                message::Kind::Ended(dispatch::Ending::Answered(answer)),
+                message::Kind::Ended(dispatch::AttemptOutcome::Answered(answer)),
             ),
         }
     }
@@ -221,7 +221,7 @@
                 self.keys[payload.key].runs.push(payload.body);
                 self.note(format!("  a target runs {payload}"));
                 if !detached {
-                    let ending = dispatch::Ending::Answered(answer_of(payload));
+                    let ending = dispatch::AttemptOutcome::Answered(answer_of(payload));
                     self.post(sender, message::Kind::Ended(ending));
                 }
             }
@@ -279,7 +279,10 @@
     ) {
         if self.processes[to].traffic.is_none() {
             if !detached {
-                self.post(sender, message::Kind::Ended(dispatch::Ending::Unreachable));
+                self.post(
+                    sender,
+                    message::Kind::Ended(dispatch::AttemptOutcome::Unreachable),
+                );
             }
             return;
         }
@@ -293,7 +296,7 @@
         self.arrive(to, payload, sender, origin);
     }
 
-    fn hand_ending(&mut self, sender: message::Sender, ending: dispatch::Ending) {
+    fn hand_ending(&mut self, sender: message::Sender, ending: dispatch::AttemptOutcome) {
         let message::Sender::Hop {
             process,
             incarnation,
@@ -307,11 +310,14 @@
             return;
         }
         let event = match kind {
-            message::HopKind::Forward => traffic::Event::Forwarded { id, ending },
+            message::HopKind::Forward => traffic::Event::Forwarded {
+                id,
+                outcome: ending,
+            },
             message::HopKind::Serve(attempt) => traffic::Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome: ending,
             },
         };
         self.feed(process, event);
--- a/crates/explorer/src/world/step.rs
+++ b/crates/explorer/src/world/step.rs
@@ -306,18 +306,18 @@
         let sender = message.sender;
         let failure = match (&message.kind, loss) {
             (message::Kind::Hop { .. } | message::Kind::Run(_), Loss::Unsent) => {
-                message::Kind::Ended(dispatch::Ending::Unreachable)
+                message::Kind::Ended(dispatch::AttemptOutcome::Unreachable)
             }
             (
                 message::Kind::Hop { .. } | message::Kind::Run(_) | message::Kind::Ended(_),
                 Loss::Slow,
-            ) => message::Kind::Ended(dispatch::Ending::TimedOut),
+            ) => message::Kind::Ended(dispatch::AttemptOutcome::TimedOut),
             (
                 message::Kind::Hop { .. } | message::Kind::Run(_) | message::Kind::Ended(_),
                 Loss::Cut,
-            ) => message::Kind::Ended(dispatch::Ending::BadAnswer),
+            ) => message::Kind::Ended(dispatch::AttemptOutcome::BadAnswer),
             (message::Kind::Hop { .. } | message::Kind::Run(_) | message::Kind::Ended(_), _) => {
-                message::Kind::Ended(dispatch::Ending::Broken)
+                message::Kind::Ended(dispatch::AttemptOutcome::Broken)
             }
             (message::Kind::Store(..), Loss::Unsent) => {
                 message::Kind::Stored(record::StoreResult::Away)
@@ -344,7 +344,7 @@
         let Some(message) = self.take(serial) else {
             return;
         };
-        let ending = dispatch::Ending::Refused {
+        let ending = dispatch::AttemptOutcome::Refused {
             after: None,
             leaving: false,
         };
@@ -365,7 +365,10 @@
         }
         for request in core::mem::take(&mut self.processes[index].requests) {
             if let message::Sender::Hop { .. } = request.from {
-                self.post(request.from, message::Kind::Ended(dispatch::Ending::Broken));
+                self.post(
+                    request.from,
+                    message::Kind::Ended(dispatch::AttemptOutcome::Broken),
+                );
             }
         }
     }
--- a/crates/measure/src/cost.rs
+++ b/crates/measure/src/cost.rs
@@ -7,7 +7,7 @@
 
 use entity::EntityRef;
 use steer::clock::Time;
-use steer::process::dispatch::{Action, Dispatch, Ending, Event, Home};
+use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Home};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, Fingerprint, Origin, RequestId};
 use steer::version::view::{
@@ -86,11 +86,11 @@
     out.retain(|a| matches!(a, Action::Send { .. }));
     while out.len() as u64 > FLIGHT {
         if let Action::Send { id, attempt, .. } = out.remove(0) {
-            let ending = Ending::Answered(Arc::clone(answer));
+            let ending = AttemptOutcome::Answered(Arc::clone(answer));
             let event = Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome: ending,
             };
             let mut more = Vec::new();
             dispatch.handle(now, event, &mut more);
--- a/crates/measure/src/hedge.rs
+++ b/crates/measure/src/hedge.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::dispatch::{Action, Dispatch, Ending, Event, Place};
+use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Place};
 use steer::request::arrival::{AttemptId, RequestId};
 use steer::version::view::{State, Target, View};
 
@@ -121,7 +121,7 @@
         let Event::Ended {
             id,
             attempt,
-            ending,
+            outcome: ending,
         } = event
         else {
             return Some(event);
@@ -131,7 +131,7 @@
             let event = Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome: ending,
             };
             return (attempt.0 < SECOND).then_some(event);
         };
@@ -140,10 +140,10 @@
             return Some(Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome: ending,
             });
         }
-        if !matches!(ending, Ending::Answered(_)) {
+        if !matches!(ending, AttemptOutcome::Answered(_)) {
             self.firsts[at].second = None;
             return None;
         }
@@ -152,7 +152,7 @@
         Some(Event::Ended {
             id,
             attempt,
-            ending,
+            outcome: ending,
         })
     }
 }
--- a/crates/measure/src/model.rs
+++ b/crates/measure/src/model.rs
@@ -20,7 +20,7 @@
 use steer::clock::Time;
 use steer::connection::pool::Pool;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Ending, Event, Report};
+use steer::process::dispatch::{self, AttemptOutcome, Event, Report};
 use steer::request::answer::Answer;
 use steer::request::arrival::{AttemptId, Fingerprint, RequestId};
 use steer::version::view::View;
@@ -202,7 +202,7 @@
     Reach(RequestId),
     Work(usize, Work),
     Finish(usize, u64),
-    Back(Work, Ending, Option<(usize, Report)>),
+    Back(Work, AttemptOutcome, Option<(usize, Report)>),
     Late(Work),
     Stop(usize, Work),
     Probed(usize, usize),
--- a/crates/measure/src/model/asking.rs
+++ b/crates/measure/src/model/asking.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::dispatch::{Ending, Event};
+use steer::process::dispatch::{AttemptOutcome, Event};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Refusal};
@@ -92,8 +92,8 @@
                 self.crossed(request.entry, entry, answer.bytes());
             }
             let ending = match end {
-                Ok(answer) => Ending::Answered(answer),
-                Err(refusal) => Ending::PeerRefused(refusal),
+                Ok(answer) => AttemptOutcome::Answered(answer),
+                Err(refusal) => AttemptOutcome::PeerRefused(refusal),
             };
             let work = Work { entry, id, attempt };
             return self.after(request.caller * 2, Happening::Back(work, ending, None));
--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use steer::connection::pool::{Connection, Taken};
-use steer::process::dispatch::{Action, Ending, Event, Place, Report};
+use steer::process::dispatch::{Action, AttemptOutcome, Event, Place, Report};
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::record::AskId;
 
@@ -175,7 +175,7 @@
         if self.entries[peer].dead {
             return self.after(
                 way * 2,
-                Happening::Back(work.clone(), Ending::Unreachable, None),
+                Happening::Back(work.clone(), AttemptOutcome::Unreachable, None),
             );
         }
         let id = RequestId(self.requests.len() as u64);
@@ -209,11 +209,19 @@
         self.tell(peer, Event::Arrive(arrival));
     }
 
-    pub(super) fn back(&mut self, work: &Work, ending: Ending, report: Option<(usize, Report)>) {
+    pub(super) fn back(
+        &mut self,
+        work: &Work,
+        ending: AttemptOutcome,
+        report: Option<(usize, Report)>,
+    ) {
         let Some(way) = self.land(work) else { return };
         if let Way::Target(target) = way {
             let pool = &mut self.entries[work.entry].pools[target];
-            let whole = matches!(ending, Ending::Answered(_) | Ending::Refused { .. });
+            let whole = matches!(
+                ending,
+                AttemptOutcome::Answered(_) | AttemptOutcome::Refused { .. }
+            );
             if whole {
                 pool.give(self.now, Connection::warm(()));
             } else {
@@ -227,7 +235,7 @@
         let event = Event::Ended {
             id: work.id,
             attempt: work.attempt,
-            ending,
+            outcome: ending,
         };
         self.tell(work.entry, event);
     }
@@ -248,7 +256,7 @@
         let event = Event::Ended {
             id: work.id,
             attempt: work.attempt,
-            ending: Ending::TimedOut,
+            outcome: AttemptOutcome::TimedOut,
         };
         self.tell(work.entry, event);
     }
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -8,7 +8,7 @@
 use entity::EntityRef;
 use steer::clock::Time;
 use steer::connection::pool::Pool;
-use steer::process::dispatch::{self, Dispatch, Ending};
+use steer::process::dispatch::{self, AttemptOutcome, Dispatch};
 use steer::version::view::{
     Class, ClassData, Domain, DomainData, EntryData, Incarnation, Link, MemberData, Region,
     RegionData, Service, ServiceData, Shift, Site, SiteData, State, TargetData, Version, View,
@@ -71,7 +71,7 @@
             .map(|(entry, id, attempt)| Work { entry, id, attempt })
             .collect();
         for work in broken {
-            self.after(FAR, Happening::Back(work, Ending::Broken, None));
+            self.after(FAR, Happening::Back(work, AttemptOutcome::Broken, None));
         }
         let view = self.view();
         self.after(LIST_LAG, Happening::View(view));
--- a/crates/measure/src/model/targets.rs
+++ b/crates/measure/src/model/targets.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use steer::process::dispatch::{Ending, Report};
+use steer::process::dispatch::{AttemptOutcome, Report};
 use steer::version::view::State;
 
 use super::{BACKLOG, COLD, Happening, LOCAL, Model, REPORT_LAG, SIGMA, Sign, WARM, Work};
@@ -12,7 +12,10 @@
     pub(super) fn work(&mut self, target: usize, work: Work) {
         let state = &mut self.targets[target];
         if state.dead {
-            return self.after(LOCAL, Happening::Back(work, Ending::Unreachable, None));
+            return self.after(
+                LOCAL,
+                Happening::Back(work, AttemptOutcome::Unreachable, None),
+            );
         }
         self.outcomes.attempts += 1;
         let full = state.running.len() >= 3 && state.backlog.len() >= BACKLOG;
@@ -20,7 +23,7 @@
         if full || leaving {
             self.outcomes.shed += 1;
             let mean = self.setup.deployment.services[state.service].mean;
-            let ending = Ending::Refused {
+            let ending = AttemptOutcome::Refused {
                 after: Some(Duration::from_secs_f64(mean)),
                 leaving,
             };
@@ -63,7 +66,7 @@
             self.outcomes.drain[2] = Some(self.now);
         }
         let report = self.report(target);
-        let ending = Ending::Answered(Arc::clone(&self.answer));
+        let ending = AttemptOutcome::Answered(Arc::clone(&self.answer));
         self.after(LOCAL, Happening::Back(work, ending, Some((target, report))));
         self.next(target);
     }
@@ -108,7 +111,7 @@
         let cut: Vec<Work> = state.running.drain(..).map(|r| r.1).collect();
         let cut: Vec<Work> = cut.into_iter().chain(state.backlog.drain(..)).collect();
         for work in cut {
-            self.after(LOCAL, Happening::Back(work, Ending::Broken, None));
+            self.after(LOCAL, Happening::Back(work, AttemptOutcome::Broken, None));
         }
     }
 }
--- a/crates/measure/src/robin.rs
+++ b/crates/measure/src/robin.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::dispatch::{Action, Dispatch, Ending, Event, Place};
+use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Place};
 use steer::request::arrival::{Arrival, AttemptId, RequestId};
 use steer::request::outcome::{Reason, Refusal};
 use steer::version::view::{State, View};
@@ -103,14 +103,20 @@
                     out,
                 );
             }
-            Event::Ended { id, ending, .. } => {
+            Event::Ended {
+                id,
+                outcome: ending,
+                ..
+            } => {
                 let Ok(at) = self.running.binary_search_by_key(&id, |r| r.0) else {
                     return;
                 };
                 let running = self.running.remove(at).1;
                 match ending {
-                    Ending::Answered(answer) => out.push(Action::Reply { id, answer }),
-                    Ending::Refused { .. } | Ending::Unreachable => self.send(now, running, out),
+                    AttemptOutcome::Answered(answer) => out.push(Action::Reply { id, answer }),
+                    AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable => {
+                        self.send(now, running, out)
+                    }
                     _ => {
                         let refusal = Refusal::unknown(Reason::Lost, None);
                         out.push(Action::Refuse { id, refusal });
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use steer::clock::Time;
-use steer::process::dispatch::{Ending, Home, TICK};
+use steer::process::dispatch::{AttemptOutcome, Home, TICK};
 use steer::process::gate;
 use steer::process::share::{Guards, Route};
 use steer::process::traffic::{Event, Traffic};
@@ -109,8 +109,8 @@
 enum Happening {
     Ask(usize, Region),
     Reach(usize, RequestId, Option<Duration>),
-    Ended(usize, RequestId, AttemptId, Ending),
-    Finish(usize, usize, RequestId, AttemptId, Ending),
+    Ended(usize, RequestId, AttemptId, AttemptOutcome),
+    Finish(usize, usize, RequestId, AttemptId, AttemptOutcome),
     Gone(usize, RequestId),
     Wanted(usize, usize, Route, u64, Time),
     Borrowed(usize, Route, u64, Time),
@@ -240,7 +240,7 @@
                 let event = Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome: ending,
                 };
                 self.tell(node, event);
             }
@@ -316,7 +316,10 @@
             .filter_map(|j| j.hop)
             .collect();
         for (node, id, attempt) in hops {
-            self.after(FAR, Happening::Ended(node, id, attempt, Ending::Broken));
+            self.after(
+                FAR,
+                Happening::Ended(node, id, attempt, AttemptOutcome::Broken),
+            );
         }
     }
 
--- a/crates/measure/src/shift/world/carry.rs
+++ b/crates/measure/src/shift/world/carry.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use steer::process::dispatch::{Ending, Place};
+use steer::process::dispatch::{AttemptOutcome, Place};
 use steer::process::traffic::{Action, Event};
 use steer::request::answer::Answer;
 use steer::request::arrival::{AttemptId, RequestId};
@@ -97,12 +97,12 @@
         if self.running[at] >= self.setup.view.targets[target].slots {
             let after = Some(Duration::from_millis(10));
             let leaving = false;
-            let ending = Ending::Refused { after, leaving };
+            let ending = AttemptOutcome::Refused { after, leaving };
             return self.after(LOCAL * 2, Happening::Ended(node, id, attempt, ending));
         }
         self.running[at] += 1;
         let took = self.service_time(self.setup.kinds[service].mean);
-        let ending = Ending::Answered(Arc::clone(&self.answers[service]));
+        let ending = AttemptOutcome::Answered(Arc::clone(&self.answers[service]));
         let happening = Happening::Finish(at, node, id, attempt, ending);
         self.after(LOCAL + took, happening);
     }
@@ -133,7 +133,7 @@
             self.count_shift(job.service, job.home, there);
         }
         if self.nodes[peer].dead {
-            let ending = Ending::Unreachable;
+            let ending = AttemptOutcome::Unreachable;
             return self.after(way * 2, Happening::Ended(node, id, attempt, ending));
         }
         let passed = RequestId(self.jobs.len() as u64);
@@ -147,7 +147,7 @@
         });
         let left = budget.saturating_sub(way * 2);
         self.after(way, Happening::Reach(peer, passed, Some(left)));
-        let late = Happening::Ended(node, id, attempt, Ending::TimedOut);
+        let late = Happening::Ended(node, id, attempt, AttemptOutcome::TimedOut);
         self.after(budget, late);
     }
 
@@ -162,11 +162,11 @@
         if let Some((from, id, attempt)) = job.hop {
             let (here, there) = (self.nodes[node].region, self.nodes[from].region);
             let ending = match end {
-                Ok(answer) => Ending::Answered(answer),
-                Err(refusal) => Ending::PeerRefused(refusal),
+                Ok(answer) => AttemptOutcome::Answered(answer),
+                Err(refusal) => AttemptOutcome::PeerRefused(refusal),
             };
             let bytes = match &ending {
-                Ending::Answered(answer) => answer.bytes(),
+                AttemptOutcome::Answered(answer) => answer.bytes(),
                 _ => 0,
             };
             self.count_link(here, there, bytes + FRAME);
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -20,7 +20,7 @@
 
 use std::sync::Arc;
 
-pub use message::{Action, Ending, Event, Home, Place, Report, TICK};
+pub use message::{Action, AttemptOutcome, Event, Home, Place, Report, TICK};
 
 use crate::clock::Time;
 use crate::process::safeguard::Safeguard;
@@ -97,8 +97,8 @@
             Event::Ended {
                 id,
                 attempt,
-                ending,
-            } => self.ended(now, id, attempt, ending, out),
+                outcome,
+            } => self.ended(now, id, attempt, outcome, out),
             Event::Hold(held) => self.shares.hold(now, held),
             Event::Borrowed {
                 route,
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -65,7 +65,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The whole answer came.
     Answered(Arc<Answer>),
     /// The place refused it: certainly not run there.
@@ -99,7 +99,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
-        ending: Ending,
+        outcome: AttemptOutcome,
     },
     /// A target reported its load.
     Report {
--- a/crates/steer/src/process/dispatch/settle.rs
+++ b/crates/steer/src/process/dispatch/settle.rs
@@ -8,7 +8,7 @@
 use crate::clock::Time;
 use crate::process::dispatch::Dispatch;
 use crate::process::dispatch::job::Running;
-use crate::process::dispatch::message::{Action, Ending, Place, Report};
+use crate::process::dispatch::message::{Action, AttemptOutcome, Place, Report};
 use crate::process::safeguard::Safeguard;
 use crate::process::target::health::Fault;
 use crate::process::target::{Fit, latency};
@@ -25,23 +25,29 @@
         now: Time,
         id: RequestId,
         attempt: AttemptId,
-        ending: Ending,
+        outcome: AttemptOutcome,
         out: &mut Vec<Action>,
     ) {
         let Some(running) = self.flight.take(id, Some(attempt)) else {
             return;
         };
         self.release(&running);
-        self.learn(now, &running, &ending, out);
-        self.settle(now, running, ending, out);
+        self.learn(now, &running, &outcome, out);
+        self.settle(now, running, outcome, out);
         self.pump(now, out);
     }
 
-    fn settle(&mut self, now: Time, running: Running, ending: Ending, out: &mut Vec<Action>) {
+    fn settle(
+        &mut self,
+        now: Time,
+        running: Running,
+        outcome: AttemptOutcome,
+        out: &mut Vec<Action>,
+    ) {
         let mut job = running.job;
         let id = job.arrival.id;
-        let Some(doubt) = retry::doubt(&ending) else {
-            if let Ending::Answered(answer) = ending {
+        let Some(doubt) = retry::doubt(&outcome) else {
+            if let AttemptOutcome::Answered(answer) = outcome {
                 self.callers.remove(&job.arrival.caller);
                 self.stats.replied += 1;
                 out.push(Action::Reply { id, answer });
@@ -49,12 +55,12 @@
             return;
         };
         job.maybe |= doubt == Doubt::MayHaveRun;
-        job.failed = Some(retry::reason(&ending));
+        job.failed = Some(retry::reason(&outcome));
         if self.poisoned(&job) {
             let refusal = Refusal::unknown(Reason::Poison, None);
             return self.finish(&job, refusal, out);
         }
-        if let Ending::PeerRefused(refusal) = ending
+        if let AttemptOutcome::PeerRefused(refusal) = outcome
             && doubt == Doubt::MayHaveRun
         {
             return self.finish(&job, refusal, out);
@@ -66,12 +72,13 @@
         let safe = doubt == Doubt::NotRun || self.groups[group].idempotent;
         let wait = self.groups[group].outlook().wait();
         if !safe || now >= job.until {
-            return self.give_up(&job, retry::reason(&ending), wait, out);
+            return self.give_up(&job, retry::reason(&outcome), wait, out);
         }
-        if !self.budget.spend(retry::cost(&ending)) && self.tuning.safeguards.has(Safeguard::Budget)
+        if !self.budget.spend(retry::cost(&outcome))
+            && self.tuning.safeguards.has(Safeguard::Budget)
         {
             self.stats.unbudgeted += 1;
-            return self.give_up(&job, retry::reason(&ending), wait, out);
+            return self.give_up(&job, retry::reason(&outcome), wait, out);
         }
         self.place(now, group, job, out);
     }
@@ -115,7 +122,13 @@
     }
 
     /// Takes what an attempt's end says about its place and its request.
-    fn learn(&mut self, now: Time, running: &Running, ending: &Ending, out: &mut Vec<Action>) {
+    fn learn(
+        &mut self,
+        now: Time,
+        running: &Running,
+        outcome: &AttemptOutcome,
+        out: &mut Vec<Action>,
+    ) {
         let service = &running.job.arrival.service;
         let name = running.place.name();
         let begun = running.begun;
@@ -124,9 +137,9 @@
         };
         let track = &mut self.tracks.slice_mut()[at];
         track.evidence = now;
-        match ending {
-            Ending::Answered(answer) => self.answered(now, running, at, answer.status, out),
-            Ending::Refused { after, leaving } => {
+        match outcome {
+            AttemptOutcome::Answered(answer) => self.answered(now, running, at, answer.status, out),
+            AttemptOutcome::Refused { after, leaving } => {
                 track
                     .window
                     .shed(now, begun, after.unwrap_or_default(), &mut self.rng);
@@ -134,20 +147,20 @@
                     track.leave(now);
                 }
             }
-            Ending::PeerRefused(refusal) => {
+            AttemptOutcome::PeerRefused(refusal) => {
                 let after = refusal.after.unwrap_or_default();
                 track.window.shed(now, begun, after, &mut self.rng);
                 if refusal.reason == Reason::Leaving {
                     track.leave(now);
                 }
             }
-            Ending::Unreachable => self.fault(now, at, begun, Fault::Hard),
-            Ending::BadAnswer => self.fault(now, at, begun, Fault::Soft),
-            Ending::TimedOut => {
+            AttemptOutcome::Unreachable => self.fault(now, at, begun, Fault::Hard),
+            AttemptOutcome::BadAnswer => self.fault(now, at, begun, Fault::Soft),
+            AttemptOutcome::TimedOut => {
                 self.note_blind(running);
                 self.fault(now, at, begun, Fault::Soft);
             }
-            Ending::Broken => {
+            AttemptOutcome::Broken => {
                 self.fault(now, at, begun, Fault::Hard);
                 self.broke(now, running, out);
             }
--- a/crates/steer/src/process/gate/entry.rs
+++ b/crates/steer/src/process/gate/entry.rs
@@ -75,7 +75,7 @@
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
-        ending: dispatch::Ending,
+        ending: dispatch::AttemptOutcome,
         out: &mut Vec<message::Action>,
     ) {
         let forwarding = |h: &held::Held| matches!(h.stage, held::Stage::Forwarding { .. });
@@ -89,23 +89,25 @@
             return;
         };
         match ending {
-            dispatch::Ending::Answered(answer) => out.push(message::Action::Reply { id, answer }),
-            dispatch::Ending::PeerRefused(refusal)
+            dispatch::AttemptOutcome::Answered(answer) => {
+                out.push(message::Action::Reply { id, answer })
+            }
+            dispatch::AttemptOutcome::PeerRefused(refusal)
                 if refusal.reason != outcome::Reason::OwnerGone =>
             {
                 gate::refuse(id, refusal, out);
             }
-            dispatch::Ending::BadAnswer => {
+            dispatch::AttemptOutcome::BadAnswer => {
                 gate::refuse(id, self.elsewhere(outcome::Reason::BadAnswer), out);
             }
-            dispatch::Ending::TimedOut => {
+            dispatch::AttemptOutcome::TimedOut => {
                 gate::refuse(id, self.elsewhere(outcome::Reason::Deadline), out);
             }
             _ if !self.safe.hop_final => out.push(message::Action::Run(arrival)),
-            dispatch::Ending::PeerRefused(_)
-            | dispatch::Ending::Refused { .. }
-            | dispatch::Ending::Unreachable
-            | dispatch::Ending::Broken => {
+            dispatch::AttemptOutcome::PeerRefused(_)
+            | dispatch::AttemptOutcome::Refused { .. }
+            | dispatch::AttemptOutcome::Unreachable
+            | dispatch::AttemptOutcome::Broken => {
                 let lost = Lost {
                     id,
                     caller: held.caller,
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -55,7 +55,7 @@
         /// The request.
         id: arrival::RequestId,
         /// How.
-        ending: dispatch::Ending,
+        ending: dispatch::AttemptOutcome,
     },
     /// A peer answered a question; `None` if no answer came.
     Told {
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -86,8 +86,14 @@
     pub fn handle(&mut self, now: clock::Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
-            Event::Forwarded { id, ending } => {
-                self.gate(now, gate::Event::Forwarded { id, ending });
+            Event::Forwarded { id, outcome } => {
+                self.gate(
+                    now,
+                    gate::Event::Forwarded {
+                        id,
+                        ending: outcome,
+                    },
+                );
             }
             Event::Told { ask, word } => self.gate(now, gate::Event::Told { ask, word }),
             Event::Asked { ask, question } => {
@@ -106,12 +112,12 @@
             Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome,
             } => {
                 let event = dispatch::Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome,
                 };
                 self.dispatch(now, event);
             }
@@ -298,8 +304,14 @@
             Ok(()) => out.push(Action::Forward { id, peer, budget }),
             Err(after) => {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Cap, Some(after));
-                let ending = dispatch::Ending::PeerRefused(refusal);
-                self.gate(now, gate::Event::Forwarded { id, ending });
+                let outcome = dispatch::AttemptOutcome::PeerRefused(refusal);
+                self.gate(
+                    now,
+                    gate::Event::Forwarded {
+                        id,
+                        ending: outcome,
+                    },
+                );
             }
         }
     }
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -21,14 +21,14 @@
         /// The attempt.
         attempt: arrival::AttemptId,
         /// How it ended.
-        ending: dispatch::Ending,
+        outcome: dispatch::AttemptOutcome,
     },
     /// An [`Action::Forward`] ended.
     Forwarded {
         /// The request.
         id: arrival::RequestId,
         /// How it ended.
-        ending: dispatch::Ending,
+        outcome: dispatch::AttemptOutcome,
     },
     /// An [`Action::Ask`] ended; `None` if no answer came.
     Told {
--- a/crates/steer/src/request/retry.rs
+++ b/crates/steer/src/request/retry.rs
@@ -6,7 +6,7 @@
 
 use core::time::Duration;
 
-use crate::process::dispatch::Ending;
+use crate::process::dispatch::AttemptOutcome;
 use crate::request::outcome::{Outcome, Reason};
 
 /// Repeats earned by a first try, in thousandths.
@@ -28,27 +28,30 @@
 
 /// What an ending says about whether the request ran. `None` for an answer.
 #[must_use]
-pub fn doubt(ending: &Ending) -> Option<Doubt> {
+pub fn doubt(ending: &AttemptOutcome) -> Option<Doubt> {
     match ending {
-        Ending::Answered(_) => None,
-        Ending::Refused { .. } | Ending::Unreachable => Some(Doubt::NotRun),
-        Ending::PeerRefused(refusal) if refusal.outcome == Outcome::NotRun => Some(Doubt::NotRun),
-        Ending::PeerRefused(_) | Ending::Broken | Ending::BadAnswer | Ending::TimedOut => {
-            Some(Doubt::MayHaveRun)
+        AttemptOutcome::Answered(_) => None,
+        AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable => Some(Doubt::NotRun),
+        AttemptOutcome::PeerRefused(refusal) if refusal.outcome == Outcome::NotRun => {
+            Some(Doubt::NotRun)
         }
+        AttemptOutcome::PeerRefused(_)
+        | AttemptOutcome::Broken
+        | AttemptOutcome::BadAnswer
+        | AttemptOutcome::TimedOut => Some(Doubt::MayHaveRun),
     }
 }
 
 /// Why a request that is not tried again failed.
 #[must_use]
-pub fn reason(ending: &Ending) -> Reason {
+pub fn reason(ending: &AttemptOutcome) -> Reason {
     match ending {
-        Ending::PeerRefused(refusal) => refusal.reason,
-        Ending::Refused { .. } => Reason::Overloaded,
-        Ending::Unreachable | Ending::Answered(_) => Reason::NoTarget,
-        Ending::Broken => Reason::Lost,
-        Ending::BadAnswer => Reason::BadAnswer,
-        Ending::TimedOut => Reason::Deadline,
+        AttemptOutcome::PeerRefused(refusal) => refusal.reason,
+        AttemptOutcome::Refused { .. } => Reason::Overloaded,
+        AttemptOutcome::Unreachable | AttemptOutcome::Answered(_) => Reason::NoTarget,
+        AttemptOutcome::Broken => Reason::Lost,
+        AttemptOutcome::BadAnswer => Reason::BadAnswer,
+        AttemptOutcome::TimedOut => Reason::Deadline,
     }
 }
 
@@ -57,9 +60,9 @@
 /// other; at full cost the budget refuses what the next target would take. For
 /// nothing, overload lets refused requests wander from target to target.
 #[must_use]
-pub const fn cost(ending: &Ending) -> u64 {
+pub const fn cost(ending: &AttemptOutcome) -> u64 {
     match ending {
-        Ending::Refused { .. } => 500,
+        AttemptOutcome::Refused { .. } => 500,
         _ => 1000,
     }
 }
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use steer::clock::Time;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Action, Dispatch, Ending, Event, Place, Report};
+use steer::process::dispatch::{self, Action, AttemptOutcome, Dispatch, Event, Place, Report};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
@@ -201,16 +201,16 @@
             }
             Step::End { nth, how } if !self.out.is_empty() => {
                 let (id, attempt, _) = self.out.remove(nth % self.out.len());
-                let ending = ending(how);
+                let outcome = attempt_outcome(how);
                 let doubt = matches!(
-                    &ending,
-                    Ending::Broken | Ending::BadAnswer | Ending::TimedOut
-                ) || matches!(&ending, Ending::PeerRefused(r) if r.outcome != Outcome::NotRun);
+                    &outcome,
+                    AttemptOutcome::Broken | AttemptOutcome::BadAnswer | AttemptOutcome::TimedOut
+                ) || matches!(&outcome, AttemptOutcome::PeerRefused(r) if r.outcome != Outcome::NotRun);
                 self.fate(id).doubt |= doubt;
                 self.take(Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome,
                 });
             }
             Step::End { .. } => {}
@@ -254,12 +254,12 @@
     fn drain(&mut self) {
         for _ in 0..1000 {
             if let Some((id, attempt, _)) = self.out.pop() {
-                let ending = Ending::TimedOut;
+                let outcome = AttemptOutcome::TimedOut;
                 self.fate(id).doubt = true;
                 self.take(Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome,
                 });
             }
             self.now = self.now + dispatch::TICK;
@@ -274,30 +274,30 @@
     }
 }
 
-fn ending(how: usize) -> Ending {
+fn attempt_outcome(how: usize) -> AttemptOutcome {
     let refused = |outcome| {
-        Ending::PeerRefused(Refusal {
+        AttemptOutcome::PeerRefused(Refusal {
             reason: Reason::Overloaded,
             outcome,
             after: Some(Duration::from_millis(20)),
         })
     };
     match how {
-        0 => Ending::Refused {
+        0 => AttemptOutcome::Refused {
             after: Some(Duration::from_millis(5)),
             leaving: false,
         },
-        1 => Ending::Refused {
+        1 => AttemptOutcome::Refused {
             after: None,
             leaving: true,
         },
         2 => refused(Outcome::NotRun),
         3 => refused(Outcome::Unknown),
-        4 => Ending::Unreachable,
-        5 => Ending::Broken,
-        6 => Ending::BadAnswer,
-        7 => Ending::TimedOut,
-        _ => Ending::Answered(Arc::new(Answer {
+        4 => AttemptOutcome::Unreachable,
+        5 => AttemptOutcome::Broken,
+        6 => AttemptOutcome::BadAnswer,
+        7 => AttemptOutcome::TimedOut,
+        _ => AttemptOutcome::Answered(Arc::new(Answer {
             status: 200,
             headers: Vec::new(),
             body: Arc::from([]),
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -26,7 +26,7 @@
 
 use steer::clock::Time;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Action, Dispatch, Ending, Event, Place, Report};
+use steer::process::dispatch::{self, Action, AttemptOutcome, Dispatch, Event, Place, Report};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
@@ -134,7 +134,7 @@
             "loud" => self.loud = true,
             "mark" => self.counts.clear(),
             "check" => self.check(&words[1..]),
-            _ => self.ending(&words),
+            _ => self.end_attempts(&words),
         }
     }
 
@@ -192,20 +192,20 @@
         self.take(event);
     }
 
-    fn ending(&mut self, words: &[&str]) {
+    fn end_attempts(&mut self, words: &[&str]) {
         let option = |name: &str| words.iter().find_map(|w| w.strip_prefix(name));
         let has = |word: &str| words.contains(&word);
-        let ending = match words[0] {
-            "answer" => Ending::Answered(Arc::new(Answer {
+        let outcome = match words[0] {
+            "answer" => AttemptOutcome::Answered(Arc::new(Answer {
                 status: option("status=").map_or(200, |s| s.parse().expect("a status")),
                 headers: Vec::new(),
                 body: Arc::from([]),
             })),
-            "refuse" => Ending::Refused {
+            "refuse" => AttemptOutcome::Refused {
                 after: option("after=").map(span_of),
                 leaving: has("leaving"),
             },
-            "peer-refuse" => Ending::PeerRefused(Refusal {
+            "peer-refuse" => AttemptOutcome::PeerRefused(Refusal {
                 reason: reason(words[2]),
                 outcome: if has("unknown") {
                     Outcome::Unknown
@@ -214,10 +214,10 @@
                 },
                 after: option("after=").map(span_of),
             }),
-            "unreachable" => Ending::Unreachable,
-            "break" => Ending::Broken,
-            "garble" => Ending::BadAnswer,
-            "time-out" => Ending::TimedOut,
+            "unreachable" => AttemptOutcome::Unreachable,
+            "break" => AttemptOutcome::Broken,
+            "garble" => AttemptOutcome::BadAnswer,
+            "time-out" => AttemptOutcome::TimedOut,
             other => panic!("no line starts with {other:?}; see the table in script.rs"),
         };
         for id in self.chosen(words[1]) {
@@ -228,7 +228,7 @@
             self.take(Event::Ended {
                 id,
                 attempt,
-                ending: ending.clone(),
+                outcome: outcome.clone(),
             });
         }
     }
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -86,11 +86,11 @@
                 attempt: arrival::AttemptId(
                     line.number("attempt").expect("the line names an attempt"),
                 ),
-                ending: line.ending(),
+                outcome: line.ending(),
             }),
             "forwarded" => self.feed(traffic::Event::Forwarded {
                 id: id(),
-                ending: line.ending(),
+                outcome: line.ending(),
             }),
             "told" => self.feed(traffic::Event::Told {
                 ask: ask(),
--- a/crates/steer/tests/gate_scenarios/line.rs
+++ b/crates/steer/tests/gate_scenarios/line.rs
@@ -36,34 +36,34 @@
         self.number(name).map_or(usual, small)
     }
 
-    pub fn ending(&self) -> dispatch::Ending {
+    pub fn ending(&self) -> dispatch::AttemptOutcome {
         match self.get("how").expect("the line says how it ended") {
-            "answered" => dispatch::Ending::Answered(Arc::new(answer::Answer {
+            "answered" => dispatch::AttemptOutcome::Answered(Arc::new(answer::Answer {
                 status: 200,
                 headers: Vec::new(),
                 body: b"done".as_slice().into(),
             })),
-            "shed" => dispatch::Ending::Refused {
+            "shed" => dispatch::AttemptOutcome::Refused {
                 after: None,
                 leaving: false,
             },
-            "leaving" => dispatch::Ending::Refused {
+            "leaving" => dispatch::AttemptOutcome::Refused {
                 after: None,
                 leaving: true,
             },
-            "unreachable" => dispatch::Ending::Unreachable,
-            "broken" => dispatch::Ending::Broken,
-            "cut-short" => dispatch::Ending::BadAnswer,
-            "timed-out" => dispatch::Ending::TimedOut,
-            "peer-not-run" => dispatch::Ending::PeerRefused(outcome::Refusal::not_run(
+            "unreachable" => dispatch::AttemptOutcome::Unreachable,
+            "broken" => dispatch::AttemptOutcome::Broken,
+            "cut-short" => dispatch::AttemptOutcome::BadAnswer,
+            "timed-out" => dispatch::AttemptOutcome::TimedOut,
+            "peer-not-run" => dispatch::AttemptOutcome::PeerRefused(outcome::Refusal::not_run(
                 outcome::Reason::Overloaded,
                 None,
             )),
-            "peer-unknown" => dispatch::Ending::PeerRefused(outcome::Refusal::unknown(
+            "peer-unknown" => dispatch::AttemptOutcome::PeerRefused(outcome::Refusal::unknown(
                 outcome::Reason::Lost,
                 None,
             )),
-            "not-owner" => dispatch::Ending::PeerRefused(outcome::Refusal::unknown(
+            "not-owner" => dispatch::AttemptOutcome::PeerRefused(outcome::Refusal::unknown(
                 outcome::Reason::OwnerGone,
                 None,
             )),
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -8,7 +8,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::dispatch::{Ending, Home, Place};
+use steer::process::dispatch::{AttemptOutcome, Home, Place};
 use steer::process::gate::Limits;
 use steer::process::share::{Guards, SETTLE, window};
 use steer::process::traffic::{Action, Event, TICK, Traffic};
@@ -111,11 +111,11 @@
             let now = self.now;
             let done: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
             for (_, id, attempt) in done {
-                let ending = Ending::Answered(Arc::clone(&self.answer));
+                let ending = AttemptOutcome::Answered(Arc::clone(&self.answer));
                 self.feed(Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome: ending,
                 });
             }
             self.feed(Event::Tick);
