--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -193,7 +193,7 @@
         let store = store::http::Config::new(settings.store.clone());
         let store = store::http::Client::new(store, Arc::clone(&executor), fastrand::Rng::new());
         let store: Arc<dyn store::Store> = Arc::new(store);
-        let home = dispatch::Home {
+        let home = dispatch::Identity {
             name: Arc::clone(&settings.name),
             domain: Arc::clone(&settings.domain),
         };
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -66,7 +66,7 @@
     this: Weak<Self>,
     prefix: ArcSwapOption<String>,
     others: ArcSwap<Vec<SocketAddr>>,
-    home: dispatch::Home,
+    home: dispatch::Identity,
     region: ArcSwapOption<Arc<str>>,
     /// Holds a word while something has arrived since it was last taken.
     arrived: Word,
@@ -107,7 +107,7 @@
     #[must_use]
     pub fn new(
         decide: traffic::Traffic,
-        home: dispatch::Home,
+        home: dispatch::Identity,
         incarnation: view::Incarnation,
         means: Means,
     ) -> Arc<Self> {
--- a/crates/explorer/src/scene.rs
+++ b/crates/explorer/src/scene.rs
@@ -37,8 +37,8 @@
 
 /// Where process `index` stands.
 #[must_use]
-pub fn home(index: usize) -> dispatch::Home {
-    dispatch::Home {
+pub fn identity(index: usize) -> dispatch::Identity {
+    dispatch::Identity {
         name: name("entry", index),
         domain: name("domain", index),
     }
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -49,7 +49,7 @@
 
 impl Bench {
     fn new(work: Work) -> Self {
-        let mut gate = gate::Gate::new(scene::home(0), ME, gate::Limits::default());
+        let mut gate = gate::Gate::new(scene::identity(0), ME, gate::Limits::default());
         let view = scene::view(3, &[(0, ME), (1, PEER)]);
         let mut out = Vec::new();
         gate.handle(clock::Time::ZERO, gate::Event::View(view), &mut out);
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -173,7 +173,7 @@
         Process {
             incarnation,
             traffic: Some(traffic::Traffic::with_safeguards(
-                scene::home(index),
+                scene::identity(index),
                 incarnation,
                 self.limits,
                 self.safe,
--- a/crates/measure/src/cost.rs
+++ b/crates/measure/src/cost.rs
@@ -7,7 +7,7 @@
 
 use entity::EntityRef;
 use steer::clock::Time;
-use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Home};
+use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Identity};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, Fingerprint, Origin, RequestId};
 use steer::version::view::{
@@ -35,7 +35,7 @@
 }
 
 fn measure(targets: usize, seed: u64) -> (u128, u128, u128) {
-    let home = Home {
+    let home = Identity {
         name: Arc::from("entry"),
         domain: Arc::from("domain"),
     };
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -207,7 +207,7 @@
     let bound = Pool::<()>::share(330, layout.entries.len());
     let make = |(at, &domain): (usize, &usize)| {
         let name: Arc<str> = Arc::from(format!("entry-{at:02}"));
-        let home = dispatch::Home {
+        let home = dispatch::Identity {
             name: Arc::clone(&name),
             domain: domain_name(domain),
         };
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use steer::clock::Time;
-use steer::process::dispatch::{AttemptOutcome, Home, TICK};
+use steer::process::dispatch::{AttemptOutcome, Identity, TICK};
 use steer::process::gate;
 use steer::process::share::{Guards, Route};
 use steer::process::traffic::{Event, Traffic};
@@ -440,7 +440,7 @@
 
 fn nodes(view: &View, guards: Guards, rng: &mut fastrand::Rng) -> Vec<Node> {
     let make = |(at, data): (usize, &steer::version::view::MemberData)| {
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&data.name),
             domain: Arc::clone(&view.domains[data.domain].name),
         };
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -20,7 +20,7 @@
 
 use std::sync::Arc;
 
-pub use message::{Action, AttemptOutcome, Event, Home, Place, Report, TICK};
+pub use message::{Action, AttemptOutcome, Event, Identity, Place, Report, TICK};
 
 use crate::clock::Time;
 use crate::process::safeguard::Safeguard;
@@ -36,10 +36,10 @@
 
 /// The dispatcher's state.
 pub struct Dispatch {
-    home: Home,
+    identity: Identity,
     tuning: Tuning,
     view: Arc<View>,
-    /// Region of the home domain in the view in force.
+    /// Region of this instance's failure domain in the view in force.
     region: Option<Region>,
     tracks: target::Table,
     /// Services, sorted by name.
@@ -62,15 +62,15 @@
 impl Dispatch {
     /// A dispatcher with nothing in flight and an empty view.
     #[must_use]
-    pub fn new(home: Home, rng: fastrand::Rng) -> Self {
-        Self::tuned(home, Tuning::default(), rng)
+    pub fn new(identity: Identity, rng: fastrand::Rng) -> Self {
+        Self::tuned(identity, Tuning::default(), rng)
     }
 
     /// The same with limits and safeguards of choice.
     #[must_use]
-    pub fn tuned(home: Home, tuning: Tuning, rng: fastrand::Rng) -> Self {
+    pub fn tuned(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
         Self {
-            home,
+            identity,
             tuning,
             view: Arc::default(),
             region: None,
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -151,7 +151,7 @@
         let fits = |member: &Member| {
             let data = &view.members[*member];
             let region = &view.regions[view.domains[data.domain].region].name;
-            let other = data.name != self.home.name && data.state == State::Live;
+            let other = data.name != self.identity.name && data.state == State::Live;
             other && regions.contains(&region)
         };
         let lenders: Vec<Member> = view.members.keys().filter(fits).collect();
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -227,7 +227,7 @@
 
 /// Where this instance stands.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct Identity {
     /// Its configured name.
     pub name: Arc<str>,
     /// Name of its failure domain.
--- a/crates/steer/src/process/dispatch/renew.rs
+++ b/crates/steer/src/process/dispatch/renew.rs
@@ -30,14 +30,14 @@
 impl Dispatch {
     pub(super) fn renew(&mut self, now: Time, view: Arc<View>, out: &mut Vec<Action>) {
         let first = self.view.version.0 == 0;
-        let home = view.domain(&self.home.domain);
+        let home = view.domain(&self.identity.domain);
         self.region = home.map(|h| view.domains[h].region);
         let newcomers = has_newcomers(&self.view, &view);
         self.view = view;
         if newcomers {
             self.tell_culprits(out);
         }
-        self.shares.configure(now, &self.view, &self.home.name);
+        self.shares.configure(now, &self.view, &self.identity.name);
         self.renew_tracks(now, home, first);
         let mut old = mem::take(&mut self.groups);
         for service in self.view.services.keys() {
@@ -215,7 +215,7 @@
         let here = |m: &&MemberData| Some(m.domain) == home && m.state == State::Live;
         let members = self.view.members.values().filter(here);
         let names: Vec<&Arc<str>> = members.map(|m| &m.name).collect();
-        let place = names.binary_search(&&self.home.name).unwrap_or(0);
+        let place = names.binary_search(&&self.identity.name).unwrap_or(0);
         let subset = count.div_ceil(names.len().max(1)).max(SUBSET).min(count);
         locals.rotate_left(place * subset % count);
         subset
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -46,7 +46,7 @@
 /// The gate's state.
 pub struct Gate {
     me: view::Incarnation,
-    home: dispatch::Home,
+    home: dispatch::Identity,
     limits: Limits,
     safe: Safeguards,
     view: Arc<view::View>,
@@ -68,14 +68,14 @@
 impl Gate {
     /// A gate with no records and an empty view.
     #[must_use]
-    pub fn new(home: dispatch::Home, me: view::Incarnation, limits: Limits) -> Self {
+    pub fn new(home: dispatch::Identity, me: view::Incarnation, limits: Limits) -> Self {
         Self::with_safeguards(home, me, limits, Safeguards::ALL)
     }
 
     /// The same with safeguards taken out. For the explorer and tests only.
     #[must_use]
     pub fn with_safeguards(
-        home: dispatch::Home,
+        home: dispatch::Identity,
         me: view::Incarnation,
         limits: Limits,
         safe: Safeguards,
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -33,41 +33,41 @@
     /// An engine with nothing in flight and an empty view.
     #[must_use]
     pub fn new(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         rng: fastrand::Rng,
     ) -> Self {
-        Self::with_safeguards(home, me, limits, gate::Safeguards::ALL, rng)
+        Self::with_safeguards(identity, me, limits, gate::Safeguards::ALL, rng)
     }
 
     /// The same with the dispatcher's limits of choice.
     #[must_use]
     pub fn tuned(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         tuning: dispatch::tuning::Tuning,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            dispatch: dispatch::Dispatch::tuned(home.clone(), tuning, rng.clone()),
-            ..Self::new(home, me, limits, rng)
+            dispatch: dispatch::Dispatch::tuned(identity.clone(), tuning, rng.clone()),
+            ..Self::new(identity, me, limits, rng)
         }
     }
 
     /// The same with safeguards taken out. For the explorer and tests only.
     #[must_use]
     pub fn with_safeguards(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         safe: gate::Safeguards,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            gate: gate::Gate::with_safeguards(home.clone(), me, limits, safe),
-            dispatch: dispatch::Dispatch::new(home, rng),
+            gate: gate::Gate::with_safeguards(identity.clone(), me, limits, safe),
+            dispatch: dispatch::Dispatch::new(identity, rng),
             outbox: outbox::Outbox::default(),
             arriving: None,
             asked: Vec::new(),
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -105,7 +105,7 @@
 
 impl History {
     fn new(seed: u64) -> Self {
-        let home = dispatch::Home {
+        let identity = dispatch::Identity {
             name: Arc::from("e1"),
             domain: Arc::from("a1"),
         };
@@ -113,7 +113,7 @@
         tuning.limits.in_flight = 12;
         tuning.limits.queue = 16;
         Self {
-            dispatch: Dispatch::tuned(home, tuning, fastrand::Rng::with_seed(seed)),
+            dispatch: Dispatch::tuned(identity, tuning, fastrand::Rng::with_seed(seed)),
             now: Time::ZERO,
             version: 0,
             fates: Vec::new(),
--- a/crates/steer/tests/dispatch_newcomer.rs
+++ b/crates/steer/tests/dispatch_newcomer.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::dispatch::{Action, Dispatch, Event, Home};
+use steer::process::dispatch::{Action, Dispatch, Event, Identity};
 use steer::request::arrival::Fingerprint;
 use steer::request::poison::{self, Suspects};
 use steer::version::view;
@@ -42,11 +42,11 @@
 #[case::nobody_new(2, &[("a", 1)], 0)]
 #[case::only_suspected(1, &[("a", 1), ("b", 2)], 0)]
 fn newcomer_told(#[case] strikes: u8, #[case] members: &[(&str, u64)], #[case] told: usize) {
-    let home = Home {
+    let identity = Identity {
         name: "a".into(),
         domain: "d".into(),
     };
-    let mut dispatch = Dispatch::new(home, fastrand::Rng::with_seed(1));
+    let mut dispatch = Dispatch::new(identity, fastrand::Rng::with_seed(1));
     let mut out = Vec::new();
     let now = Time::ZERO;
     dispatch.handle(now, Event::View(fleet(&[("a", 1)])), &mut out);
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -68,13 +68,13 @@
         tuning.limits.in_flight = flight;
     }
     let seed = number(case, "seed").unwrap_or(1);
-    let home = dispatch::Home {
+    let identity = dispatch::Identity {
         name: Arc::from("e1"),
         domain: Arc::from("a1"),
     };
     let rng = fastrand::Rng::with_seed(seed as u64);
     let mut script = Script {
-        dispatch: Dispatch::tuned(home, tuning, rng),
+        dispatch: Dispatch::tuned(identity, tuning, rng),
         now: Time::ZERO,
         loud: true,
         attempts: Vec::new(),
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -31,7 +31,7 @@
 
 impl Bench {
     fn new(limits: gate::Limits) -> Self {
-        let home = dispatch::Home {
+        let home = dispatch::Identity {
             name: "entry0".into(),
             domain: "domain0".into(),
         };
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -8,7 +8,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::dispatch::{AttemptOutcome, Home, Place};
+use steer::process::dispatch::{AttemptOutcome, Identity, Place};
 use steer::process::gate::Limits;
 use steer::process::share::{Guards, SETTLE, window};
 use steer::process::traffic::{Action, Event, TICK, Traffic};
@@ -47,7 +47,7 @@
 impl Engine {
     /// An engine that has held its slot for long enough.
     fn new(plan: &Plan, guards: Guards, bytes: usize) -> Self {
-        let home = Home {
+        let home = Identity {
             name: "e000".into(),
             domain: "a".into(),
         };
