--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -89,12 +89,12 @@
 
 /// Open connections, and how many there may be.
 #[derive(Clone, Debug)]
-pub struct Count {
+pub struct ConnectionCount {
     open: Arc<AtomicUsize>,
     most: usize,
 }
 
-impl Count {
+impl ConnectionCount {
     /// None open, `most` at a time.
     pub fn new(most: usize) -> Self {
         Self {
@@ -123,7 +123,7 @@
 
 /// Callers' connections at a time: each request needs a connection to a target
 /// besides its own.
-pub fn most(settings: &Settings) -> usize {
+pub fn max_connections(settings: &Settings) -> usize {
     let most = settings.descriptors.saturating_sub(RESERVE) / 2;
     usize::try_from(most).unwrap_or(usize::MAX)
 }
@@ -162,14 +162,14 @@
     service: S,
     socket: net::TcpListener,
     executor: Executor,
-    count: Count,
+    count: ConnectionCount,
 ) {
     let shared = Arc::clone(service.shared());
     let numbers = AtomicU64::new(0);
     loop {
         let accepted = async { Some(socket.accept().await) };
         let closing = async {
-            shared.closed().await;
+            shared.until_closing().await;
             None
         };
         let (mut stream, addr) = match future::or(closing, accepted).await {
@@ -181,7 +181,7 @@
             }
         };
         let Some(entered) = count.enter() else {
-            shared.metrics.turned_away.inc();
+            shared.metrics.rejected_connections.inc();
             // It may have left already; its request isn't read in any case.
             let _ = stream.write(TOO_MANY).await;
             continue;
@@ -196,7 +196,7 @@
         let shared = Arc::clone(&shared);
         let serve = async move {
             let _entered = entered;
-            connection.serve(shared.closed()).await;
+            connection.serve(shared.until_closing()).await;
         };
         executor.spawn(serve).detach();
     }
@@ -213,19 +213,19 @@
 const QUIET: Duration = Duration::from_millis(300);
 
 /// Time from the word to stop to the end of the process, at most.
-pub fn last(settings: &Settings) -> Duration {
+pub fn shutdown_timeout(settings: &Settings) -> Duration {
     settings.bounds.grace.mul_f64(END)
 }
 
 /// Waits until callers have gone, at most for the grace time, which runs since
 /// `start`.
-pub async fn drained(shared: &Shared, start: Instant) {
+pub async fn drain(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
-    let count = &shared.count;
+    let count = &shared.connections;
     let mut quiet = start;
-    while start.elapsed() < last(&shared.settings) {
+    while start.elapsed() < shutdown_timeout(&shared.settings) {
         if start.elapsed() > grace.mul_f64(LINGER) {
-            shared.close();
+            shared.start_closing();
         }
         if count.get() > 0 || shared.phase() < Phase::Closing {
             quiet = Instant::now();
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -21,7 +21,7 @@
 use steer::process::direct::{Contact, Direct};
 use wire::near;
 
-use super::peer::Link;
+use super::peer::Connection;
 use super::{Executor, Shared, events, lock, member};
 
 /// Time that a watch waits for changes. Also the longest time for which a
@@ -83,7 +83,7 @@
     shared: Arc<Shared>,
     executor: Executor,
     /// Connection to the instance last read from.
-    link: Option<Link>,
+    link: Option<Connection>,
     /// Whether the last call to the store failed.
     lost: bool,
     /// Where it last read from, as the log names it.
@@ -175,7 +175,8 @@
                     smol::Timer::after(pause).await;
                     return;
                 }
-                self.shared.note(|now, d| d.upstream_failed(now, &upstream));
+                self.shared
+                    .update(|now, d| d.upstream_failed(now, &upstream));
                 let first = self.shared.read(|now, d| d.is_reader(now));
                 smol::Timer::after(if first { PAUSE } else { PAUSE_OTHERS }).await;
             }
@@ -185,7 +186,8 @@
                     return;
                 }
                 events::upstream_failed(&self.shared, name);
-                self.shared.note(|now, d| d.upstream_failed(now, &upstream));
+                self.shared
+                    .update(|now, d| d.upstream_failed(now, &upstream));
                 smol::Timer::after(PAUSE_PEER).await;
             }
         }
@@ -207,7 +209,7 @@
         fit: impl Fn(&Shared, (&near::Changes, Time)) -> bool,
     ) -> bool {
         if self.link.as_ref().is_none_or(|link| link.addr() != addr) {
-            self.link = Link::open(addr, &self.executor).await;
+            self.link = Connection::open(addr, &self.executor).await;
         }
         let Some(link) = &self.link else {
             return false;
@@ -302,7 +304,7 @@
 /// What came first at a start.
 enum First {
     /// An instance, by name, has told everything.
-    Told(Arc<str>, Link, near::Changes, Time),
+    Told(Arc<str>, Connection, near::Changes, Time),
     /// The store has answered.
     Read(Result<Read, Error>),
 }
@@ -313,8 +315,8 @@
     shared: &Shared,
     addr: SocketAddr,
     executor: &Executor,
-) -> Option<(Link, near::Changes)> {
-    let link = Link::open(addr, executor).await?;
+) -> Option<(Connection, near::Changes)> {
+    let link = Connection::open(addr, executor).await?;
     let known = lock(&shared.replica).revision();
     let changes = link.changes(known, Duration::ZERO).await?;
     is_fresh(&changes).then_some((link, changes))
@@ -400,7 +402,7 @@
         before = ahead.map(|_| revision);
         if let Some(addr) = freshest.or(ahead.filter(|_| stuck)) {
             let asked = shared.now();
-            let answer = match Link::open(addr, &executor).await {
+            let answer = match Connection::open(addr, &executor).await {
                 Some(link) => link.changes(revision, Duration::ZERO).await,
                 None => None,
             };
