--- a/crates/auburnrouter/src/direct/date.rs
+++ b/crates/auburnrouter/src/direct/date.rs
@@ -1,29 +1,30 @@
-//! The date that answers bear, printed once a second.
+//! `Date` header of answers, formatted at most once a second on each thread.
 
 use std::cell::RefCell;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-struct Printed {
+/// Formatted date and the second of the Unix epoch that it belongs to.
+struct CachedDate {
     second: u64,
     text: String,
 }
 
 thread_local! {
-    static PRINTED: RefCell<Printed> = const {
-        RefCell::new(Printed { second: u64::MAX, text: String::new() })
+    static CACHED: RefCell<CachedDate> = const {
+        RefCell::new(CachedDate { second: u64::MAX, text: String::new() })
     };
 }
 
-/// Gives the date of now.
-pub fn with<T>(take: impl FnOnce(&str) -> T) -> T {
+/// Passes the current date, formatted for the `Date` header, to `use_date`.
+pub fn with<T>(use_date: impl FnOnce(&str) -> T) -> T {
     let now = SystemTime::now();
-    // A clock before 1970 is wrong, and so is any date that it gives.
+    // A clock set before 1970 is wrong in any case; 1 January 1970 is used then.
     let second = now.duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs());
-    PRINTED.with_borrow_mut(|printed| {
-        if printed.second != second {
-            printed.second = second;
-            printed.text = httpdate::fmt_http_date(now.max(UNIX_EPOCH));
+    CACHED.with_borrow_mut(|cached| {
+        if cached.second != second {
+            cached.second = second;
+            cached.text = httpdate::fmt_http_date(now.max(UNIX_EPOCH));
         }
-        take(&printed.text)
+        use_date(&cached.text)
     })
 }
--- a/crates/auburnrouter/src/direct/listeners.rs
+++ b/crates/auburnrouter/src/direct/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets of an instance.
+//! Sockets that an instance listens on.
 
 use futures_lite::future;
 use settings::direct::{Listen, Settings};
@@ -6,7 +6,7 @@
 
 use super::Failure;
 
-/// All sockets that are listened on.
+/// Listening sockets, one per service of the instance.
 pub(super) struct Listeners {
     pub(super) callers: net::TcpListener,
     pub(super) ready: net::TcpListener,
@@ -17,7 +17,7 @@
 }
 
 impl Listeners {
-    /// Where they listen: port 0 leaves that to the system.
+    /// Local addresses, with the ports that the system chose for port 0.
     pub(super) fn addresses(&self) -> Result<Listen, Failure> {
         Ok(Listen {
             callers: self.callers.local_addr()?,
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Listens on the addresses of the settings.
+    /// Binds all addresses of the settings.
     pub(super) fn bind(settings: &Settings) -> Result<Self, Failure> {
         let bind = |addr| {
             future::block_on(net::TcpListener::bind(addr)).map_err(|e| Failure::Listen(addr, e))
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -1,11 +1,11 @@
-//! Calls between instances: what one knows of the platform's store, for another.
+//! Calls between instances, by which one learns from another what the platform's
+//! store holds.
 //!
-//! A call waits for news, as a watch of the store does, so that an instance that
-//! reads from another knows of a change as soon as that one does.
+//! A call waits for changes, like a watch of the store, so that an instance that reads
+//! from another learns of a change as soon as that one does.
 //!
-//! Invariants: each call is bounded in time, as a connection may go silent
-//! without a reset; an answer is never older than what the asked instance had
-//! applied when it answered.
+//! Invariants: each call has a timeout, since a connection may go silent without a
+//! reset; an answer never claims to be fresher than the items it contains.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -23,50 +23,52 @@
 use super::{Executor, Shared, lock};
 use crate::daemon::peers;
 
-/// Calls that an instance takes from others.
+/// Calls that an instance serves to other instances.
 #[tarpc::service]
 pub trait Peer {
-    /// What the caller, who knows everything up to revision `known`, has missed:
-    /// as soon as there is something, or the store has confirmed that there is
-    /// nothing, at the latest after `wait_ms`.
+    /// Changes of the store after revision `known`. If there are none yet, answers at
+    /// the next update from the store, which may confirm that nothing changed, or
+    /// after `wait_ms` at the latest.
     async fn changes(known: u64, wait_ms: u32) -> Changes;
 }
 
-/// Time for a call to another instance beyond what it waits for news.
-const CALL: Duration = Duration::from_millis(700);
+/// Time for a call to another instance, on top of the time for which it may wait there
+/// for changes.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time to connect to another instance. One that is cut off doesn't answer, and
-/// there are others to ask.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time to connect to another instance. An unreachable one does not answer at all, and
+/// others can be asked instead.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait for news that is granted.
-const WAIT_MOST: Duration = Duration::from_secs(10);
+/// Longest wait for changes that another instance may ask for.
+const WAIT_MAX: Duration = Duration::from_secs(10);
 
-/// Pause after the system refused to accept.
-const REFUSED: Duration = Duration::from_millis(250);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Changes since everything was last packed from which on it is packed anew.
-const REPACK: usize = 64;
+/// Changes missing from the cached snapshot from which on it is rebuilt.
+const SNAPSHOT_MISSED_MAX: usize = 64;
 
-/// Everything, packed for instances that start; many often do at a time.
+/// Compressed snapshot of the store for instances that start. Many often start at the
+/// same time, so it is built once for all of them.
 #[derive(Debug, Default)]
 pub struct SnapshotCache(Mutex<Option<Changes>>);
 
-/// Answers other instances until the process ends.
+/// Serves other instances' calls until the process ends.
 pub async fn serve(shared: Arc<Shared>, socket: net::TcpListener, executor: Executor) {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
-            smol::Timer::after(REFUSED).await;
+            smol::Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let transport = serde_transport::new(peers::frames(stream), Bincode::default());
         let channel = server::BaseChannel::with_defaults(transport);
-        let calls = channel.execute(Answering(Arc::clone(&shared)).serve());
-        let calls_on = Arc::clone(&executor);
+        let calls = channel.execute(PeerServer(Arc::clone(&shared)).serve());
+        let call_executor = Arc::clone(&executor);
         let run = async move {
             let mut calls = std::pin::pin!(calls);
             while let Some(call) = calls.next().await {
-                calls_on.spawn(call.compat()).detach();
+                call_executor.spawn(call.compat()).detach();
             }
         };
         executor.spawn(run.compat()).detach();
@@ -74,26 +76,28 @@
 }
 
 #[derive(Clone)]
-struct Answering(Arc<Shared>);
+struct PeerServer(Arc<Shared>);
 
-impl Peer for Answering {
+impl Peer for PeerServer {
     async fn changes(self, _: context::Context, known: u64, wait_ms: u32) -> Changes {
         let shared = &self.0;
         let asked = shared.now();
-        let told = shared.updated.listen();
+        let update = shared.updated.listen();
         if lock(&shared.replica).revision() <= known {
-            let wait = Duration::from_millis(wait_ms.into()).min(WAIT_MOST);
-            let over = async {
+            let wait = Duration::from_millis(wait_ms.into()).min(WAIT_MAX);
+            let timeout = async {
                 smol::Timer::after(wait).await;
             };
-            future::or(told, over).await;
+            future::or(update, timeout).await;
         }
         changes(shared, known, asked)
     }
 }
 
+/// Builds the answer to a call that arrived at `asked`: the changes after `known`, or a
+/// full snapshot if `known` is older than the oldest deletion still recorded.
 fn changes(shared: &Shared, known: u64, asked: Time) -> Changes {
-    // Read before the replica, which then holds at least what they speak of.
+    // Read before the replica, so that the replica holds at least what these confirm.
     let (contact, stale, held) =
         shared.read(|now, d| (d.contact(now), d.staleness(now), now.since(asked)));
     let replica = lock(&shared.replica);
@@ -101,68 +105,69 @@
     if !update.whole || update.revision == 0 {
         return Changes::new(&update, contact).answered(stale, held);
     }
-    let mut packed = lock(&shared.snapshot_cache.0);
-    if let Some(old) = &*packed {
-        let missed = replica.since(old.revision);
-        if !missed.whole && missed.items.len() < REPACK {
-            // The receiver asks for the few changes since at once.
+    let mut cache = lock(&shared.snapshot_cache.0);
+    if let Some(cached) = &*cache {
+        let missed = replica.since(cached.revision);
+        if !missed.whole && missed.items.len() < SNAPSHOT_MISSED_MAX {
+            // The cached snapshot lacks a few changes; the receiver asks for them in its
+            // next call. Until then its staleness is unknown.
             let stale = stale.filter(|_| missed.items.is_empty());
-            return old.clone().confirmed(contact).answered(stale, held);
+            return cached.clone().confirmed(contact).answered(stale, held);
         }
     }
     let new = Changes::new(&update, contact);
-    *packed = Some(new.clone());
+    *cache = Some(new.clone());
     new.answered(stale, held)
 }
 
 /// A connection to another instance.
 pub struct Connection {
     addr: SocketAddr,
-    calls: PeerClient,
-    /// Carries the calls; ends when it is dropped.
-    _carrier: smol::Task<()>,
+    client: PeerClient,
+    /// Task that sends the calls; cancelled on drop.
+    _dispatch: smol::Task<()>,
 }
 
 impl Connection {
-    /// Connects; `None` if nobody answers in time.
+    /// Connects; `None` if the connection fails or is not established in time.
     pub async fn open(addr: SocketAddr, executor: &Executor) -> Option<Self> {
-        let late = async {
-            smol::Timer::after(CONNECT).await;
+        let timeout = async {
+            smol::Timer::after(CONNECT_TIMEOUT).await;
             None
         };
         let connect = async { net::TcpStream::connect(addr).await.ok() };
-        let stream = future::or(connect, late).await?;
+        let stream = future::or(connect, timeout).await?;
         let transport = serde_transport::new(peers::frames(stream), Bincode::default());
-        let calls = PeerClient::new(client::Config::default(), transport);
-        let dispatch = calls.dispatch;
-        let carry = async move {
-            // It ends with the connection; each call says itself what became of it.
+        let peer = PeerClient::new(client::Config::default(), transport);
+        let dispatch = peer.dispatch;
+        let run_dispatch = async move {
+            // Ends with the connection. Its error is of no use: each call reports its own.
             let _ = dispatch.await;
         };
         Some(Self {
             addr,
-            calls: calls.client,
-            _carrier: executor.spawn(carry.compat()),
+            client: peer.client,
+            _dispatch: executor.spawn(run_dispatch.compat()),
         })
     }
 
-    /// Where it leads.
+    /// Address of the other instance.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// What was missed since `known`, at the latest after `wait`; `None` if no
-    /// answer came in time.
+    /// Asks for the changes after revision `known`, for which the other instance may
+    /// wait up to `wait`. `None` if the call fails or is not answered in time.
     pub async fn changes(&self, known: u64, wait: Duration) -> Option<Changes> {
-        let span = wait + CALL;
+        let limit = wait + CALL_TIMEOUT;
         let mut context = context::current();
-        context.deadline = Instant::now() + span;
+        context.deadline = Instant::now() + limit;
         let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-        let late = async {
-            smol::Timer::after(span).await;
+        let timeout = async {
+            smol::Timer::after(limit).await;
             None
         };
-        let call = async { self.calls.changes(context, known, wait).await.ok() };
-        future::or(call.compat(), late).await
+        let call = async { self.client.changes(context, known, wait).await.ok() };
+        future::or(call.compat(), timeout).await
     }
 }
