--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt of a request at one target.
+//! Sends a request to one target and classifies the outcome of the attempt.
 //!
-//! Invariants: an answer is handed on only when it is whole and is the answer
-//! to this request; "not run" is only said when the target says so or no byte
-//! left this process.
+//! Invariants: an answer is passed on only if it is complete and answers this
+//! request. An attempt is reported as not run only if the target says so,
+//! another target answered at its address, or no byte left this process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,74 +18,83 @@
 use super::Shared;
 use super::server::Response;
 
-/// Longest answer that is taken from a target. It is held whole, so that one
-/// that breaks off is never mistaken for a complete one.
-const ANSWER: usize = 16 * 1024 * 1024;
+/// Longest body of a target's answer. Answers are buffered in full before they are
+/// passed on, so that a truncated one is never taken for a complete one.
+const ANSWER_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// A caller's request, whole.
+/// A caller's complete request, as it is sent to targets.
 #[derive(Clone, Debug)]
-pub struct Whole {
-    /// Its method.
+pub struct ForwardedRequest {
+    /// Method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers, without those of the connection.
+    /// Headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
-    /// What the caller calls it.
+    /// Request id set by the caller; the answer must carry the same.
     pub id: Option<HeaderValue>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
 }
 
-/// How an attempt ended, and what the target said.
-pub struct Ended {
-    /// How.
-    pub ending: Ending,
-    /// The target's whole answer.
+/// Result of an attempt.
+pub struct Completion {
+    /// Classification of the attempt.
+    pub outcome: Ending,
+    /// The complete answer, whatever the outcome; `None` if none was received.
     pub answer: Option<Response>,
-    /// What the target says of itself, if the answer is its own.
-    pub word: Option<Word>,
+    /// Load and limit that the target reports, if it is the one that answered.
+    pub feedback: Option<Word>,
 }
 
-impl Ended {
-    fn without(ending: Ending) -> Self {
+impl Completion {
+    fn without_answer(outcome: Ending) -> Self {
         Self {
-            ending,
+            outcome,
             answer: None,
-            word: None,
+            feedback: None,
         }
     }
 }
 
-/// Sends a request to a target and reads its whole answer.
-pub async fn run(shared: &Arc<Shared>, go: &Go, whole: &Whole, left: Duration) -> Ended {
-    let Ok(request) = request(go, whole, left) else {
-        return Ended::without(Ending::Unreached);
+/// Sends a request to the assigned target and reads the complete answer. The target
+/// is told that `remaining` is left of the request's time; the caller of this
+/// function enforces it.
+pub async fn run(
+    shared: &Arc<Shared>,
+    assignment: &Go,
+    forwarded: &ForwardedRequest,
+    remaining: Duration,
+) -> Completion {
+    let Ok(request) = request(assignment, forwarded, remaining) else {
+        return Completion::without_answer(Ending::Unreached);
     };
     let pool = &shared.target_pool;
-    // What must not run twice goes on a connection of its own: whether it was
-    // sent is then never in doubt because an idle connection was just closing.
-    let sent = if whole.idempotent {
-        pool.send(go.addr, request).await
+    // A request that must not run twice gets a new connection: on a reused one that
+    // the target is just closing, it would stay unknown whether it was received.
+    let sent = if forwarded.idempotent {
+        pool.send(assignment.addr, request).await
     } else {
-        pool.send_alone(go.addr, request).await
+        pool.send_alone(assignment.addr, request).await
     };
     let exchange = match sent {
         Ok(exchange) => exchange,
-        Err(pool::Error::Unsent | pool::Error::Full) => return Ended::without(Ending::Unreached),
-        Err(pool::Error::Broken) => return Ended::without(Ending::Broken),
-        Err(pool::Error::Garbled) => return Ended::without(Ending::Garbled),
+        Err(pool::Error::Unsent | pool::Error::Full) => {
+            return Completion::without_answer(Ending::Unreached);
+        }
+        Err(pool::Error::Broken) => return Completion::without_answer(Ending::Broken),
+        Err(pool::Error::Garbled) => return Completion::without_answer(Ending::Garbled),
     };
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
-    let Ok(body) = Limited::new(body, ANSWER).collect().await else {
-        return Ended::without(Ending::Broken);
+    let Ok(body) = Limited::new(body, ANSWER_MAX_BYTES).collect().await else {
+        return Completion::without_answer(Ending::Broken);
     };
-    let said = headers::answer(&head.headers);
-    let ending = judge(head.status, &said, whole);
-    if ending != Ending::Garbled && whole.idempotent {
+    let info = headers::answer(&head.headers);
+    let outcome = classify(head.status, &info, forwarded);
+    if outcome != Ending::Garbled && forwarded.idempotent {
         rest.put_back();
     }
     let mut fields = head.headers;
@@ -94,44 +103,45 @@
     let mut answer = Response::new(body.to_bytes());
     *answer.status_mut() = head.status;
     *answer.headers_mut() = fields;
-    let own = !matches!(ending, Ending::Garbled | Ending::Elsewhere);
-    Ended {
-        ending,
+    let is_own = !matches!(outcome, Ending::Garbled | Ending::Elsewhere);
+    Completion {
+        outcome,
         answer: Some(answer),
-        word: own.then_some(Word {
-            load: said.load.map(|l| l.running.saturating_add(l.waiting)),
-            limit: said.limit,
+        feedback: is_own.then_some(Word {
+            load: info.load.map(|l| l.running.saturating_add(l.waiting)),
+            limit: info.limit,
         }),
     }
 }
 
-/// What a whole answer means.
-fn judge(status: StatusCode, said: &headers::Answer, whole: &Whole) -> Ending {
-    if whole.id.is_some() && said.id != whole.id {
+/// Classifies a complete answer by its status and headers.
+fn classify(status: StatusCode, info: &headers::Answer, forwarded: &ForwardedRequest) -> Ending {
+    if forwarded.id.is_some() && info.id != forwarded.id {
         return Ending::Garbled;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Ending::Elsewhere;
     }
-    // No final answer, though it came as one.
+    // A final answer never has an interim status.
     if status.is_informational() {
         return Ending::Garbled;
     }
-    if said.not_run {
+    if info.not_run {
         return Ending::NotRun;
     }
-    if status.is_success() && (!said.sealed || said.encoded) {
+    if status.is_success() && (!info.sealed || info.encoded) {
         return Ending::Garbled;
     }
-    if status.is_server_error() || promises(status) {
+    if status.is_server_error() || implies_not_run(status) {
         return Ending::Failed;
     }
     Ending::Answered
 }
 
-/// Whether a status says to callers that the request has not run. A target
-/// that sends one without saying so itself may have run it.
-pub fn promises(status: StatusCode) -> bool {
+/// Whether callers take a status to mean that the request did not run. A target that
+/// sends one of these without its not-run header may have run the request, so the
+/// status must not be passed on.
+pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -141,15 +151,19 @@
     )
 }
 
-fn request(go: &Go, whole: &Whole, left: Duration) -> Result<pool::Request, hyper::http::Error> {
+fn request(
+    assignment: &Go,
+    forwarded: &ForwardedRequest,
+    remaining: Duration,
+) -> Result<pool::Request, hyper::http::Error> {
     let mut request = hyper::Request::builder()
-        .method(whole.method.clone())
-        .uri(whole.uri.clone())
-        .body(Full::new(whole.body.clone()))?;
-    let mut fields = whole.headers.clone();
+        .method(forwarded.method.clone())
+        .uri(forwarded.uri.clone())
+        .body(Full::new(forwarded.body.clone()))?;
+    let mut fields = forwarded.headers.clone();
     fields.remove(TRANSFER_ENCODING);
     fields.remove(CONTENT_LENGTH);
-    headers::address(&mut fields, &go.target, left);
+    headers::address(&mut fields, &assignment.target, remaining);
     *request.headers_mut() = fields;
     Ok(request)
 }
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -1,8 +1,10 @@
-//! Callers' requests: read whole, steered, sent, answered.
+//! Handles callers' requests: routes, authorizes and steers each one, sends it to
+//! targets, and returns an answer.
 //!
-//! Invariants: 429, 503 and 408 are only said of a request that has not run and
-//! will not; everything else that fails is 502 or 504. A caller that leaves
-//! takes its request with it. A caller's key goes no further than here.
+//! Invariants: 429, 503 and 408 are sent only for a request that has not run and
+//! will not run; a request that may have run and has no usable answer gets 502 or
+//! 504. When a caller disconnects, its requests are withdrawn. Where teams are
+//! configured, a caller's key is never forwarded to a target.
 
 mod body_memory;
 
@@ -23,63 +25,63 @@
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Route};
 
-use super::attempt::{self, Whole};
-use super::connection::{Arrival, Caller};
+use super::attempt::{self, ForwardedRequest};
+use super::connection::{Caller, IncomingRequest};
 use super::events::Origin;
-use super::server::{self, Refusal, Response, Service};
+use super::server::{self, ReadError, Response, Service};
 use super::{Executor, Shared, events};
 
-/// Bounds before a configuration is known.
-const UNKNOWN: server::Limits = server::Limits {
+/// Limits on requests until a configuration is known.
+const DEFAULT_LIMITS: server::Limits = server::Limits {
     head: 16 * 1024,
     body: 1024 * 1024,
-    whole: Duration::from_secs(5),
-    idle: Duration::from_secs(15),
+    request_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(15),
 };
 
-/// When a caller may come back that came before a configuration was known.
-const NOT_YET: Duration = Duration::from_millis(500);
+/// Retry delay for rejections that may clear at any moment, such as a missing
+/// configuration or one that may be out of date.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When a caller may come back whose request crashed targets.
-const POISON: Duration = Duration::from_mins(1);
+/// Retry delay for a request that crashed targets.
+const POISON_RETRY_AFTER: Duration = Duration::from_mins(1);
 
-/// Longest time that a request without a deadline of its own is kept waiting
-/// past its route's timeout: none.
-const PATIENCE: Duration = Duration::from_hours(1);
+/// Deadline of a request that names none; the route's timeout bounds it sooner.
+const DEFAULT_DEADLINE: Duration = Duration::from_hours(1);
 
-/// Time from the start for which callers wait to be accepted while no
-/// configuration is known. Where all instances start together, each caller that
-/// is turned away has used up its retry by the time the first one is ready, and
-/// all come back at the same moment.
-const START: Duration = Duration::from_millis(600);
+/// Longest delay of the first accept at startup while no configuration is known.
+/// When all instances start together, callers rejected at once would spend their
+/// retries before the first instance is ready, and then all come back at the same
+/// moment.
+const STARTUP_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Answers callers on one listener.
+/// Accepts and serves callers' connections on one listener.
 pub async fn serve(shared: Arc<Shared>, socket: net::TcpListener, executor: Executor) {
-    let late = async {
-        smol::Timer::after(START).await;
+    let timeout = async {
+        smol::Timer::after(STARTUP_CONFIG_TIMEOUT).await;
     };
-    future::or(configured(&shared), late).await;
+    future::or(wait_for_config(&shared), timeout).await;
     let count = shared.connections.clone();
-    server::accept(Callers(shared), socket, executor, count).await;
+    server::accept(CallerService(shared), socket, executor, count).await;
 }
 
-/// Ends when a configuration is known.
-async fn configured(shared: &Shared) {
+/// Waits until a configuration is known.
+async fn wait_for_config(shared: &Shared) {
     loop {
-        let told = shared.updated.listen();
+        let update = shared.updated.listen();
         if shared.read(|_, d| d.routes().is_some()) {
             return;
         }
-        told.await;
+        update.await;
     }
 }
 
 type HttpRequest = hyper::Request<Bytes>;
 
 #[derive(Clone)]
-struct Callers(Arc<Shared>);
+struct CallerService(Arc<Shared>);
 
-impl Service for Callers {
+impl Service for CallerService {
     type Reservation = Reservation;
 
     fn limits(&self) -> server::Limits {
@@ -90,24 +92,24 @@
         Reservation::take(&self.0, limits(&self.0).body, length)
     }
 
-    fn refuse(&self, caller: Caller, why: Refusal) -> Response {
-        let asker = Asker {
+    fn error_response(&self, caller: Caller, error: ReadError) -> Response {
+        let meta = RequestMeta {
             caller: headers::Caller::default(),
             origin: Origin {
-                connection: caller.number,
+                connection: caller.connection_id,
                 ..Origin::default()
             },
         };
-        match why {
-            Refusal::NoRoom => asker.reject(&self.0, "", why.word()),
-            _ => asker.own(&self.0, "", why.status(), why.word()),
+        match error {
+            ReadError::NoMemory => meta.reject(&self.0, "", error.cause()),
+            _ => meta.own_answer(&self.0, "", error.status(), error.cause()),
         }
     }
 
     fn is_idempotent(&self, request: &HttpRequest) -> bool {
         let host = host(request);
         let path = request.uri().path();
-        // What is on no route is answered here, without a run.
+        // A request on no route is answered here and never runs.
         self.0.read(|_, d| {
             let route = d.routes().and_then(|r| r.find(&host, path));
             route.is_none_or(|r| r.idempotent)
@@ -116,9 +118,9 @@
 
     fn answer(
         &self,
-        arrival: Arrival<Reservation>,
+        incoming: IncomingRequest<Reservation>,
     ) -> impl Future<Output = Response> + Send + use<> {
-        answer(Arc::clone(&self.0), arrival)
+        answer(Arc::clone(&self.0), incoming)
     }
 
     fn shared(&self) -> &Arc<Shared> {
@@ -129,7 +131,7 @@
 fn limits(shared: &Shared) -> server::Limits {
     let found = shared.read(|_, d| d.routes().map(|r| r.limits));
     found.map_or(
-        UNKNOWN,
+        DEFAULT_LIMITS,
         |Limits {
              head,
              body,
@@ -138,75 +140,77 @@
          }| server::Limits {
             head,
             body,
-            whole: arrive,
-            idle,
+            request_timeout: arrive,
+            idle_timeout: idle,
         },
     )
 }
 
-/// Takes a request out of steering when its future is dropped: its caller has
-/// closed the connection.
-struct Seat {
+/// Withdraws a request from steering on drop: once it is decided, or when its
+/// future is dropped because the caller closed the connection.
+struct TicketGuard {
     shared: Arc<Shared>,
     ticket: Ticket,
 }
 
-impl Drop for Seat {
+impl Drop for TicketGuard {
     fn drop(&mut self) {
         self.shared.release(self.ticket);
     }
 }
 
-/// A request on its way through this instance.
-struct Errand {
+/// A routed and authorized request while it is steered and sent.
+struct RoutedRequest {
     shared: Arc<Shared>,
-    whole: Whole,
+    forwarded: ForwardedRequest,
     route: Arc<Route>,
-    /// Name of the team whose it is.
+    /// Name of the team that owns the request, if it bears a key.
     team: Option<Arc<str>>,
-    /// Hash of the object it concerns; 0 if it names none.
+    /// Hash of the object that the request concerns; 0 if it names none.
     object: u64,
     arrived: Time,
     origin: Origin,
 }
 
-async fn answer(shared: Arc<Shared>, arrival: Arrival<Reservation>) -> Response {
-    let arrived = shared.at(arrival.read);
-    let begun = shared.at(arrival.begun);
-    let request = arrival.request;
-    let asker = Asker {
+/// Routes and authorizes a request, then steers it. A request that fails a check on
+/// the way is answered here.
+async fn answer(shared: Arc<Shared>, incoming: IncomingRequest<Reservation>) -> Response {
+    let arrived = shared.at(incoming.head_read);
+    let first_byte = shared.at(incoming.first_byte);
+    let request = incoming.request;
+    let meta = RequestMeta {
         caller: headers::caller(request.headers()),
         origin: Origin {
-            connection: arrival.connection,
-            ahead: arrival.ahead,
-            read_ms: millis(shared.now(), begun),
+            connection: incoming.connection_id,
+            ahead: incoming.ahead,
+            read_ms: millis(shared.now(), first_byte),
         },
     };
     let routes = shared.read(|_, d| d.routes().cloned());
     let Some(routes) = routes else {
-        return asker.reject(&shared, "", "no-config");
+        return meta.reject(&shared, "", "no-config");
     };
     let host = host(&request);
     let Some(route) = routes.find(&host, request.uri().path()).cloned() else {
-        // The route may have been added while the store was out of touch; after
-        // a 404 the caller would ask nowhere else.
+        // The route may have been added while the store was out of reach, and after
+        // a 404 the caller would not try another instance.
         if !shared.read(|now, d| d.is_in_touch(now)) {
-            return asker.reject(&shared, "", "no-route-known");
+            return meta.reject(&shared, "", "no-route-known");
         }
-        return asker.own(&shared, "", StatusCode::NOT_FOUND, "no-route");
+        return meta.own_answer(&shared, "", StatusCode::NOT_FOUND, "no-route");
     };
     let presented = headers::presented(request.headers());
     let pass = match shared.read(|now, d| d.access(now, &routes, &route, presented)) {
         Access::Open => None,
         Access::Granted(pass) => Some(pass),
         Access::Denied => {
-            let why = denied(presented);
-            return asker.own(&shared, &route.name, StatusCode::UNAUTHORIZED, why);
+            let reason = denial_reason(presented);
+            return meta.own_answer(&shared, &route.name, StatusCode::UNAUTHORIZED, reason);
         }
-        Access::Unsure => return asker.reject(&shared, &route.name, "unsure-of-keys"),
+        Access::Unsure => return meta.reject(&shared, &route.name, "unsure-of-keys"),
     };
-    let Asker { caller, origin } = asker;
-    let _reservation = arrival.reservation;
+    let RequestMeta { caller, origin } = meta;
+    let _reservation = incoming.reservation;
     let (head, body) = request.into_parts();
     let mut fields = head.headers;
     headers::strip(&mut fields);
@@ -214,19 +218,19 @@
         headers::authorize(&mut fields, pass.as_ref().map(|p| &*p.team.name));
     }
     let team = pass.as_ref().map(|p| Arc::clone(&p.team.name));
-    let patience = caller.patience.unwrap_or(PATIENCE);
+    let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
     let object = caller.object.as_ref().filter(|_| route.affinity);
-    let object = object.map(|o| object_of(&route, o.as_bytes()));
+    let object = object.map(|o| object_hash(&route, o.as_bytes()));
     let ask = Ask {
-        print: print_of(arrival.caller, &head.method, &head.uri, object, &body),
+        print: fingerprint(incoming.caller, &head.method, &head.uri, object, &body),
         object,
-        deadline: arrived + patience,
+        deadline: arrived + max_wait,
         route: Arc::clone(&route),
         pass,
     };
-    let errand = Errand {
+    let routed = RoutedRequest {
         shared,
-        whole: Whole {
+        forwarded: ForwardedRequest {
             method: head.method,
             uri: head.uri,
             headers: fields,
@@ -240,11 +244,11 @@
         arrived,
         origin,
     };
-    errand.run(ask).await
+    routed.run(ask).await
 }
 
-/// Why a caller is told that it has no key that would do.
-const fn denied(presented: Presented) -> &'static str {
+/// Reason for a 401, as counted and logged.
+const fn denial_reason(presented: Presented) -> &'static str {
     match presented {
         Presented::Nothing => "no-key",
         Presented::Malformed => "malformed-key",
@@ -252,12 +256,13 @@
     }
 }
 
-fn object_of(route: &Route, object: &[u8]) -> u64 {
+/// Hash of an object within its route.
+fn object_hash(route: &Route, object: &[u8]) -> u64 {
     direct::hash(route.name.as_bytes()) ^ direct::hash(object).rotate_left(17)
 }
 
-/// The same for a repeat of the same request by the same caller.
-fn print_of(
+/// Fingerprint that is equal for retries of the same request by the same caller.
+fn fingerprint(
     caller: IpAddr,
     method: &Method,
     uri: &Uri,
@@ -269,6 +274,7 @@
     Fingerprint(head << 64 | u128::from(direct::hash(body)))
 }
 
+/// Host that the request names, in lower case and without its port.
 fn host(request: &HttpRequest) -> String {
     let named = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = named.or_else(|| request.uri().host()).unwrap_or_default();
@@ -276,13 +282,15 @@
     host.to_ascii_lowercase()
 }
 
-impl Errand {
+impl RoutedRequest {
+    /// Sends the request to targets as decided by steering until it is answered,
+    /// rejected or out of time.
     async fn run(self, ask: Ask) -> Response {
-        let (ticket, orders) = match self.shared.submit(ask) {
+        let (ticket, decisions) = match self.shared.submit(ask) {
             Ok(taken) => taken,
-            Err(why) => return self.give_up(why, NOT_YET),
+            Err(why) => return self.rejection_response(why, DEFAULT_RETRY_AFTER),
         };
-        let seat = Seat {
+        let guard = TicketGuard {
             shared: Arc::clone(&self.shared),
             ticket,
         };
@@ -290,77 +298,80 @@
         let limit = limit.unwrap_or(self.arrived + self.route.timeout);
         let mut may_have_run = false;
         loop {
-            let order = self.until(limit, orders.recv()).await;
-            let go = match order {
-                Some(Ok(Order::Go(go))) => go,
+            let decision = self.run_until(limit, decisions.recv()).await;
+            let assignment = match decision {
+                Some(Ok(Order::Go(assignment))) => assignment,
                 Some(Ok(Order::Reject { why, after, .. })) => {
-                    drop(seat);
-                    return self.give_up(why, after);
+                    drop(guard);
+                    return self.rejection_response(why, after);
                 }
                 Some(Err(_)) | None => {
-                    drop(seat);
+                    drop(guard);
                     return if may_have_run {
-                        self.unknown()
+                        self.outcome_unknown()
                     } else {
-                        self.late()
+                        self.expired()
                     };
                 }
             };
-            let (next, answer) = self.attempt(&go, limit, &mut may_have_run).await;
-            match next {
+            let (follow_up, answer) = self.attempt(&assignment, limit, &mut may_have_run).await;
+            match follow_up {
                 Next::Again => {}
                 Next::Settled => {
-                    drop(seat);
-                    return answer.unwrap_or_else(|| self.unknown());
+                    drop(guard);
+                    return answer.unwrap_or_else(|| self.outcome_unknown());
                 }
                 Next::Reject { after } => {
-                    drop(seat);
+                    drop(guard);
                     return self.reject("rejected-by-targets", after);
                 }
             }
         }
     }
 
-    /// Waits, at most until `limit`.
-    async fn until<T>(&self, limit: Time, work: impl Future<Output = T>) -> Option<T> {
-        let left = limit.since(self.shared.now());
-        let late = async {
-            smol::Timer::after(left).await;
+    /// Runs `work` until `limit` at most; `None` if it took longer.
+    async fn run_until<T>(&self, limit: Time, work: impl Future<Output = T>) -> Option<T> {
+        let remaining = limit.since(self.shared.now());
+        let timeout = async {
+            smol::Timer::after(remaining).await;
             None
         };
-        future::or(async { Some(work.await) }, late).await
+        future::or(async { Some(work.await) }, timeout).await
     }
 
-    /// Sends the request to one target; notes whether it may have run there.
+    /// Sends the request to one target and reports the outcome to steering. Sets
+    /// `may_have_run` unless the request certainly did not run there. Returns what
+    /// to do next, and the target's answer if it may be passed on.
     async fn attempt(
         &self,
-        go: &Go,
+        assignment: &Go,
         limit: Time,
         may_have_run: &mut bool,
     ) -> (Next, Option<Response>) {
-        let began = self.shared.now();
-        let left = limit.since(began);
-        let (ending, answer, word) = if self.shared.read(|now, d| d.may_go(now, go)) {
-            let run = attempt::run(&self.shared, go, &self.whole, left);
-            match self.until(limit, run).await {
-                Some(ended) => (ended.ending, ended.answer, ended.word),
+        let start = self.shared.now();
+        let remaining = limit.since(start);
+        let (outcome, answer, feedback) = if self.shared.read(|now, d| d.may_go(now, assignment)) {
+            let run = attempt::run(&self.shared, assignment, &self.forwarded, remaining);
+            match self.run_until(limit, run).await {
+                Some(completion) => (completion.outcome, completion.answer, completion.feedback),
                 None => (Ending::Late, None, None),
             }
         } else {
             (Ending::Withdrawn, None, None)
         };
         *may_have_run |= !matches!(
-            ending,
+            outcome,
             Ending::Unreached | Ending::Withdrawn | Ending::NotRun | Ending::Elsewhere
         );
-        let (next, named) = self.shared.decide(|now, direct| {
-            let next = direct.ended(now, go.ticket, ending);
-            let named = word.is_some_and(|word| direct.hear_target(now, &go.target, word));
-            (next, named)
+        let (follow_up, limit_changed) = self.shared.decide(|now, direct| {
+            let follow_up = direct.ended(now, assignment.ticket, outcome);
+            let limit_changed = feedback
+                .is_some_and(|feedback| direct.hear_target(now, &assignment.target, feedback));
+            (follow_up, limit_changed)
         });
-        let word = word.unwrap_or_default();
-        if named {
-            events::limit_changed(&self.shared, &go.target, word.limit, self.id());
+        let feedback = feedback.unwrap_or_default();
+        if limit_changed {
+            events::limit_changed(&self.shared, &assignment.target, feedback.limit, self.id());
         }
         let status = answer.as_ref().map_or(0, |a| a.status().as_u16());
         events::attempt_ended(
@@ -370,66 +381,69 @@
                 route: &self.route.name,
                 team: self.team.as_deref(),
                 origin: self.origin,
-                target: &go.target,
-                number: go.attempt,
-                held_ms: millis(began, self.arrived),
-                took_ms: millis(self.shared.now(), began),
-                outcome: name(ending),
+                target: &assignment.target,
+                number: assignment.attempt,
+                held_ms: millis(start, self.arrived),
+                took_ms: millis(self.shared.now(), start),
+                outcome: outcome_name(outcome),
                 status,
-                feedback: word,
-                assignment: go,
+                feedback,
+                assignment,
                 object: self.object,
             },
         );
-        let usable = matches!(ending, Ending::Answered | Ending::Failed);
-        let answer = answer.filter(|a| usable && !attempt::promises(a.status()));
-        (next, answer)
+        let usable = matches!(outcome, Ending::Answered | Ending::Failed);
+        let answer = answer.filter(|a| usable && !attempt::implies_not_run(a.status()));
+        (follow_up, answer)
     }
 
+    /// Request id as text; empty if there is none or it is no ASCII text.
     fn id(&self) -> &str {
-        let id = self.whole.id.as_ref().and_then(|id| id.to_str().ok());
+        let id = self.forwarded.id.as_ref().and_then(|id| id.to_str().ok());
         id.unwrap_or_default()
     }
 
-    fn give_up(&self, why: Why, after: Duration) -> Response {
+    /// Maps a rejection by steering to the caller's response.
+    fn rejection_response(&self, why: Why, after: Duration) -> Response {
         match why {
             Why::NoTarget => self.reject("no-target", after),
             Why::NoHome => self.reject("no-home", after),
-            Why::Unsure => self.reject("unsure-of-keys", NOT_YET),
-            Why::Denied => self.own(StatusCode::UNAUTHORIZED, "key-taken-away"),
+            Why::Unsure => self.reject("unsure-of-keys", DEFAULT_RETRY_AFTER),
+            Why::Denied => self.own_answer(StatusCode::UNAUTHORIZED, "key-taken-away"),
             Why::Quota => {
-                let mut response = self.own(StatusCode::TOO_MANY_REQUESTS, "over-quota");
+                let mut response = self.own_answer(StatusCode::TOO_MANY_REQUESTS, "over-quota");
                 headers::come_back(response.headers_mut(), after);
                 response
             }
             Why::Overload => self.reject("overload", after),
-            Why::Poison => self.reject("crashes-targets", POISON),
-            Why::Doubt => self.unknown(),
+            Why::Poison => self.reject("crashes-targets", POISON_RETRY_AFTER),
+            Why::Doubt => self.outcome_unknown(),
         }
     }
 
-    /// It has not run and will not.
-    fn reject(&self, why: &str, after: Duration) -> Response {
-        let mut response = self.own(StatusCode::SERVICE_UNAVAILABLE, why);
+    /// 503 with a retry delay, for a request that has not run and will not run.
+    fn reject(&self, reason: &str, after: Duration) -> Response {
+        let mut response = self.own_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
         headers::come_back(response.headers_mut(), after);
         response
     }
 
-    /// Its time ended before it was sent.
-    fn late(&self) -> Response {
+    /// 503 for a request that ran out of time and certainly has not run.
+    fn expired(&self) -> Response {
         self.reject("late", Duration::ZERO)
     }
 
-    /// It may have run.
-    fn unknown(&self) -> Response {
+    /// 504 past the route's timeout, else 502, for a request that may have run.
+    fn outcome_unknown(&self) -> Response {
         let limit = self.arrived + self.route.timeout;
         if self.shared.now() >= limit {
-            return self.own(StatusCode::GATEWAY_TIMEOUT, "late");
+            return self.own_answer(StatusCode::GATEWAY_TIMEOUT, "late");
         }
-        self.own(StatusCode::BAD_GATEWAY, "fate-unknown")
+        self.own_answer(StatusCode::BAD_GATEWAY, "fate-unknown")
     }
 
-    fn own(&self, status: StatusCode, why: &str) -> Response {
+    /// Logs and builds an answer without a body that no target gave.
+    fn own_answer(&self, status: StatusCode, reason: &str) -> Response {
         let held = millis(self.shared.now(), self.arrived);
         let answer = events::OwnAnswer {
             request: self.id(),
@@ -437,24 +451,32 @@
             team: self.team.as_deref(),
             origin: self.origin,
             status: status.as_u16(),
-            reason: why,
+            reason,
             held_ms: held,
         };
         events::own_answer(&self.shared, &answer);
-        let mut response = server::empty(status);
-        headers::name(response.headers_mut(), self.whole.id.as_ref());
+        let mut response = server::empty_response(status);
+        headers::name(response.headers_mut(), self.forwarded.id.as_ref());
         response
     }
 }
 
-/// Whoever asks for what is answered before it is steered.
-struct Asker {
+/// Caller's headers and origin of a request that is not steered yet, or never will
+/// be.
+struct RequestMeta {
     caller: headers::Caller,
     origin: Origin,
 }
 
-impl Asker {
-    fn own(&self, shared: &Shared, route: &str, status: StatusCode, why: &str) -> Response {
+impl RequestMeta {
+    /// Logs and builds an answer without a body that no target gave.
+    fn own_answer(
+        &self,
+        shared: &Shared,
+        route: &str,
+        status: StatusCode,
+        reason: &str,
+    ) -> Response {
         let id = self.caller.id.as_ref();
         let answer = events::OwnAnswer {
             request: id.and_then(|id| id.to_str().ok()).unwrap_or_default(),
@@ -462,19 +484,20 @@
             team: None,
             origin: self.origin,
             status: status.as_u16(),
-            reason: why,
+            reason,
             held_ms: 0,
         };
         events::own_answer(shared, &answer);
-        let mut response = server::empty(status);
+        let mut response = server::empty_response(status);
         headers::name(response.headers_mut(), id);
         response
     }
 
-    /// It has not run and will not; its caller may come back soon.
-    fn reject(&self, shared: &Shared, route: &str, why: &str) -> Response {
-        let mut response = self.own(shared, route, StatusCode::SERVICE_UNAVAILABLE, why);
-        headers::come_back(response.headers_mut(), NOT_YET);
+    /// 503 with the default retry delay, for a request that has not run and will not
+    /// run.
+    fn reject(&self, shared: &Shared, route: &str, reason: &str) -> Response {
+        let mut response = self.own_answer(shared, route, StatusCode::SERVICE_UNAVAILABLE, reason);
+        headers::come_back(response.headers_mut(), DEFAULT_RETRY_AFTER);
         response
     }
 }
@@ -483,8 +506,9 @@
     u64::try_from(later.since(earlier).as_millis()).unwrap_or(u64::MAX)
 }
 
-const fn name(ending: Ending) -> &'static str {
-    match ending {
+/// Label of an outcome in metrics and the log.
+const fn outcome_name(outcome: Ending) -> &'static str {
+    match outcome {
         Ending::Answered => "answered",
         Ending::Failed => "failed",
         Ending::NotRun => "not-run",
--- a/crates/auburnrouter/src/direct/connection.rs
+++ b/crates/auburnrouter/src/direct/connection.rs
@@ -1,11 +1,14 @@
-//! One caller's connection: bytes in, requests side by side, answers in order.
+//! A caller's HTTP/1.1 connection: reads pipelined requests, runs them concurrently
+//! and writes their answers in order.
 //!
-//! What may start, which answer is due and when reading stops is decided in
-//! crate `http1`; here bytes and time come in, and futures are polled.
+//! Crate `http1` decides which request may start, which answer is due and when
+//! reading stops. This module does the I/O, polls the requests' futures and enforces
+//! timeouts.
 //!
-//! Invariants: a request arrives whole and an answer is taken within the time
-//! allowed, an idle connection ends, and a caller that leaves takes all its
-//! requests with it: their futures are dropped.
+//! Invariants: a request that does not arrive within the request timeout is answered
+//! with an error, a connection whose output stays blocked for that long or that is
+//! idle for too long is closed, and when the caller disconnects, the futures of all
+//! its requests are dropped.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -23,129 +26,133 @@
 use smol::net;
 
 use super::date;
-use super::server::{Limits, Refusal, Response, Service};
+use super::server::{Limits, ReadError, Response, Service};
 use super::socket::Socket;
 
-/// Requests of one connection that are here unanswered, each of which may be at
-/// a target. Callers that send ahead have a few under way; one that sends more
-/// is read as its answers leave.
-const AHEAD: usize = 16;
+/// Unanswered requests read from one connection, each of which may be running at a
+/// target. Usual callers pipeline a few; one that sends more is read on as its answers
+/// are written.
+const PIPELINED_REQUESTS_MAX: usize = 16;
 
-/// Bytes of a connection's answers that wait for their turn: a few dozen of the
-/// usual ones of some kilobytes.
-const ANSWERS: usize = 256 * 1024;
+/// Bytes of answers that wait behind an earlier one, from which on no further request
+/// of the connection starts. Enough for a few dozen usual answers of some kilobytes.
+const QUEUED_ANSWER_BYTES_MAX: usize = 256 * 1024;
 
-/// Bytes read at a time: a few heads.
-const READ: usize = 4096;
+/// Size of the read buffer: a few request heads.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// Reads in one turn: more than a usual caller sends at once.
-const READS: usize = 8;
+/// Reads before requests are started. Enough to read all that a usual caller sends at
+/// once.
+const READS_PER_STEP: usize = 8;
 
-/// Turns that one connection takes before others have theirs: a caller that
-/// sends without end must not keep the thread.
-const TURNS: usize = 32;
+/// Steps in one poll of a connection, so that a caller that sends without pause can't
+/// starve the other connections of the thread.
+const STEPS_PER_POLL: usize = 32;
 
-/// Longest body that is copied behind its head, so that both leave in one write.
-const COPIED: usize = 16 * 1024;
+/// Longest answer body that is copied into the output buffer, so that head and body
+/// are written in one call.
+const COPIED_BODY_BYTES_MAX: usize = 16 * 1024;
 
-/// Bytes of answers written in one piece, about.
-const PIECE: usize = 64 * 1024;
+/// Fill of the output buffer from which on no further answer is added.
+const OUTPUT_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Time to go on reading behind an answer that closes the connection. A socket
-/// that is closed with bytes unread is reset, and the answer is lost on its way;
-/// a few round trips between the farthest regions are enough for it to arrive.
-const LINGER: Duration = Duration::from_millis(500);
+/// Time to go on reading after an answer that closes the connection. Closing a socket
+/// with unread input resets the connection, and the answer may be lost. A few round
+/// trips between the farthest regions are enough for the answer to arrive.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request that is whole.
-pub struct Arrival<M> {
+/// A request that has arrived completely.
+pub struct IncomingRequest<M> {
     /// The request.
     pub request: hyper::Request<Bytes>,
-    /// Who sent it.
+    /// Address of its caller.
     pub caller: IpAddr,
     /// Number of its connection in this process.
-    pub connection: u64,
-    /// When its first byte was read.
-    pub begun: Instant,
-    /// When its head was whole.
-    pub read: Instant,
-    /// Requests ahead of it on its connection that were unanswered when it
-    /// started.
+    pub connection_id: u64,
+    /// When its first byte was read; if reading was paused since, the end of the pause.
+    pub first_byte: Instant,
+    /// When its head was complete.
+    pub head_read: Instant,
+    /// Earlier requests on its connection that were unanswered when it started.
     pub ahead: usize,
     /// Memory reserved for its body.
     pub reservation: Option<M>,
 }
 
-/// What an answer must know of its request.
+/// Properties of a request that determine the form of its answer.
 #[derive(Clone, Copy)]
-struct Note {
-    head_only: bool,
-    old: bool,
+struct AnswerContext {
+    /// Its method is HEAD.
+    is_head: bool,
+    /// Its version is HTTP/1.0.
+    is_http10: bool,
 }
 
-/// Who is at the other end.
+/// Peer of a connection.
 #[derive(Clone, Copy)]
 pub struct Caller {
-    /// Its address.
+    /// Address.
     pub ip: IpAddr,
-    /// Number of the connection.
-    pub number: u64,
+    /// Number of the connection in this process.
+    pub connection_id: u64,
 }
 
-type Running = Pin<Box<dyn Future<Output = (Place, Response)> + Send>>;
+type RunningRequest = Pin<Box<dyn Future<Output = (Place, Response)> + Send>>;
 
-/// The connection.
+/// A caller's connection and its requests.
 pub struct Connection<S: Service> {
     service: S,
     limits: Limits,
     socket: Socket,
     caller: Caller,
     reader: Reader,
-    pipeline: Pipeline<Arrival<S::Reservation>, Response, Note>,
-    running: FuturesUnordered<Running>,
+    pipeline: Pipeline<IncomingRequest<S::Reservation>, Response, AnswerContext>,
+    running: FuturesUnordered<RunningRequest>,
     out: BytesMut,
-    /// The rest of an answer that was too long to copy.
-    tail: Bytes,
-    clock: Clock,
+    /// Unwritten rest of a body too long for the output buffer; follows `out`.
+    body_tail: Bytes,
+    timeouts: Timeouts,
     /// Memory reserved for the body that is arriving.
     reservation: Option<S::Reservation>,
-    /// The caller waits for a word before it sends a body.
-    expects: bool,
+    /// The caller waits for `100 Continue` before it sends the body.
+    expects_continue: bool,
 }
 
-/// What the connection's bounds on time are counted from.
-struct Clock {
+/// Timer of a connection and the moments from which its timeouts run.
+struct Timeouts {
     timer: Option<smol::Timer>,
-    set: Option<Instant>,
-    /// First byte of the request that is arriving.
-    begun: Option<Instant>,
-    /// Head of the request that is arriving.
-    read: Option<Instant>,
-    /// Since when bytes have waited to be written.
-    writing: Option<Instant>,
-    /// Since when nothing is here.
-    idle: Instant,
+    /// Expiry of `timer`.
+    timer_at: Option<Instant>,
+    /// First byte of the arriving request, or the end of the last pause of reading.
+    arriving_since: Option<Instant>,
+    /// When the head of the arriving request was complete.
+    head_read: Option<Instant>,
+    /// Since when the socket takes no more output.
+    write_blocked: Option<Instant>,
+    /// When the last answer was queued, or the connection opened.
+    idle_since: Instant,
 }
 
-/// What became of the connection after a turn.
-enum Turn {
-    /// Something moved; look again.
-    On,
-    /// It waits.
-    Wait,
-    /// The last answer is written.
-    Answered,
-    /// It ends, with nothing left to say.
-    End,
+/// State of the connection after a step.
+enum Advance {
+    /// Progress was made; step again.
+    Again,
+    /// Waiting; the task's waker is registered.
+    Pending,
+    /// The answer that closes the connection is written.
+    Finished,
+    /// The connection ends without another answer.
+    Closed,
 }
 
 impl<S: Service> Connection<S> {
-    /// Serves what comes on `stream`.
+    /// Takes over an accepted stream.
     pub fn new(service: S, stream: net::TcpStream, caller: Caller) -> Self {
         let limits = service.limits();
         let bounds = pipeline::Bounds {
-            requests: AHEAD,
+            requests: PIPELINED_REQUESTS_MAX,
             bytes: limits.head.saturating_add(limits.body),
-            answers: ANSWERS,
+            answers: QUEUED_ANSWER_BYTES_MAX,
         };
         let reader = Reader::new(reader::Limits {
             head: limits.head,
@@ -160,92 +167,95 @@
             pipeline: Pipeline::new(bounds),
             running: FuturesUnordered::new(),
             out: BytesMut::new(),
-            tail: Bytes::new(),
-            clock: Clock {
+            body_tail: Bytes::new(),
+            timeouts: Timeouts {
                 timer: None,
-                set: None,
-                begun: None,
-                read: None,
-                writing: None,
-                idle: Instant::now(),
+                timer_at: None,
+                arriving_since: None,
+                head_read: None,
+                write_blocked: None,
+                idle_since: Instant::now(),
             },
             reservation: None,
-            expects: false,
+            expects_continue: false,
         }
     }
 
-    /// Serves until the connection ends; once `closing` ends, until what is
-    /// here is answered.
+    /// Serves requests until the connection ends. Once `closing` is ready, it ends when
+    /// the requests that have started or are arriving are answered.
     pub async fn serve(mut self, closing: impl Future<Output = ()>) {
         let mut closing = core::pin::pin!(closing);
-        let mut closes = false;
+        let mut is_closing = false;
         let answered = future::poll_fn(|cx| {
-            if !closes && closing.as_mut().poll(cx).is_ready() {
-                closes = true;
+            if !is_closing && closing.as_mut().poll(cx).is_ready() {
+                is_closing = true;
             }
-            self.poll(cx, closes)
+            self.poll(cx, is_closing)
         });
         if answered.await {
             self.linger().await;
         }
     }
 
-    /// Ready with whether a last answer was written.
-    fn poll(&mut self, cx: &mut Context<'_>, closes: bool) -> Poll<bool> {
-        for _ in 0..TURNS {
-            // An error says that the caller has left.
-            match self.turn(cx, closes).unwrap_or(Turn::End) {
-                Turn::On => {}
-                Turn::Wait => return Poll::Pending,
-                Turn::Answered => return Poll::Ready(true),
-                Turn::End => return Poll::Ready(false),
+    /// Drives the connection to its end. Returns whether it was closed by an answer,
+    /// which may still have to reach the caller.
+    fn poll(&mut self, cx: &mut Context<'_>, is_closing: bool) -> Poll<bool> {
+        for _ in 0..STEPS_PER_POLL {
+            // An I/O error means that the caller is gone or takes no output.
+            match self.advance(cx, is_closing).unwrap_or(Advance::Closed) {
+                Advance::Again => {}
+                Advance::Pending => return Poll::Pending,
+                Advance::Finished => return Poll::Ready(true),
+                Advance::Closed => return Poll::Ready(false),
             }
         }
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    fn turn(&mut self, cx: &mut Context<'_>, closes: bool) -> io::Result<Turn> {
-        if closes || self.service.is_leaving() {
+    /// Reads, starts requests, collects answers and writes, each as far as possible
+    /// without waiting.
+    fn advance(&mut self, cx: &mut Context<'_>, is_closing: bool) -> io::Result<Advance> {
+        if is_closing || self.service.is_leaving() {
             self.pipeline.stop();
         }
-        let mut moved = false;
-        // All that is there, the caller's end too, before anything starts: under
-        // a load beyond the process a request and its caller's leaving are read
-        // in one turn, and it would run for nobody.
-        for _ in 0..READS {
+        let mut progressed = false;
+        // Reads all available input, including the caller's end of stream, before any
+        // request starts. When the process is overloaded, a request and the disconnect
+        // of its caller are read together, and the request would run for nobody.
+        for _ in 0..READS_PER_STEP {
             if !self.poll_read(cx)? {
                 break;
             }
-            moved = true;
+            progressed = true;
             self.take_requests();
         }
         self.take_requests();
-        self.start();
-        moved |= self.poll_answers(cx);
+        self.start_requests();
+        progressed |= self.poll_answers(cx);
         self.queue_answers();
-        moved |= self.poll_write(cx)?;
-        let written = self.out.is_empty() && self.tail.is_empty();
-        if written && self.pipeline.is_closed() {
-            return Ok(Turn::Answered);
+        progressed |= self.poll_write(cx)?;
+        let is_flushed = self.out.is_empty() && self.body_tail.is_empty();
+        if is_flushed && self.pipeline.is_closed() {
+            return Ok(Advance::Finished);
         }
-        let bare = self.pipeline.is_empty() && !self.reader.is_partial();
-        if written && closes && bare {
-            return Ok(Turn::End);
+        let is_empty = self.pipeline.is_empty() && !self.reader.is_partial();
+        if is_flushed && is_closing && is_empty {
+            return Ok(Advance::Closed);
         }
-        if moved {
-            return Ok(Turn::On);
+        if progressed {
+            return Ok(Advance::Again);
         }
-        self.poll_time(cx)
+        self.poll_timeouts(cx)
     }
 
-    /// Reads while there is room; also when nothing more is taken, to notice a
-    /// caller that leaves.
+    /// Reads once while the pipeline has room. Goes on after the last request, to
+    /// notice a disconnect. Returns whether bytes were read.
     fn poll_read(&mut self, cx: &mut Context<'_>) -> io::Result<bool> {
         if !self.reader.has_ended() && !self.pipeline.has_room() {
             return Ok(false);
         }
-        let mut bytes = [0; READ];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match self.socket.poll_read(cx, &mut bytes) {
             Poll::Pending => Ok(false),
             Poll::Ready(Ok(0)) => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -257,31 +267,32 @@
         }
     }
 
+    /// Parses the input as far as the pipeline has room.
     fn take_requests(&mut self) {
         while self.pipeline.has_room() {
-            if self.reader.is_partial() && self.clock.begun.is_none() {
-                self.clock.begun = Some(Instant::now());
-                self.limit();
+            if self.reader.is_partial() && self.timeouts.arriving_since.is_none() {
+                self.timeouts.arriving_since = Some(Instant::now());
+                self.refresh_limits();
             }
             match self.reader.step() {
                 Step::More => break,
-                Step::Body { length, expects } => self.admit(length, expects),
-                Step::Whole(whole) => self.take(whole),
-                Step::Fault(fault) => self.refuse(Refusal::Fault(fault)),
+                Step::Body { length, expects } => self.start_body(length, expects),
+                Step::Whole(whole) => self.enqueue(whole),
+                Step::Fault(fault) => self.fail_read(ReadError::Fault(fault)),
             }
         }
         if !self.pipeline.has_room() {
-            // What isn't read on isn't late.
-            self.clock.begun = self.clock.begun.map(|_| Instant::now());
+            // While reading is paused, the request timeout doesn't run.
+            self.timeouts.arriving_since = self.timeouts.arriving_since.map(|_| Instant::now());
         }
-        if self.expects && self.pipeline.is_empty() && self.reader.is_partial() {
-            self.expects = false;
+        if self.expects_continue && self.pipeline.is_empty() && self.reader.is_partial() {
+            self.expects_continue = false;
             self.out.extend_from_slice(answer::GO_ON);
         }
     }
 
-    /// Bounds the next request by the configuration that is in force.
-    fn limit(&mut self) {
+    /// Applies the current limits to the next request.
+    fn refresh_limits(&mut self) {
         self.limits = self.service.limits();
         self.reader.limit(reader::Limits {
             head: self.limits.head,
@@ -289,141 +300,146 @@
         });
     }
 
-    /// A body follows: takes memory for it, or nothing more.
-    fn admit(&mut self, length: Option<u64>, expects: bool) {
-        self.clock.read = Some(Instant::now());
+    /// Reserves memory for the body that follows; without it, nothing more is read.
+    fn start_body(&mut self, length: Option<u64>, expects: bool) {
+        self.timeouts.head_read = Some(Instant::now());
         self.reservation = self.service.reserve_body(length);
-        self.expects = expects;
+        self.expects_continue = expects;
         if self.reservation.is_none() {
-            self.refuse(Refusal::NoRoom);
+            self.fail_read(ReadError::NoMemory);
         }
     }
 
-    fn take(&mut self, whole: Whole) {
+    /// Adds a complete request to the pipeline.
+    fn enqueue(&mut self, whole: Whole) {
         let now = Instant::now();
         let request = whole.request;
-        let note = Note {
-            head_only: request.method() == Method::HEAD,
-            old: request.version() == Version::HTTP_10,
+        let context = AnswerContext {
+            is_head: request.method() == Method::HEAD,
+            is_http10: request.version() == Version::HTTP_10,
         };
-        let arrival = Arrival {
+        let incoming = IncomingRequest {
             request,
             caller: self.caller.ip,
-            connection: self.caller.number,
-            begun: self.clock.begun.take().unwrap_or(now),
-            read: self.clock.read.take().unwrap_or(now),
+            connection_id: self.caller.connection_id,
+            first_byte: self.timeouts.arriving_since.take().unwrap_or(now),
+            head_read: self.timeouts.head_read.take().unwrap_or(now),
             ahead: 0,
             reservation: self.reservation.take(),
         };
-        self.expects = false;
-        self.pipeline.push(arrival, note, whole.bytes, whole.closes);
+        self.expects_continue = false;
+        self.pipeline
+            .push(incoming, context, whole.bytes, whole.closes);
     }
 
-    /// Ends what is read; the caller is told why, in its turn.
-    fn refuse(&mut self, why: Refusal) {
-        let answer = self.service.refuse(self.caller, why);
+    /// Stops reading for good, and queues the error's answer behind the others.
+    fn fail_read(&mut self, error: ReadError) {
+        let answer = self.service.error_response(self.caller, error);
         self.reader.end();
         self.reservation = None;
-        self.expects = false;
-        self.clock.begun = None;
-        self.clock.read = None;
-        let note = Note {
-            head_only: false,
-            old: false,
+        self.expects_continue = false;
+        self.timeouts.arriving_since = None;
+        self.timeouts.head_read = None;
+        let context = AnswerContext {
+            is_head: false,
+            is_http10: false,
         };
-        self.pipeline.refuse(answer, note);
+        self.pipeline.refuse(answer, context);
     }
 
-    fn start(&mut self) {
+    /// Starts each request whose turn has come.
+    fn start_requests(&mut self) {
         let service = &self.service;
-        let is_idempotent = |a: &Arrival<S::Reservation>| service.is_idempotent(&a.request);
+        let is_idempotent = |a: &IncomingRequest<S::Reservation>| service.is_idempotent(&a.request);
         while let Some(start) = self.pipeline.start(is_idempotent) {
-            let mut arrival = start.request;
-            arrival.ahead = start.ahead;
-            let answer = service.answer(arrival);
+            let mut incoming = start.request;
+            incoming.ahead = start.ahead;
+            let answer = service.answer(incoming);
             let place = start.place;
             self.running
                 .push(Box::pin(async move { (place, answer.await) }));
         }
     }
 
+    /// Collects answers that are ready; returns whether there were any.
     fn poll_answers(&mut self, cx: &mut Context<'_>) -> bool {
-        let mut moved = false;
+        let mut progressed = false;
         while let Poll::Ready(Some((place, answer))) = Pin::new(&mut self.running).poll_next(cx) {
             let bytes = answer.body().len();
             self.pipeline.answered(place, answer, bytes);
-            moved = true;
+            progressed = true;
         }
-        moved
+        progressed
     }
 
-    /// Prepares answers whose turn has come, as far as a piece holds them.
+    /// Encodes the answers whose turn has come, until the output buffer is filled.
     fn queue_answers(&mut self) {
-        while self.tail.is_empty() && self.out.len() < PIECE {
+        while self.body_tail.is_empty() && self.out.len() < OUTPUT_BUFFER_BYTES {
             let Some(due) = self.pipeline.due() else {
                 return;
             };
             let manner = Manner {
                 closes: due.closes,
-                head_only: due.note.head_only,
-                old: due.note.old,
+                head_only: due.note.is_head,
+                old: due.note.is_http10,
             };
             let body = date::with(|date| answer::encode(&mut self.out, due.answer, manner, date));
-            if body.len() <= COPIED {
+            if body.len() <= COPIED_BODY_BYTES_MAX {
                 self.out.extend_from_slice(&body);
             } else {
-                self.tail = body;
+                self.body_tail = body;
             }
             if due.closes {
                 self.reader.end();
             }
-            self.clock.idle = Instant::now();
+            self.timeouts.idle_since = Instant::now();
         }
     }
 
+    /// Writes queued output until the socket blocks; returns whether bytes were written.
     fn poll_write(&mut self, cx: &mut Context<'_>) -> io::Result<bool> {
-        let mut moved = false;
-        while self.out.has_remaining() || self.tail.has_remaining() {
+        let mut progressed = false;
+        while self.out.has_remaining() || self.body_tail.has_remaining() {
             let bytes: &[u8] = if self.out.has_remaining() {
                 &self.out
             } else {
-                &self.tail
+                &self.body_tail
             };
             match self.socket.poll_write(cx, bytes) {
                 Poll::Pending => {
-                    self.clock.writing.get_or_insert_with(Instant::now);
-                    return Ok(moved);
+                    self.timeouts.write_blocked.get_or_insert_with(Instant::now);
+                    return Ok(progressed);
                 }
                 Poll::Ready(Ok(0)) => return Err(io::ErrorKind::WriteZero.into()),
                 Poll::Ready(Ok(length)) if self.out.has_remaining() => self.out.advance(length),
-                Poll::Ready(Ok(length)) => self.tail.advance(length),
+                Poll::Ready(Ok(length)) => self.body_tail.advance(length),
                 Poll::Ready(Err(error)) => return Err(error),
             }
-            self.clock.writing = None;
-            moved = true;
+            self.timeouts.write_blocked = None;
+            progressed = true;
         }
-        Ok(moved)
+        Ok(progressed)
     }
 
-    /// Ends what has taken too long; else sees to being woken when it has.
-    fn poll_time(&mut self, cx: &mut Context<'_>) -> io::Result<Turn> {
+    /// Handles the next timeout if it is due, else registers a wake-up for it.
+    fn poll_timeouts(&mut self, cx: &mut Context<'_>) -> io::Result<Advance> {
         loop {
-            let Some(due) = self.due() else {
-                self.clock.set = None;
-                self.clock.timer = None;
-                return Ok(Turn::Wait);
+            let Some(due) = self.deadline() else {
+                self.timeouts.timer_at = None;
+                self.timeouts.timer = None;
+                return Ok(Advance::Pending);
             };
-            // A timer that is early is looked at when it ends; setting it anew
-            // with each request would cost more.
-            if self.clock.set.is_none_or(|set| set > due) {
-                self.clock.set = Some(due);
-                self.clock.timer = Some(smol::Timer::at(due));
+            // A timer that expires before `due` is left to fire and is then set again:
+            // resetting it with each request would cost more.
+            if self.timeouts.timer_at.is_none_or(|at| at > due) {
+                self.timeouts.timer_at = Some(due);
+                self.timeouts.timer = Some(smol::Timer::at(due));
             }
-            let timer = self.clock.timer.as_mut().map(Pin::new);
+            let timer = self.timeouts.timer.as_mut().map(Pin::new);
             if timer.is_none_or(|timer| timer.poll(cx).is_pending()) {
-                return Ok(Turn::Wait);
+                return Ok(Advance::Pending);
             }
-            self.clock.set = None;
+            self.timeouts.timer_at = None;
             if Instant::now() < due {
                 continue;
             }
@@ -431,47 +447,68 @@
         }
     }
 
-    /// When something will have taken too long.
-    fn due(&self) -> Option<Instant> {
-        let Limits { whole, idle, .. } = self.limits;
-        // A time beyond what the clock can say is never over.
-        let written = self.clock.writing.and_then(|s| s.checked_add(whole));
-        let arrived = self.arriving().and_then(|s| s.checked_add(whole));
-        let bare = self.pipeline.is_empty() && !self.reader.is_partial();
-        let used = self.clock.idle.checked_add(idle).filter(|_| bare);
-        [written, arrived, used].into_iter().flatten().min()
+    /// Moment of the next timeout.
+    fn deadline(&self) -> Option<Instant> {
+        let Limits {
+            request_timeout,
+            idle_timeout,
+            ..
+        } = self.limits;
+        // A timeout beyond the range of the clock never expires.
+        let write_due = self
+            .timeouts
+            .write_blocked
+            .and_then(|s| s.checked_add(request_timeout));
+        let request_due = self
+            .reading_since()
+            .and_then(|s| s.checked_add(request_timeout));
+        let is_empty = self.pipeline.is_empty() && !self.reader.is_partial();
+        let idle_due = self
+            .timeouts
+            .idle_since
+            .checked_add(idle_timeout)
+            .filter(|_| is_empty);
+        [write_due, request_due, idle_due]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Since when a request arrives that is read on.
-    fn arriving(&self) -> Option<Instant> {
-        self.clock.begun.filter(|_| self.pipeline.has_room())
+    /// Start of the arriving request's timeout; `None` while reading is paused.
+    fn reading_since(&self) -> Option<Instant> {
+        self.timeouts
+            .arriving_since
+            .filter(|_| self.pipeline.has_room())
     }
 
-    fn expire(&mut self) -> io::Result<Turn> {
+    /// Handles an expired timeout: blocked output or an idle connection ends the
+    /// connection, a request that is too slow is answered with an error.
+    fn expire(&mut self) -> io::Result<Advance> {
         let now = Instant::now();
-        let whole = self.limits.whole;
-        let over = |since: Instant| now.saturating_duration_since(since) >= whole;
-        if self.clock.writing.is_some_and(over) {
+        let request_timeout = self.limits.request_timeout;
+        let timed_out = |since: Instant| now.saturating_duration_since(since) >= request_timeout;
+        if self.timeouts.write_blocked.is_some_and(timed_out) {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        if self.arriving().is_some_and(over) {
-            self.refuse(Refusal::Slow);
-            return Ok(Turn::On);
+        if self.reading_since().is_some_and(timed_out) {
+            self.fail_read(ReadError::TimedOut);
+            return Ok(Advance::Again);
         }
-        Ok(Turn::End)
+        Ok(Advance::Closed)
     }
 
-    /// Lets the last answer arrive before the socket is closed.
+    /// Shuts down the write side and discards input until the caller closes, for
+    /// [`LINGER_TIMEOUT`] at most, so that the last answer arrives.
     async fn linger(mut self) {
-        self.socket.close();
-        let emptied = async {
-            let mut bytes = [0; READ];
+        self.socket.shutdown_write();
+        let drained = async {
+            let mut bytes = [0; READ_BUFFER_BYTES];
             let mut read = |cx: &mut Context<'_>| self.socket.poll_read(cx, &mut bytes);
             while matches!(future::poll_fn(&mut read).await, Ok(1..)) {}
         };
-        let late = async {
-            smol::Timer::after(LINGER).await;
+        let timeout = async {
+            smol::Timer::after(LINGER_TIMEOUT).await;
         };
-        future::or(emptied, late).await;
+        future::or(drained, timeout).await;
     }
 }
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -1,4 +1,8 @@
-//! Where to connect, whether this instance is ready, and what operators ask.
+//! HTTP endpoints besides callers' requests: the directory, which names instances to
+//! connect to, the readiness probe, and the operators' metrics, status and dump.
+//!
+//! Invariant: answering needs no I/O, so that an endpoint never waits for the store,
+//! a target or another instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,57 +15,62 @@
 use smol::net;
 use steer::process::direct::members::Row;
 
-use super::connection::{Arrival, Caller};
-use super::server::{self, Limits, Refusal, Response, Service};
+use super::connection::{Caller, IncomingRequest};
+use super::server::{self, Limits, ReadError, Response, Service};
 use super::{Executor, Shared, dump};
 use crate::daemon::{Status, StatusEntry};
 
-/// Longest time for which an answer may be kept: it names instances that may
-/// be gone a moment later.
-const LIFETIME: Duration = Duration::from_secs(1);
+/// Upper bound on the lifetime that a directory answer states: it names instances
+/// that may be gone a moment later.
+const DIRECTORY_TTL_MAX: Duration = Duration::from_secs(1);
 
-/// Bounds on those who ask; their requests are a line and a few headers.
-const LIMITS: Limits = Limits {
+/// Limits on requests to these endpoints, which are a line and a few headers.
+const REQUEST_LIMITS: Limits = Limits {
     head: 8192,
     body: 1024,
-    whole: Duration::from_secs(3),
-    idle: Duration::from_secs(15),
+    request_timeout: Duration::from_secs(3),
+    idle_timeout: Duration::from_secs(15),
 };
 
-/// Part of callers' connections that those who ask may have besides, on each
-/// listener; each asks one question.
-const PART: usize = 8;
+/// Each of these listeners accepts 1/n of the maximum of callers' connections, on top
+/// of them. Its connections are short-lived: most send a single request.
+const CONNECTIONS_DIVISOR: usize = 8;
 
-/// Answers on one listener.
+/// Accepts and serves connections on one listener.
 pub async fn serve(shared: Arc<Shared>, socket: net::TcpListener, executor: Executor) {
-    let count = server::ConnectionCount::new(server::max_connections(&shared.settings) / PART);
-    server::accept(Queries(shared), socket, executor, count).await;
+    let count = server::ConnectionCount::new(
+        server::max_connections(&shared.settings) / CONNECTIONS_DIVISOR,
+    );
+    server::accept(QueryService(shared), socket, executor, count).await;
 }
 
 #[derive(Clone)]
-struct Queries(Arc<Shared>);
+struct QueryService(Arc<Shared>);
 
-impl Service for Queries {
+impl Service for QueryService {
     type Reservation = ();
 
     fn limits(&self) -> Limits {
-        LIMITS
+        REQUEST_LIMITS
     }
 
     fn reserve_body(&self, _length: Option<u64>) -> Option<()> {
         Some(())
     }
 
-    fn refuse(&self, _caller: Caller, why: Refusal) -> Response {
-        server::empty(why.status())
+    fn error_response(&self, _caller: Caller, error: ReadError) -> Response {
+        server::empty_response(error.status())
     }
 
     fn is_idempotent(&self, request: &hyper::Request<Bytes>) -> bool {
         *request.method() == Method::GET
     }
 
-    fn answer(&self, arrival: Arrival<()>) -> impl Future<Output = Response> + Send + use<> {
-        let answer = answer(&self.0, arrival.request.uri());
+    fn answer(
+        &self,
+        incoming: IncomingRequest<()>,
+    ) -> impl Future<Output = Response> + Send + use<> {
+        let answer = answer(&self.0, incoming.request.uri());
         async { answer }
     }
 
@@ -72,28 +81,28 @@
 
 fn answer(shared: &Shared, uri: &Uri) -> Response {
     match directory::call(uri.path(), uri.query()) {
-        Call::Ready if shared.is_ready() => server::empty(StatusCode::OK),
-        Call::Ready => server::empty(StatusCode::SERVICE_UNAVAILABLE),
-        Call::Where(from) => found(shared, &from),
-        Call::Unknown => operator(shared, uri.path()),
+        Call::Ready if shared.is_ready() => server::empty_response(StatusCode::OK),
+        Call::Ready => server::empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        Call::Where(from) => resolve(shared, &from),
+        Call::Unknown => operator_response(shared, uri.path()),
     }
 }
 
-/// What operators ask.
-fn operator(shared: &Shared, path: &str) -> Response {
-    let printed = match path {
+/// Answers a path of the operators: metrics, status or dump.
+fn operator_response(shared: &Shared, path: &str) -> Response {
+    let body = match path {
         "/metrics" => shared.metrics.encode(shared).ok(),
         "/status" => serde_json::to_vec(&status(shared)).ok(),
         "/dump" => serde_json::to_vec(&dump::State::capture(shared)).ok(),
-        _ => return server::empty(StatusCode::NOT_FOUND),
+        _ => return server::empty_response(StatusCode::NOT_FOUND),
     };
-    match printed {
-        Some(text) => Response::new(Bytes::from(text)),
-        None => server::empty(StatusCode::INTERNAL_SERVER_ERROR),
+    match body {
+        Some(bytes) => Response::new(Bytes::from(bytes)),
+        None => server::empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
-/// Which version is in force at each instance, as `auburnrouter status` reads it.
+/// Configuration version in force at each instance, as `auburnrouter status` reads it.
 fn status(shared: &Shared) -> Status {
     let settings = &shared.settings;
     shared.read(|now, direct| {
@@ -119,22 +128,25 @@
     })
 }
 
-fn found(shared: &Shared, from: &Where) -> Response {
+/// Directory answer: instances that the caller may connect to, and for how long it
+/// may use them; 503 if there are none.
+fn resolve(shared: &Shared, from: &Where) -> Response {
     let addresses = addresses(shared, from);
     if addresses.is_empty() {
-        return server::empty(StatusCode::SERVICE_UNAVAILABLE);
+        return server::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let lifetime = LIFETIME.min(shared.settings.bounds.lifetime);
-    let body = directory::found(&addresses, lifetime.as_secs_f64());
+    let ttl = DIRECTORY_TTL_MAX.min(shared.settings.bounds.lifetime);
+    let body = directory::found(&addresses, ttl.as_secs_f64());
     let mut response = Response::new(Bytes::from(body));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
 }
 
-/// Instances of the caller's region; where it has none, of the regions that may
-/// serve the host's requests, or of all. Those that aren't sure of keys only if
-/// no other is there: what needs no key is served by them.
+/// Callers' addresses of the instances in the caller's region; if it has none, of
+/// those in the host's home regions, else of all. Instances whose view of keys may be
+/// out of date are named only if there is no other: they still serve requests that
+/// need no key.
 fn addresses(shared: &Shared, from: &Where) -> Vec<SocketAddr> {
     let ready = shared.is_ready().then(|| shared.registration());
     let (mut rows, homes) = shared.read(|now, direct| {
@@ -149,17 +161,17 @@
             others.chain([shared.registration()]).collect()
         });
     }
-    let of = |fit: &dyn Fn(&Row) -> bool| -> Vec<SocketAddr> {
-        let rows = rows.iter().filter(|row| fit(row));
+    let select = |matches: &dyn Fn(&Row) -> bool| -> Vec<SocketAddr> {
+        let rows = rows.iter().filter(|row| matches(row));
         rows.map(|row| row.callers).collect()
     };
-    let near = of(&|row| *row.region == *from.region);
-    if !near.is_empty() {
-        return near;
+    let local = select(&|row| *row.region == *from.region);
+    if !local.is_empty() {
+        return local;
     }
-    let homes = of(&|row| homes.contains(&row.region));
+    let homes = select(&|row| homes.contains(&row.region));
     if !homes.is_empty() {
         return homes;
     }
-    of(&|_| true)
+    select(&|_| true)
 }
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -1,6 +1,7 @@
-//! Listening, and what whoever answers callers must say to connections.
+//! Accepts connections and drains them at shutdown; defines the service that answers
+//! their requests.
 //!
-//! Invariant: a connection is counted from its accepting to its end.
+//! Invariant: a connection is counted from its accept until it is closed.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,10 +15,10 @@
 use settings::direct::Settings;
 use smol::net;
 
-use super::connection::{Arrival, Caller, Connection};
+use super::connection::{Caller, Connection, IncomingRequest};
 use super::{Executor, Phase, Shared};
 
-/// An answer as it leaves.
+/// Response to a caller, with its complete body.
 pub type Response = hyper::Response<Bytes>;
 
 /// Answers the requests of connections.
@@ -25,140 +26,142 @@
     /// Memory reserved for the body of a request; released on drop.
     type Reservation: Send + 'static;
 
-    /// Bounds on a connection that is opened now.
+    /// Limits on a connection and its requests, as currently configured.
     fn limits(&self) -> Limits;
 
     /// Reserves memory for a body of `length` bytes, or of unknown length. `None` if
     /// there is not enough.
     fn reserve_body(&self, length: Option<u64>) -> Option<Self::Reservation>;
 
-    /// Tells a caller why its connection ends unread.
-    fn refuse(&self, caller: Caller, why: Refusal) -> Response;
+    /// Builds the last response on a connection whose input can't be read further.
+    fn error_response(&self, caller: Caller, error: ReadError) -> Response;
 
-    /// Whether a request may repeat, so that others may run beside it.
+    /// Whether a request may run more than once. Only then do other requests of its
+    /// connection run at the same time.
     fn is_idempotent(&self, request: &hyper::Request<Bytes>) -> bool;
 
-    /// Answers a request. Dropped, it must not run any further.
+    /// Answers a request. Dropping the future cancels the request.
     fn answer(
         &self,
-        arrival: Arrival<Self::Reservation>,
+        incoming: IncomingRequest<Self::Reservation>,
     ) -> impl Future<Output = Response> + Send + use<Self>;
 
-    /// The process all this is in.
+    /// State of the process.
     fn shared(&self) -> &Arc<Shared>;
 
-    /// Whether the process is on its way out.
+    /// Whether the process is shutting down.
     fn is_leaving(&self) -> bool {
         self.shared().phase() >= Phase::Leaving
     }
 }
 
-/// Why something that a caller sends isn't read to its end.
+/// Why a request is not read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// It can't be read.
+pub enum ReadError {
+    /// It is malformed or exceeds a size limit.
     Fault(Fault),
-    /// There is no memory for its body.
-    NoRoom,
-    /// It didn't arrive in time.
-    Slow,
+    /// Not enough memory is left for its body.
+    NoMemory,
+    /// It did not arrive within the request timeout.
+    TimedOut,
 }
 
-impl Refusal {
-    /// The status that says so.
+impl ReadError {
+    /// Status of the response.
     pub const fn status(self) -> StatusCode {
         match self {
             Self::Fault(fault) => fault.status(),
-            Self::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
+            Self::NoMemory => StatusCode::SERVICE_UNAVAILABLE,
+            Self::TimedOut => StatusCode::REQUEST_TIMEOUT,
         }
     }
 
-    /// A word for log lines.
-    pub const fn word(self) -> &'static str {
+    /// Cause as counted in metrics and logged.
+    pub const fn cause(self) -> &'static str {
         match self {
             Self::Fault(Fault::Head) => "head",
             Self::Fault(Fault::LongHead) => "long-head",
             Self::Fault(Fault::Length) => "length",
             Self::Fault(Fault::Chunk) => "chunk",
             Self::Fault(Fault::LongBody) => "long-body",
-            Self::NoRoom => "memory",
-            Self::Slow => "slow",
+            Self::NoMemory => "memory",
+            Self::TimedOut => "slow",
         }
     }
 }
 
-/// Open connections, and how many there may be.
+/// Counts open connections and enforces their maximum. Clones share the count.
 #[derive(Clone, Debug)]
 pub struct ConnectionCount {
     open: Arc<AtomicUsize>,
-    most: usize,
+    max: usize,
 }
 
 impl ConnectionCount {
-    /// None open, `most` at a time.
-    pub fn new(most: usize) -> Self {
+    /// Allows `max` connections at a time.
+    pub fn new(max: usize) -> Self {
         Self {
             open: Arc::default(),
-            most,
+            max,
         }
     }
 
-    /// Counts one more, if there is room for it.
-    fn enter(&self) -> Option<Entered> {
-        let entered = Entered(Arc::clone(&self.open));
+    /// Counts one more connection until the guard is dropped; `None` at the maximum.
+    fn acquire(&self) -> Option<CountGuard> {
+        let guard = CountGuard(Arc::clone(&self.open));
         let before = self.open.fetch_add(1, Ordering::Relaxed);
-        // Dropped here, it is no longer counted.
-        (before < self.most).then_some(entered)
+        // At the maximum, the drop of `guard` takes the count back.
+        (before < self.max).then_some(guard)
     }
 
-    /// How many there are.
+    /// Number of open connections.
     pub fn get(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 }
 
-/// Descriptors that callers' connections leave to the log, listeners, the store
-/// and other instances.
-const RESERVE: u64 = 48;
+/// File descriptors kept back for the log, listeners, the store and other instances.
+const RESERVED_DESCRIPTORS: u64 = 48;
 
-/// Callers' connections at a time: each request needs a connection to a target
-/// besides its own.
+/// Callers' connections allowed at a time: half of the usable file descriptors, as
+/// each request also needs a connection to a target.
 pub fn max_connections(settings: &Settings) -> usize {
-    let most = settings.descriptors.saturating_sub(RESERVE) / 2;
-    usize::try_from(most).unwrap_or(usize::MAX)
+    let max = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
+    usize::try_from(max).unwrap_or(usize::MAX)
 }
 
-struct Entered(Arc<AtomicUsize>);
+/// Counts one open connection until it is dropped.
+struct CountGuard(Arc<AtomicUsize>);
 
-impl Drop for Entered {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Bounds on what one caller may hold, where the operator sets none.
+/// Limits on a connection and each request on it.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head of a request in bytes.
+    /// Longest head of a request, in bytes.
     pub head: usize,
-    /// Longest body in bytes.
+    /// Longest body, in bytes.
     pub body: usize,
-    /// Time for a request to arrive.
-    pub whole: Duration,
-    /// Time that a connection may lie idle.
-    pub idle: Duration,
+    /// Time for a request to arrive completely, and for blocked output to move on.
+    pub request_timeout: Duration,
+    /// Time after which a connection without requests is closed.
+    pub idle_timeout: Duration,
 }
 
-/// Pause after a failed accept: descriptors ran out, and trying at once would
-/// spin until some are returned.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept. When descriptors run out, a retry without a delay
+/// would spin until some are closed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Sent to a caller for whom there is no connection; its request isn't read.
-const TOO_MANY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+/// Response to a connection beyond the maximum; its request is not read.
+const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Accepts until the process closes its connections. A request that came later
-/// than that could outlast the grace time and be cut.
+/// Accepts connections and serves each in a task of its own. Ends when the process
+/// starts to close connections: a request accepted later could outlast the grace
+/// period and be cut off.
 pub async fn accept<S: Service>(
     service: S,
     socket: net::TcpListener,
@@ -166,7 +169,7 @@
     count: ConnectionCount,
 ) {
     let shared = Arc::clone(service.shared());
-    let numbers = AtomicU64::new(0);
+    let next_id = AtomicU64::new(0);
     loop {
         let accepted = async { Some(socket.accept().await) };
         let closing = async {
@@ -177,69 +180,70 @@
             None => return,
             Some(Ok(accepted)) => accepted,
             Some(Err(_)) => {
-                smol::Timer::after(ACCEPT_PAUSE).await;
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let Some(entered) = count.enter() else {
+        let Some(guard) = count.acquire() else {
             shared.metrics.rejected_connections.inc();
-            // It may have left already; its request isn't read in any case.
-            let _ = stream.write(TOO_MANY).await;
+            // Best effort: the caller may have disconnected already.
+            let _ = stream.write(TOO_MANY_CONNECTIONS).await;
             continue;
         };
-        // Not fatal: answers are only a little later without it.
+        // Not fatal: without it answers are only a little later.
         let _ = stream.set_nodelay(true);
         let caller = Caller {
             ip: addr.ip(),
-            number: numbers.fetch_add(1, Ordering::Relaxed),
+            connection_id: next_id.fetch_add(1, Ordering::Relaxed),
         };
         let connection = Connection::new(service.clone(), stream, caller);
         let shared = Arc::clone(&shared);
         let serve = async move {
-            let _entered = entered;
+            let _guard = guard;
             connection.serve(shared.until_closing()).await;
         };
         executor.spawn(serve).detach();
     }
 }
 
-/// Part of the grace time for which a leaving process keeps idle connections
-/// open: callers that still know its address come until they have asked anew.
-const LINGER: f64 = 0.45;
+/// Fraction of the grace period during which a stopping process accepts connections
+/// and keeps idle ones open: callers use its address until they resolve it again.
+const CLOSE_IDLE_RATIO: f64 = 0.45;
 
-/// Part of the grace time after which it ends, whatever is open.
-const END: f64 = 0.93;
+/// Fraction of the grace period after which the process ends even with connections
+/// open.
+const SHUTDOWN_RATIO: f64 = 0.93;
 
-/// Time for which no connection may be open before the process ends.
-const QUIET: Duration = Duration::from_millis(300);
+/// Time without any open connection after which draining ends early.
+const NO_CONNECTIONS_PERIOD: Duration = Duration::from_millis(300);
 
-/// Time from the word to stop to the end of the process, at most.
+/// Longest time from the stop signal to the end of the process.
 pub fn shutdown_timeout(settings: &Settings) -> Duration {
-    settings.bounds.grace.mul_f64(END)
+    settings.bounds.grace.mul_f64(SHUTDOWN_RATIO)
 }
 
-/// Waits until callers have gone, at most for the grace time, which runs since
-/// `start`.
+/// Waits until no connection has been open for a while, [`shutdown_timeout`] from
+/// `start` at most, and closes idle connections on the way.
 pub async fn drain(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
     let count = &shared.connections;
-    let mut quiet = start;
+    let mut last_open = start;
     while start.elapsed() < shutdown_timeout(&shared.settings) {
-        if start.elapsed() > grace.mul_f64(LINGER) {
+        if start.elapsed() > grace.mul_f64(CLOSE_IDLE_RATIO) {
             shared.start_closing();
         }
         if count.get() > 0 || shared.phase() < Phase::Closing {
-            quiet = Instant::now();
+            last_open = Instant::now();
         }
-        if quiet.elapsed() >= QUIET {
+        if last_open.elapsed() >= NO_CONNECTIONS_PERIOD {
             return;
         }
         smol::Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// An answer without a body.
-pub fn empty(status: StatusCode) -> Response {
+/// Response without a body.
+pub fn empty_response(status: StatusCode) -> Response {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
--- a/crates/auburnrouter/src/direct/socket.rs
+++ b/crates/auburnrouter/src/direct/socket.rs
@@ -1,6 +1,7 @@
-//! A caller's socket, read only when it may have bytes.
+//! Non-blocking TCP socket of a caller's connection.
 //!
-//! Invariant: whoever is told to wait is woken when it needn't any more.
+//! Invariant: a poll that returns pending has registered the task's waker for the
+//! direction it waits for.
 
 use core::task::{Context, Poll, ready};
 use std::io::{self, Read, Write};
@@ -9,16 +10,16 @@
 
 use smol::{Async, net};
 
-/// The socket, and whether it may have bytes to read. Once it has none, trying
-/// again at each wake-up would cost a system call a time, which on a fraction of
-/// a core is felt.
+/// TCP socket that remembers whether it may be readable. Trying to read at each wake-up
+/// of the task would cost a system call each time, which matters on a fraction of a
+/// core.
 pub struct Socket {
     stream: Arc<Async<TcpStream>>,
     readable: bool,
 }
 
 impl Socket {
-    /// Wraps a connection that was accepted.
+    /// Takes over an accepted stream.
     pub fn new(stream: net::TcpStream) -> Self {
         Self {
             stream: stream.into(),
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Reads what is there; 0 at the caller's end.
+    /// Reads available bytes; 0 at end of stream.
     pub fn poll_read(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             if !self.readable {
@@ -36,12 +37,12 @@
             match self.stream.get_ref().read(bytes) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                read => return Poll::Ready(read),
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as many bytes as the socket accepts; returns their number.
     pub fn poll_write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             match self.stream.get_ref().write(bytes) {
@@ -49,14 +50,14 @@
                     ready!(self.stream.poll_writable(cx))?;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                written => return Poll::Ready(written),
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    /// Says that nothing more will be written.
-    pub fn close(&self) {
-        // The caller may have left already.
+    /// Shuts down the write side.
+    pub fn shutdown_write(&self) {
+        // Fails if the caller has disconnected already, which needs no handling.
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
     }
 }
