--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -1,9 +1,10 @@
-//! The entry instance on the users' platform: threads, listeners, signals.
+//! An instance on the users' platform: its threads, listeners and signals.
 //!
-//! One thread runs control (the store, peers, the directory), one runs traffic.
-//! Both share [`Shared`]; its lock is held for single decisions only.
+//! The control thread talks to the store and the other instances and answers
+//! directory and operator requests; the traffic thread serves callers. Both use
+//! [`Shared`], whose steering lock is held for one decision at a time.
 //!
-//! Invariant: every thread started here is joined before [`run`] returns.
+//! Invariant: the traffic thread is joined before [`run`] returns.
 
 mod attempt;
 mod callers;
@@ -37,27 +38,28 @@
 use steer::process::direct::TICK;
 use thiserror::Error;
 
-/// Why an instance doesn't start.
+/// An error that keeps an instance from starting.
 #[derive(Debug, Error)]
 pub enum Failure {
-    /// An address can't be listened on.
-    #[error("can't listen on {0}: {1}; give this instance an address of its own")]
+    /// A configured address cannot be bound.
+    #[error("cannot listen on {0}: {1}; each instance needs addresses of its own")]
     Listen(std::net::SocketAddr, io::Error),
-    /// The system refuses a thread or signals.
-    #[error("the system refuses what the process needs: {0}")]
+    /// A thread, signal handler or socket address is not available.
+    #[error("operating system call failed: {0}")]
     System(#[from] io::Error),
-    /// The metrics clash.
+    /// A metric cannot be registered.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Where tasks are spawned.
+/// Executor of one thread's tasks.
 type Executor = Arc<smol::Executor<'static>>;
 
-/// Runs an instance until SIGTERM or SIGINT.
+/// Runs an instance until SIGTERM or SIGINT. SIGHUP reads the settings `file`
+/// again and logs whether it has changed.
 ///
 /// # Errors
-/// If it can't start.
+/// If the instance cannot start.
 pub fn run(settings: Settings, file: &Path) -> Result<(), Failure> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     let instance = Instance::bind(settings)?;
@@ -65,86 +67,87 @@
     instance.run(async move { until_stopped(&mut signals, &shared, file).await })
 }
 
-/// An instance that listens and doesn't answer yet.
+/// An instance whose sockets are bound but not yet served.
 pub struct Instance {
     shared: Arc<Shared>,
     listeners: Listeners,
     traffic: Executor,
     control: Executor,
-    waits: async_channel::Receiver<()>,
+    ticks: async_channel::Receiver<()>,
 }
 
 impl Instance {
-    /// Listens on the addresses of the settings.
+    /// Binds the addresses in the settings.
     ///
     /// # Errors
-    /// If it can't.
+    /// If an address cannot be bound or a metric cannot be registered.
     pub fn bind(settings: Settings) -> Result<Self, Failure> {
         let listeners = Listeners::bind(&settings)?;
-        let given = settings.clone();
+        let original = settings.clone();
         let settings = Settings {
             listen: listeners.addresses()?,
             ..settings
         };
         let traffic: Executor = Arc::new(smol::Executor::new());
         let control: Executor = Arc::new(smol::Executor::new());
-        let (waiting, waits) = async_channel::bounded(1);
-        let shared = Shared::new(settings, given, waiting, &traffic, &control)?;
+        let (ticker, ticks) = async_channel::bounded(1);
+        let shared = Shared::new(settings, original, ticker, &traffic, &control)?;
         Ok(Self {
             shared: Arc::new(shared),
             listeners,
             traffic,
             control,
-            waits,
+            ticks,
         })
     }
 
-    /// Where it listens.
+    /// Addresses it is bound to, with the ports that the system chose.
     #[must_use]
     pub fn listen(&self) -> Listen {
         self.shared.settings.listen
     }
 
-    /// Serves until `stop` ends, then shuts down gracefully. Control runs on
-    /// the calling thread.
+    /// Serves until `stop` completes, then shuts down gracefully. Control tasks
+    /// run on the calling thread.
     ///
     /// # Errors
-    /// If the system refuses a thread.
+    /// If the traffic thread cannot be spawned.
     pub fn run(self, stop: impl Future<Output = ()>) -> Result<(), Failure> {
         let Self {
             shared,
             listeners,
             traffic,
             control,
-            waits,
+            ticks,
         } = self;
         events::started(&shared);
         let membership = Arc::new(member::Membership::new(Arc::clone(&shared)));
-        spawn_traffic(&shared, &traffic, waits, listeners.callers.clone());
+        spawn_traffic(&shared, &traffic, ticks, listeners.callers.clone());
         spawn_control(&shared, &control, &listeners, &membership);
-        let (end, ended) = async_channel::bounded::<()>(1);
+        let (end_tx, end_rx) = async_channel::bounded::<()>(1);
         let thread = thread::Builder::new()
             .name("traffic".into())
             .spawn(move || {
-                // An error means that `end` was dropped: the end was asked for.
-                let _ = smol::block_on(traffic.run(ended.recv()));
+                // Always an error: nothing is sent, and dropping `end_tx` ends the thread.
+                let _ = smol::block_on(traffic.run(end_rx.recv()));
             })?;
         smol::block_on(control.run(async {
             stop.await;
-            let told = Instant::now();
+            let stopped = Instant::now();
             *lock(&shared.phase) = Phase::Leaving;
-            let last = server::shutdown_timeout(&shared.settings);
-            shared.update(|now, direct| direct.stop(now + last));
+            let timeout = server::shutdown_timeout(&shared.settings);
+            shared.update(|now, direct| direct.stop(now + timeout));
             events::stopping(&shared);
-            heartbeat::farewell(&shared, &listeners.heartbeats).await;
-            // The store may be silent, and the grace time runs.
+            heartbeat::send_final(&shared, &listeners.heartbeats).await;
+            // Removing the registration runs beside the drain: the store may not
+            // answer, and the grace period has begun.
             let leave = async {
                 membership.leave().await;
                 future::pending::<()>().await;
             };
-            future::or(server::drain(&shared, told), leave).await;
+            future::or(server::drain(&shared, stopped), leave).await;
         }));
-        drop(end);
+        drop(end_tx);
         let joined = thread.join();
         events::stopped(&shared);
         if joined.is_err() {
@@ -154,14 +157,14 @@
     }
 }
 
-/// What runs beside control and must not wait for it.
+/// Spawns the tasks that serve callers, which must not wait for control tasks.
 fn spawn_traffic(
     shared: &Arc<Shared>,
     traffic: &Executor,
-    waits: async_channel::Receiver<()>,
+    ticks: async_channel::Receiver<()>,
     socket: net::TcpListener,
 ) {
-    traffic.spawn(tick(Arc::clone(shared), waits)).detach();
+    traffic.spawn(tick(Arc::clone(shared), ticks)).detach();
     traffic.spawn(upkeep(Arc::clone(shared))).detach();
     traffic
         .spawn(callers::serve(
@@ -172,7 +175,8 @@
         .detach();
 }
 
-/// The store, the other instances, and whoever asks about this one.
+/// Spawns the tasks that follow the store, exchange messages with other
+/// instances, and answer readiness, directory and operator requests.
 fn spawn_control(
     shared: &Arc<Shared>,
     control: &Executor,
@@ -184,19 +188,22 @@
         let serve = queries::serve(Arc::clone(shared), socket.clone(), Arc::clone(control));
         control.spawn(serve).detach();
     }
-    let beats = &listeners.heartbeats;
+    let heartbeats = &listeners.heartbeats;
     control
         .spawn(source::follow(Arc::clone(shared), Arc::clone(control)))
         .detach();
     control.spawn(Arc::clone(membership).keep()).detach();
     control
-        .spawn(heartbeat::hear(Arc::clone(shared), beats.clone()))
+        .spawn(heartbeat::receive(Arc::clone(shared), heartbeats.clone()))
         .detach();
     control
-        .spawn(heartbeat::beat(Arc::clone(shared), beats.clone()))
+        .spawn(heartbeat::broadcast(Arc::clone(shared), heartbeats.clone()))
         .detach();
     control
-        .spawn(heartbeat::report(Arc::clone(shared), beats.clone()))
+        .spawn(heartbeat::report_quotas(
+            Arc::clone(shared),
+            heartbeats.clone(),
+        ))
         .detach();
     control
         .spawn(peer::serve(
@@ -210,6 +217,7 @@
         .detach();
 }
 
+/// Completes on SIGTERM or SIGINT; checks the settings file on each SIGHUP.
 async fn until_stopped(signals: &mut Signals, shared: &Shared, file: &Path) {
     while let Some(signal) = signals.next().await {
         match signal {
@@ -219,23 +227,26 @@
     }
 }
 
-/// Steps while something waits: an estimate of load fades without an event.
-async fn tick(shared: Arc<Shared>, waits: async_channel::Receiver<()>) {
-    while waits.recv().await.is_ok() {
+/// Steps steering every [`TICK`] while a request waits: load estimates decay with
+/// time, so a target may become available without an event.
+async fn tick(shared: Arc<Shared>, ticks: async_channel::Receiver<()>) {
+    while ticks.recv().await.is_ok() {
         smol::Timer::after(TICK).await;
         shared.decide(|_, _| ());
     }
 }
 
-/// Time between looks at idle connections.
-const UPKEEP: Duration = Duration::from_millis(200);
+/// Time between two runs of [`upkeep`].
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
+/// Closes idle connections to targets and drops expired members and targets from
+/// steering.
 async fn upkeep(shared: Arc<Shared>) {
     loop {
-        smol::Timer::after(UPKEEP).await;
+        smol::Timer::after(UPKEEP_INTERVAL).await;
         shared.target_pool.upkeep();
-        let dropped = shared.decide(|now, direct| direct.sweep(now));
-        for id in dropped {
+        let removed = shared.decide(|now, direct| direct.sweep(now));
+        for id in removed {
             events::target_gone(&shared, &id);
         }
     }
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -1,7 +1,8 @@
-//! Heartbeats among instances, and what they tell each other of teams' tokens.
+//! Datagrams between instances: heartbeats, and reports and grants of quota tokens.
 //!
-//! All are datagrams: one that is lost is made up for by the next, and none
-//! waits behind another. What has to arrive whole goes by `peer`.
+//! Datagrams may be lost: counts and totals are repeated in later ones, and none
+//! waits behind another. Data that must arrive complete goes over the calls of
+//! [`super::peer`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,37 +16,41 @@
 use super::{Shared, events, lock};
 
 /// Time between heartbeats to the nearest instances, which share targets and so
-/// need each other's counts.
-const SOON: Duration = Duration::from_millis(250);
+/// need each other's in-flight counts. Also the pause after a receive error.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Every how many of them goes to further instances too.
-const AFAR: u64 = 3;
+/// One in this many heartbeats also goes to remote instances: further ones of the
+/// region and those of other regions.
+const REMOTE_EVERY: u64 = 3;
 
-/// Every how many of them carries the row.
-const ROW: u64 = 6;
+/// One in this many heartbeats carries this instance's registration.
+const REGISTRATION_EVERY: u64 = 6;
 
-/// Sends heartbeats until the process ends, then says that it leaves.
-pub async fn beat(shared: Arc<Shared>, socket: net::UdpSocket) {
+/// Sends heartbeats until the process ends. Between those that go to remote
+/// instances too, one is skipped if the in-flight counts are unchanged.
+pub async fn broadcast(shared: Arc<Shared>, socket: net::UdpSocket) {
     let mut count = 0;
-    let mut quiet = Vec::new();
+    let mut last_sent = Vec::new();
     loop {
-        smol::Timer::after(SOON).await;
+        smol::Timer::after(HEARTBEAT_INTERVAL).await;
         count += 1;
-        let all = count % AFAR == 0;
-        let flying = shared.read(|_, d| d.roster.flying());
-        if !all && flying == quiet {
+        let all = count % REMOTE_EVERY == 0;
+        let in_flight = shared.read(|_, d| d.roster.flying());
+        if !all && in_flight == last_sent {
             continue;
         }
-        quiet = flying;
-        send(&shared, &socket, all, count % ROW == 0).await;
+        last_sent = in_flight;
+        send(&shared, &socket, all, count % REGISTRATION_EVERY == 0).await;
     }
 }
 
-/// Tells everybody at once that this instance leaves.
-pub async fn farewell(shared: &Shared, socket: &net::UdpSocket) {
+/// Sends a heartbeat to all recipients at once, to announce the shutdown.
+pub async fn send_final(shared: &Shared, socket: &net::UdpSocket) {
     send(shared, socket, true, true).await;
 }
 
+/// Sends one heartbeat to the nearest instances, and with `all` to remote ones;
+/// `row` adds this instance's registration.
 async fn send(shared: &Shared, socket: &net::UdpSocket, all: bool, row: bool) {
     let (beat, to) = {
         let mut steering = lock(&shared.steering);
@@ -53,32 +58,32 @@
         let beat = steering.direct.beat(now, row);
         (beat, steering.direct.audience(now))
     };
-    // What targets of this region have and hold is of no use elsewhere, and
-    // bytes between regions are the dearest.
-    let far = members::Beat {
+    // The state of this region's targets is of no use in other regions, and
+    // traffic between regions costs most.
+    let reduced = members::Beat {
         flying: Vec::new(),
         held: Vec::new(),
         observations: Vec::new(),
         ..beat.clone()
     };
-    let near = Message::Beat(Box::new(Beat::from(beat))).encode();
-    let far = Message::Beat(Box::new(Beat::from(far))).encode();
+    let complete = Message::Beat(Box::new(Beat::from(beat))).encode();
+    let reduced = Message::Beat(Box::new(Beat::from(reduced))).encode();
     let region = to.region.into_iter().filter(|_| all);
     for addr in to.near.into_iter().chain(region) {
-        // As good as lost: the next one is due in a moment.
-        let _ = socket.send_to(&near, addr).await;
+        // A failed send counts as a lost datagram: the next heartbeat follows soon.
+        let _ = socket.send_to(&complete, addr).await;
     }
     for addr in to.far.into_iter().filter(|_| all) {
-        let _ = socket.send_to(&far, addr).await;
+        let _ = socket.send_to(&reduced, addr).await;
     }
 }
 
-/// Shortest time between two reports of teams' tokens.
-const URGENT: Duration = Duration::from_millis(5);
+/// Minimum time between two rounds of quota reports.
+const QUOTA_REPORT_INTERVAL_MIN: Duration = Duration::from_millis(5);
 
-/// Reports teams' tokens until the process ends, and at once when a request
-/// waits for one.
-pub async fn report(shared: Arc<Shared>, socket: net::UdpSocket) {
+/// Reports this instance's use of teams' quotas until the process ends: at a
+/// regular pace, and at once when a request begins to wait for a token.
+pub async fn report_quotas(shared: Arc<Shared>, socket: net::UdpSocket) {
     loop {
         let pace = shared.read(|_, d| d.report_pace());
         let due = async {
@@ -92,23 +97,24 @@
         };
         for quota::Due { addr, report } in due {
             let report = Message::Report(report.into()).encode();
-            // As good as lost: the next one is due in a moment.
+            // A failed send counts as a lost datagram: the next report follows soon.
             let _ = socket.send_to(&report, addr).await;
         }
-        // What this instance's own pool has handed out may let requests go on.
+        // Tokens granted by this instance's own pool may admit waiting requests.
         shared.decide(|_, _| ());
-        smol::Timer::after(URGENT).await;
+        smol::Timer::after(QUOTA_REPORT_INTERVAL_MIN).await;
     }
 }
 
-/// Takes heartbeats until the process ends.
-pub async fn hear(shared: Arc<Shared>, socket: net::UdpSocket) {
+/// Receives datagrams until the process ends: heartbeats, quota reports, which are
+/// answered with a grant, and grants.
+pub async fn receive(shared: Arc<Shared>, socket: net::UdpSocket) {
     let mut bytes = vec![0; DATAGRAM * 2];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut bytes).await else {
-            // The system reports a peer that has gone here; the next datagram
-            // comes all the same.
-            smol::Timer::after(SOON).await;
+            // Errors of earlier sends, such as an unreachable peer, surface here;
+            // later datagrams still arrive.
+            smol::Timer::after(HEARTBEAT_INTERVAL).await;
             continue;
         };
         match Message::decode(&bytes[..len]) {
@@ -122,7 +128,8 @@
                     steering.direct.take_report(now, report.into())
                 };
                 let grant = Message::Grant(grant.into()).encode();
-                // As good as lost: the next report brings it again.
+                // A failed send counts as a lost datagram: the answer to the next
+                // report repeats the totals.
                 let _ = socket.send_to(&grant, from).await;
             }
             Ok(Message::Grant(grant)) => {
