--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -1,7 +1,7 @@
-//! State that the control and the traffic thread share.
+//! State shared by the control and the traffic thread.
 //!
-//! Invariant: its lock on the decisions is held for single decisions only, and
-//! each order of a decision goes to the request that waits for it.
+//! Invariants: the lock on [`Steering`] is held for one decision at a time, never
+//! across an await; each decision on a request is delivered to that request.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,73 +19,73 @@
 
 use super::{Executor, Failure, events, metrics, peer, server};
 
-/// Time to open a connection to a target or to the store. A few times what it
-/// takes across regions; where nothing answers it tells "not sent" soon enough
-/// to try another.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time limit for opening a connection to a target or to the store. Several times
+/// what a connection across regions takes, and short enough to leave time for
+/// another target after an address that does not answer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Connections that this process holds open to one address at most.
-const CONNECTIONS: usize = 128;
+/// Maximum number of open connections from this process to one address.
+const CONNECTIONS_PER_ADDR_MAX: usize = 128;
 
-/// A request that waits for its order.
+/// A request in steering, with the channel that delivers its decisions.
 pub(super) struct Waiter {
     ticket: Ticket,
-    order: async_channel::Sender<Order>,
+    decisions: async_channel::Sender<Order>,
 }
 
-/// State that both threads share.
+/// State of one instance, used by both threads.
 pub(crate) struct Shared {
-    /// The settings, with the addresses that are in fact listened on.
+    /// Settings, with the addresses that were bound.
     pub(super) settings: Settings,
-    /// The settings as they were read.
+    /// Settings as passed in, in which port 0 lets the system choose.
     pub(super) original_settings: Settings,
-    /// When it started, by the clock that goes on while the machine sleeps.
+    /// Start of this process by `CLOCK_BOOTTIME`; the origin of [`Time`].
     start: Duration,
     pub(super) steering: Mutex<Steering>,
-    /// What the store holds, for instances that don't read it.
+    /// Copy of the store's items, served to instances that read from this one.
     pub(super) replica: Mutex<Replica>,
-    /// Told with each answer of the store or of who reads it.
+    /// Notified after each update from the store or another instance is applied.
     pub(super) updated: Event,
-    /// Told when a request begins to wait for its team's quota.
+    /// Notified when a request begins to wait for a token of its team's quota.
     pub(super) quota_wait: Event,
-    /// Whether one has, since that was last looked at.
+    /// Whether one has begun to wait since the last quota reports.
     is_quota_urgent: AtomicBool,
     pub(super) snapshot_cache: peer::SnapshotCache,
-    /// Whether the store has taken this instance's row away.
+    /// Whether the store has deleted this instance's registration.
     pub(super) is_unlisted: AtomicBool,
-    /// Told when something begins to wait.
+    /// Wakes the tick task while requests wait.
     pub(super) ticker: async_channel::Sender<()>,
     /// Connections to targets.
     pub(super) target_pool: Arc<pool::Pool>,
     pub(super) phase: Mutex<Phase>,
-    /// Closed when the process begins to close connections.
+    /// Its sender is closed when the process begins to close callers' connections.
     pub(super) closing: async_channel::Receiver<()>,
     pub(super) close: async_channel::Sender<()>,
     /// The platform's store.
     pub(super) store: platform::store::Store,
-    /// Callers' open connections.
+    /// Counts callers' open connections.
     pub(super) connections: server::ConnectionCount,
     pub(super) metrics: metrics::Metrics,
-    /// Bytes of callers' bodies that are held.
+    /// Bytes reserved for callers' request bodies.
     pub(super) body_bytes: Arc<AtomicUsize>,
     pub(super) log_quota: events::LogQuota,
 }
 
-/// Decisions and who waits for them.
+/// The steering state and the requests that wait for its decisions.
 pub(super) struct Steering {
     pub(super) direct: Direct,
     /// Sorted by ticket.
     pub(super) waiters: Vec<Waiter>,
 }
 
-/// How far this process is on its way out.
+/// Stages of the process's life, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
     /// In service.
     Serving,
-    /// Told to stop; answers say that their connection closes.
+    /// Asked to stop; answers carry `Connection: close`.
     Leaving,
-    /// Idle connections are closed.
+    /// Idle connections are closed and no new ones accepted.
     Closing,
 }
 
@@ -98,9 +98,9 @@
         control: &Executor,
     ) -> Result<Self, Failure> {
         let limits = pool::Limits {
-            bound: CONNECTIONS,
+            bound: CONNECTIONS_PER_ADDR_MAX,
             warm: 0,
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
         };
         let home = Home {
             name: Arc::clone(&settings.name),
@@ -138,25 +138,26 @@
         })
     }
 
+    /// Time since the start of this process.
     pub(super) fn now(&self) -> Time {
         let micros = boot_time().saturating_sub(self.start).as_micros();
         Time::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// A moment of the monotonic clock, as decisions count it.
+    /// Converts a past instant of the monotonic clock.
     pub(super) fn at(&self, moment: Instant) -> Time {
         self.now() - moment.elapsed()
     }
 
-    /// Begins to close connections; nothing more is accepted.
+    /// Begins to close callers' connections; no new ones are accepted.
     pub(super) fn start_closing(&self) {
         *lock(&self.phase) = Phase::Closing;
         self.close.close();
     }
 
-    /// Ends when the process begins to close connections.
+    /// Completes when the process begins to close callers' connections.
     pub(super) async fn until_closing(&self) {
-        // Nothing is ever sent; an error says that it was closed.
+        // Nothing is sent on this channel; closing it ends the wait with an error.
         let _ = self.closing.recv().await;
     }
 
@@ -164,14 +165,14 @@
         *lock(&self.phase)
     }
 
-    /// Runs one decision and hands out what follows from it.
+    /// Changes the steering state, steps it, and delivers the decisions that follow.
     pub(super) fn decide<T>(&self, decide: impl FnOnce(Time, &mut Direct) -> T) -> T {
         let mut steering = lock(&self.steering);
         let now = self.now();
-        let found = decide(now, &mut steering.direct);
-        let orders = steering.direct.step(now);
-        for order in orders {
-            steering.hand(order);
+        let result = decide(now, &mut steering.direct);
+        let decisions = steering.direct.step(now);
+        for decision in decisions {
+            steering.deliver(decision);
         }
         let waiting = steering.direct.waiting() > 0;
         let urgent = steering.direct.take_urgent();
@@ -181,43 +182,44 @@
             self.quota_wait.notify(1);
         }
         if waiting {
-            // Full means that the ticker has been told already.
+            // A full channel means that the tick task is due to run anyway.
             let _ = self.ticker.try_send(());
         }
-        found
+        result
     }
 
-    /// Tells the steering state something that settles no request.
+    /// Changes the steering state without a step; decisions that become possible
+    /// are taken at the next one.
     pub(super) fn update(&self, update: impl FnOnce(Time, &mut Direct)) {
         let mut steering = lock(&self.steering);
         update(self.now(), &mut steering.direct);
     }
 
-    /// Calls made to the store.
+    /// Number of calls made to the store, of all kinds.
     pub(super) fn store_calls(&self) -> u64 {
         Kind::ALL.iter().map(|kind| self.store.calls(*kind)).sum()
     }
 
-    /// Where this instance is reached.
+    /// Addresses and location of this instance.
     pub(super) fn registration(&self) -> Row {
         row(&self.settings)
     }
 
-    /// The store's word on this instance's own row.
+    /// Records whether the store lists this instance.
     pub(super) fn set_listed(&self, listed: bool) {
         self.is_unlisted.store(!listed, Ordering::Relaxed);
     }
 
-    /// Ends when a request waits for its team's quota.
+    /// Completes when a request has begun to wait for a token since the last call.
     pub(super) async fn until_quota_wait(&self) {
-        let asked = self.quota_wait.listen();
+        let listener = self.quota_wait.listen();
         if !self.is_quota_urgent.swap(false, Ordering::Relaxed) {
-            asked.await;
+            listener.await;
             self.is_quota_urgent.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Whether the store has taken the row away since it was last asked.
+    /// Whether the store has deleted the registration since the last call.
     pub(super) fn take_unlisted(&self) -> bool {
         self.is_unlisted.swap(false, Ordering::Relaxed)
     }
@@ -228,19 +230,23 @@
         read(self.now(), &steering.direct)
     }
 
-    /// Takes a request in, registered for its orders before any is given.
+    /// Submits a request to steering. Its channel is registered before the first
+    /// step, so that no decision is lost.
+    ///
+    /// # Errors
+    /// If steering rejects it on arrival.
     pub(super) fn submit(&self, ask: Ask) -> Result<(Ticket, async_channel::Receiver<Order>), Why> {
-        let (order, orders) = async_channel::bounded(1);
+        let (decisions, receiver) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
         let ticket = steering.direct.arrive(self.now(), ask)?;
         let at = steering.waiters.partition_point(|w| w.ticket < ticket);
-        steering.waiters.insert(at, Waiter { ticket, order });
+        steering.waiters.insert(at, Waiter { ticket, decisions });
         drop(steering);
         self.decide(|_, _| ());
-        Ok((ticket, orders))
+        Ok((ticket, receiver))
     }
 
-    /// A request is settled or its caller has left.
+    /// Removes a request that is answered or whose caller has disconnected.
     pub(super) fn release(&self, ticket: Ticket) {
         let mut steering = lock(&self.steering);
         if let Ok(at) = steering.waiters.binary_search_by_key(&ticket, |w| w.ticket) {
@@ -250,12 +256,13 @@
         self.decide(|now, direct| direct.leave(now, ticket));
     }
 
-    /// Whether callers should come here.
+    /// Whether callers should connect to this instance.
     pub(super) fn is_ready(&self) -> bool {
         self.is_serving() && self.read(|now, d| d.is_sound(now))
     }
 
-    /// Whether callers that need no key can come here.
+    /// Whether this instance can serve requests that need no key: it isn't stopping
+    /// and knows a configuration and targets.
     pub(super) fn is_serving(&self) -> bool {
         self.phase() == Phase::Serving
             && self.read(|_, d| d.routes().is_some() && !d.roster.all().is_empty())
@@ -263,23 +270,26 @@
 }
 
 impl Steering {
-    fn hand(&mut self, order: Order) {
-        let ticket = match &order {
+    /// Sends a decision to its request; drops it if the request is gone.
+    fn deliver(&mut self, decision: Order) {
+        let ticket = match &decision {
             Order::Go(go) => go.ticket,
             Order::Reject { ticket, .. } => *ticket,
         };
         if let Ok(at) = self.waiters.binary_search_by_key(&ticket, |w| w.ticket) {
-            // A request waits for one order at a time, so there is room.
-            let _ = self.waiters[at].order.try_send(order);
+            // A request has at most one decision pending, so the channel has room.
+            let _ = self.waiters[at].decisions.try_send(decision);
         }
     }
 }
 
+/// Locks a mutex, also if another thread panicked while it held it.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Time since the machine's start, sleep included: knowledge ages meanwhile too.
+/// Time since the machine booted, including time suspended: data goes stale while
+/// suspended too.
 fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
