--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -33,41 +33,41 @@
     /// An engine with nothing in flight and an empty view.
     #[must_use]
     pub fn new(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         rng: fastrand::Rng,
     ) -> Self {
-        Self::with_safeguards(home, me, limits, gate::Safeguards::ALL, rng)
+        Self::with_safeguards(identity, me, limits, gate::Safeguards::ALL, rng)
     }
 
     /// The same with the dispatcher's limits of choice.
     #[must_use]
     pub fn tuned(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         tuning: dispatch::tuning::Tuning,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            dispatch: dispatch::Dispatch::tuned(home.clone(), tuning, rng.clone()),
-            ..Self::new(home, me, limits, rng)
+            dispatch: dispatch::Dispatch::tuned(identity.clone(), tuning, rng.clone()),
+            ..Self::new(identity, me, limits, rng)
         }
     }
 
     /// The same with safeguards taken out. For the explorer and tests only.
     #[must_use]
     pub fn with_safeguards(
-        home: dispatch::Home,
+        identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
         safe: gate::Safeguards,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            gate: gate::Gate::with_safeguards(home.clone(), me, limits, safe),
-            dispatch: dispatch::Dispatch::new(home, rng),
+            gate: gate::Gate::with_safeguards(identity.clone(), me, limits, safe),
+            dispatch: dispatch::Dispatch::new(identity, rng),
             outbox: outbox::Outbox::default(),
             arriving: None,
             asked: Vec::new(),
@@ -86,8 +86,14 @@
     pub fn handle(&mut self, now: clock::Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
-            Event::Forwarded { id, ending } => {
-                self.gate(now, gate::Event::Forwarded { id, ending });
+            Event::Forwarded { id, outcome } => {
+                self.gate(
+                    now,
+                    gate::Event::Forwarded {
+                        id,
+                        ending: outcome,
+                    },
+                );
             }
             Event::Told { ask, word } => self.gate(now, gate::Event::Told { ask, word }),
             Event::Asked { ask, question } => {
@@ -106,12 +112,12 @@
             Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome,
             } => {
                 let event = dispatch::Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome,
                 };
                 self.dispatch(now, event);
             }
@@ -298,8 +304,14 @@
             Ok(()) => out.push(Action::Forward { id, peer, budget }),
             Err(after) => {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Cap, Some(after));
-                let ending = dispatch::Ending::PeerRefused(refusal);
-                self.gate(now, gate::Event::Forwarded { id, ending });
+                let outcome = dispatch::AttemptOutcome::PeerRefused(refusal);
+                self.gate(
+                    now,
+                    gate::Event::Forwarded {
+                        id,
+                        ending: outcome,
+                    },
+                );
             }
         }
     }
