--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -141,11 +141,11 @@
             heartbeat::send_final(&shared, &listeners.heartbeats).await;
             // Removing the registration runs beside the drain: the store may not
             // answer, and the grace period has begun.
-            let leave = async {
-                membership.leave().await;
+            let deregister = async {
+                membership.deregister().await;
                 future::pending::<()>().await;
             };
-            future::or(server::drain(&shared, stopped), leave).await;
+            future::or(server::drain(&shared, stopped), deregister).await;
         }));
         drop(end_tx);
         let joined = thread.join();
@@ -192,7 +192,7 @@
     control
         .spawn(source::follow(Arc::clone(shared), Arc::clone(control)))
         .detach();
-    control.spawn(Arc::clone(membership).keep()).detach();
+    control.spawn(Arc::clone(membership).maintain()).detach();
     control
         .spawn(heartbeat::receive(Arc::clone(shared), heartbeats.clone()))
         .detach();
--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -1,4 +1,8 @@
-//! The state of the process, as JSON, on request.
+//! Snapshot of an instance's state, served to operators as JSON and read by the
+//! metrics.
+//!
+//! Invariant: except for `ready` and `leaving`, the snapshot is taken under one lock
+//! of the steering state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,43 +14,44 @@
 
 use super::{Phase, Shared};
 
-/// What this process knows and does now.
+/// State of an instance at one moment.
 #[derive(Serialize)]
 pub struct State {
     /// Name of this instance.
     pub name: Arc<str>,
-    /// Whether callers should come here.
+    /// Whether callers should connect to this instance.
     pub ready: bool,
-    /// Whether it was told to stop.
+    /// Whether it was asked to stop.
     pub leaving: bool,
-    /// Configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 before the first.
     pub version: u64,
-    /// Revision of the store known whole.
+    /// Revision up to which the store's content is known.
     pub revision: u64,
-    /// Whether the store answers.
+    /// Whether the store answered lately, here or to the upstream instance.
     pub store: bool,
-    /// Calls made to the store.
+    /// Number of calls made to the store.
     pub store_calls: u64,
-    /// Where what the store holds is read from.
+    /// Source that the store's content is read from next: `store`, or the name of an
+    /// instance.
     pub upstream: Arc<str>,
-    /// Callers' open connections.
+    /// Number of callers' open connections.
     pub connections: usize,
-    /// Requests that are here.
+    /// Requests in progress at this instance.
     pub requests: usize,
-    /// Requests that wait for a target.
+    /// Requests that wait to be sent.
     pub waiting: usize,
-    /// Domains that get nothing.
+    /// Failure domains whose targets get no requests.
     pub evacuated: Vec<Arc<str>>,
-    /// Other instances.
+    /// Names of the other instances that are present.
     pub instances: Vec<Arc<str>>,
-    /// Milliseconds since the moment at which all that the store held is known, at
-    /// most; none before the first.
+    /// Upper bound in milliseconds on the time since the store's content was known in
+    /// full; none before the first read.
     pub stale_ms: Option<u64>,
-    /// Teams with a quota of which this instance holds tokens.
+    /// Teams with a quota, and the tokens that this instance holds of each.
     pub quotas: Vec<QuotaUse>,
-    /// Share of each service's requests that runs in other regions.
+    /// Share of each service's requests that is sent to other regions.
     pub elsewhere: Vec<(Arc<str>, f64)>,
-    /// Targets.
+    /// All known targets.
     pub targets: Vec<Target>,
 }
 
@@ -54,36 +59,39 @@
 #[derive(Serialize)]
 pub struct QuotaUse {
     team: Arc<str>,
-    /// Requests that would be admitted at once.
+    /// Tokens held.
     tokens: f64,
-    /// Requests a second lately.
+    /// Recent rate of requests per second.
     rate: f64,
 }
 
-/// One target.
+/// One target as this instance sees it.
 #[derive(Serialize)]
 pub struct Target {
     id: Arc<str>,
     service: Arc<str>,
     domain: Arc<str>,
-    /// `leaving`, `gone`, `cold`, `aside`; none if it is in full use.
+    /// Any of `leaving`, `gone`, `cold` and `aside` (ejected); empty in full use.
     marks: Vec<&'static str>,
+    /// Requests from this instance that it has in flight.
     flying: u32,
-    /// Requests a second that it takes from all instances, if it says so.
+    /// Requests per second that it accepts from all instances, if it states a limit.
     limit: Option<f64>,
+    /// Mean ratio of its response times to the expected ones.
     slowness: f64,
+    /// The greater of its failure rate and its refusal rate.
     illness: f64,
 }
 
 impl Target {
-    /// Whether it names a limit.
+    /// Whether it states a request limit.
     pub const fn is_limited(&self) -> bool {
         self.limit.is_some()
     }
 }
 
 impl State {
-    /// The state now.
+    /// Takes a snapshot.
     pub fn capture(shared: &Shared) -> Self {
         let ready = shared.is_ready();
         let leaving = shared.phase() > Phase::Serving;
@@ -95,7 +103,7 @@
             revision: direct.revision(),
             store: direct.is_in_touch(now),
             store_calls: shared.store_calls(),
-            upstream: upstream(&direct.upstream(now)),
+            upstream: upstream_name(&direct.upstream(now)),
             connections: shared.connections.get(),
             requests: direct.count(),
             waiting: direct.waiting(),
@@ -119,7 +127,7 @@
                     id: Arc::clone(&t.entry.id),
                     service: Arc::clone(&t.entry.service),
                     domain: Arc::clone(&t.entry.domain),
-                    marks: marks(t, now),
+                    marks: labels(t, now),
                     flying: t.in_flight,
                     limit: t.limit(),
                     slowness: t.health.slowness(now),
@@ -134,19 +142,20 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn upstream(upstream: &Upstream) -> Arc<str> {
+fn upstream_name(upstream: &Upstream) -> Arc<str> {
     match upstream {
         Upstream::Store => "store".into(),
         Upstream::Peer { name, .. } => Arc::clone(name),
     }
 }
 
-fn marks(target: &target::Target, now: Time) -> Vec<&'static str> {
+/// Labels of the restrictions on a target's use.
+fn labels(target: &target::Target, now: Time) -> Vec<&'static str> {
     let all = [
         ("leaving", target.entry.draining),
         ("gone", target.gone),
         ("cold", target.is_cold(now)),
         ("aside", target.is_ejected(now)),
     ];
-    all.iter().filter(|m| m.1).map(|m| m.0).collect()
+    all.iter().filter(|l| l.1).map(|l| l.0).collect()
 }
--- a/crates/auburnrouter/src/direct/member.rs
+++ b/crates/auburnrouter/src/direct/member.rs
@@ -1,7 +1,8 @@
-//! This instance's row in the platform's store, which names it to the others.
+//! Registration of this instance in the platform's store, by which the other
+//! instances find it.
 //!
-//! Invariant: the row disappears with its instance, at once when it stops as
-//! planned, otherwise when its lease runs out.
+//! Invariant: the registration does not outlive the instance by more than its
+//! lease; an orderly stop removes it at once.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,43 +12,43 @@
 
 use super::{Phase, Shared, events, lock};
 
-/// Where the rows lie.
-pub const PREFIX: &str = "auburnrouter/instances/";
+/// Prefix of the keys of registrations; the instance's name follows.
+pub const KEY_PREFIX: &str = "auburnrouter/instances/";
 
-/// Time that a row outlives its instance.
-const LEASE: Duration = Duration::from_secs(3);
+/// Maximum time that a registration outlives its instance.
+const LEASE_TTL: Duration = Duration::from_secs(3);
 
-/// Time between renewals; two may be lost before the lease ends.
-const RENEW: Duration = Duration::from_millis(900);
+/// Time between renewals: the lease survives two that fail.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Time between looks at whether the process is ready for its row: callers come
-/// once it is there.
-const READY: Duration = Duration::from_millis(100);
+/// Time between checks whether the instance is ready, until it is registered:
+/// callers are sent to it from then on.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A lease, and whether the row lies under it.
+/// A lease, and whether the registration was written under it.
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    lease: u64,
-    written: bool,
+struct Lease {
+    id: u64,
+    is_written: bool,
 }
 
-/// Keeps this instance's row.
+/// Keeps this instance registered.
 pub struct Membership {
     shared: Arc<Shared>,
-    held: Mutex<Option<Held>>,
+    lease: Mutex<Option<Lease>>,
 }
 
 impl Membership {
-    /// No row yet.
+    /// Creates it without a registration.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
-            held: Mutex::new(None),
+            lease: Mutex::new(None),
         }
     }
 
-    /// Writes the row and renews its lease until the process leaves.
-    pub async fn keep(self: Arc<Self>) {
+    /// Registers the instance once it is ready and renews the lease until it stops.
+    pub async fn maintain(self: Arc<Self>) {
         let mut lost = false;
         while self.shared.phase() == Phase::Serving {
             match self.renew().await {
@@ -63,57 +64,66 @@
                     lost = true;
                 }
             }
-            let waiting = lock(&self.held).is_none() && !lost;
-            smol::Timer::after(if waiting { READY } else { RENEW }).await;
+            let is_pending = lock(&self.lease).is_none() && !lost;
+            smol::Timer::after(if is_pending {
+                READY_POLL_INTERVAL
+            } else {
+                RENEWAL_INTERVAL
+            })
+            .await;
         }
     }
 
+    /// Takes the next step: obtains a lease, writes the registration or renews.
     async fn renew(&self) -> Result<(), Error> {
-        let held = *lock(&self.held);
-        let Some(held) = held else {
+        let lease = *lock(&self.lease);
+        let Some(lease) = lease else {
             if !self.shared.is_ready() {
                 return Ok(());
             }
-            let lease = self.shared.store.lease(LEASE).await?;
-            *lock(&self.held) = Some(Held {
-                lease,
-                written: false,
+            let id = self.shared.store.lease(LEASE_TTL).await?;
+            *lock(&self.lease) = Some(Lease {
+                id,
+                is_written: false,
             });
-            return self.write(lease).await;
+            return self.write(id).await;
         };
-        // The store may take a key away while its lease goes on.
-        if !held.written || self.shared.take_unlisted() {
-            return self.write(held.lease).await;
+        // The store may delete a key while its lease is still valid.
+        if !lease.is_written || self.shared.take_unlisted() {
+            return self.write(lease.id).await;
         }
-        let kept = self.shared.store.keep(held.lease).await;
-        self.unless_ended(kept)
+        let renewed = self.shared.store.keep(lease.id).await;
+        self.drop_ended(renewed)
     }
 
-    async fn write(&self, lease: u64) -> Result<(), Error> {
+    /// Writes the registration under a lease.
+    async fn write(&self, id: u64) -> Result<(), Error> {
         let row = near::Row::from(self.shared.registration());
         let value = serde_json::to_vec(&row).unwrap_or_default();
-        let key = format!("{PREFIX}{}", self.shared.settings.name);
-        let put = self.shared.store.put(&key, &value, lease).await;
-        self.unless_ended(put)?;
-        *lock(&self.held) = Some(Held {
-            lease,
-            written: true,
+        let key = format!("{KEY_PREFIX}{}", self.shared.settings.name);
+        let put = self.shared.store.put(&key, &value, id).await;
+        self.drop_ended(put)?;
+        *lock(&self.lease) = Some(Lease {
+            id,
+            is_written: true,
         });
         Ok(())
     }
 
-    fn unless_ended(&self, done: Result<(), Error>) -> Result<(), Error> {
-        if matches!(done, Err(Error::NoLease)) {
-            *lock(&self.held) = None;
+    /// Forgets the lease if the store reports that it has ended.
+    fn drop_ended(&self, result: Result<(), Error>) -> Result<(), Error> {
+        if matches!(result, Err(Error::NoLease)) {
+            *lock(&self.lease) = None;
         }
-        done
+        result
     }
 
-    /// Removes the row: no new callers are sent here.
-    pub async fn leave(&self) {
-        let held = lock(&self.held).take();
-        if let Some(held) = held
-            && let Err(error) = self.shared.store.end(held.lease).await
+    /// Ends the lease and with it the registration, so that no new callers are sent
+    /// here.
+    pub async fn deregister(&self) {
+        let lease = lock(&self.lease).take();
+        if let Some(lease) = lease
+            && let Err(error) = self.shared.store.end(lease.id).await
         {
             events::store_lost(&self.shared, "leave", &error.to_string());
         }
--- a/crates/auburnrouter/src/direct/metrics.rs
+++ b/crates/auburnrouter/src/direct/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters, gauges and latency histograms, as operators scrape them.
+//! Counters, gauges and latency histograms in the Prometheus text format.
 //!
-//! Invariant: labels are enumerations of this program, never names from the
-//! outside, so that the number of series is fixed at any size of a deployment.
+//! Invariant: label values come from fixed sets in this program, never from input,
+//! so the number of series does not grow with the deployment.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
@@ -12,31 +12,31 @@
 
 use super::Shared;
 
-/// Metrics could not be set up or printed.
+/// The metrics cannot be registered or encoded.
 #[derive(Debug, thiserror::Error)]
-#[error("metrics: {0}; this is a fault of the program, report it")]
+#[error("metrics: {0}; this is a bug, please report it")]
 pub struct Error(#[from] prometheus::Error);
 
-/// Bounds of the latency histograms in seconds: a factor of two apart, around
-/// the latency objectives.
-const BUCKETS: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0];
+/// Upper bounds of the latency histogram buckets in seconds: about a factor of two
+/// apart around the latency objectives.
+const LATENCY_BUCKETS: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0];
 
-/// The metrics of one process.
+/// The metrics of one instance.
 pub struct Metrics {
     registry: Registry,
-    /// Attempts at targets by ending.
+    /// Attempts at targets, by outcome.
     pub attempts: IntCounterVec,
-    /// Answers of this system's own by status and cause.
+    /// Answers that no target gave, by status and cause.
     pub own_answers: IntCounterVec,
-    /// Time from a request's arrival to its being sent.
+    /// Time from a request's arrival to the start of each attempt.
     pub hold_time: Histogram,
-    /// Time that attempts took.
+    /// Duration of attempts.
     pub attempt_time: Histogram,
-    /// Attempts at targets that were known to name a limit.
+    /// Attempts at targets that were known to have a request limit.
     pub limited_attempts: IntCounter,
-    /// Log lines left out.
+    /// Log lines dropped by the bound per second.
     pub dropped_lines: IntCounter,
-    /// Connections that were turned away.
+    /// Callers' connections rejected for lack of file descriptors.
     pub rejected_connections: IntCounter,
     requests: IntGauge,
     waiting: IntGauge,
@@ -53,10 +53,10 @@
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Registers all metrics at zero.
     ///
     /// # Errors
-    /// If two metrics have one name.
+    /// If two metrics have the same name or a name is invalid.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, labels: &[&str]| -> Result<_, Error> {
@@ -65,7 +65,7 @@
             Ok(counters)
         };
         let histogram = |name: &str, help: &str| -> Result<_, Error> {
-            let options = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
             let histogram = Histogram::with_opts(options)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok(histogram)
@@ -77,17 +77,17 @@
         };
         let limited_attempts = IntCounter::new(
             "auburnrouter_attempts_limited_total",
-            "Attempts at targets that were known to name a limit",
+            "Attempts at targets that were known to have a request limit",
         )?;
         registry.register(Box::new(limited_attempts.clone()))?;
         let dropped_lines = IntCounter::new(
             "auburnrouter_log_lines_left_out_total",
-            "Log lines left out, by the bound a second or a slow reader",
+            "Log lines dropped by the bound per second",
         )?;
         registry.register(Box::new(dropped_lines.clone()))?;
         let rejected_connections = IntCounter::new(
             "auburnrouter_connections_turned_away_total",
-            "Callers' connections beyond what the process's descriptors allow",
+            "Callers' connections rejected for lack of file descriptors",
         )?;
         registry.register(Box::new(rejected_connections.clone()))?;
         let store_calls = IntGaugeVec::new(
@@ -101,7 +101,7 @@
         Ok(Self {
             attempts: counters(
                 "auburnrouter_attempts_total",
-                "Attempts at targets, by ending",
+                "Attempts at targets, by outcome",
                 &["ending"],
             )?,
             own_answers: counters(
@@ -111,38 +111,56 @@
             )?,
             hold_time: histogram(
                 "auburnrouter_held_seconds",
-                "Time from a request's arrival to its being sent",
+                "Time from a request's arrival to the start of each attempt",
+            )?,
+            attempt_time: histogram(
+                "auburnrouter_attempt_seconds",
+                "Duration of attempts at targets",
             )?,
-            attempt_time: histogram("auburnrouter_attempt_seconds", "Time that attempts took")?,
             limited_attempts,
             dropped_lines,
             rejected_connections,
-            requests: gauge("auburnrouter_requests", "Requests that are here")?,
-            waiting: gauge("auburnrouter_waiting", "Requests that wait for a target")?,
+            requests: gauge(
+                "auburnrouter_requests",
+                "Requests in progress at this instance",
+            )?,
+            waiting: gauge("auburnrouter_waiting", "Requests that wait to be sent")?,
             targets: gauge("auburnrouter_targets", "Targets listed")?,
             targets_limited: gauge(
                 "auburnrouter_targets_limited",
-                "Targets that name a limit of requests a second",
+                "Targets with a limit of requests per second",
+            )?,
+            instances: gauge(
+                "auburnrouter_instances",
+                "Instances present, including this one",
+            )?,
+            version: gauge(
+                "auburnrouter_config_version",
+                "Configuration version in force; 0 before the first",
+            )?,
+            revision: gauge(
+                "auburnrouter_store_revision",
+                "Revision up to which the store's content is known",
+            )?,
+            in_touch: gauge(
+                "auburnrouter_store_in_touch",
+                "1 while the store is in touch, else 0",
             )?,
-            instances: gauge("auburnrouter_instances", "Instances there, this one too")?,
-            version: gauge("auburnrouter_config_version", "Configuration in force")?,
-            revision: gauge("auburnrouter_store_revision", "Revision known whole")?,
-            in_touch: gauge("auburnrouter_store_in_touch", "1 while the store answers")?,
             staleness: gauge(
                 "auburnrouter_staleness_milliseconds",
-                "Time since all that the store held is known, at most; -1 before",
+                "Upper bound on the time since the store's content was known in full; -1 before the first read",
             )?,
-            teams: gauge("auburnrouter_teams", "Teams of the configuration")?,
+            teams: gauge("auburnrouter_teams", "Teams in the configuration")?,
             connections: gauge("auburnrouter_connections", "Callers' open connections")?,
             store_calls,
             registry,
         })
     }
 
-    /// All metrics in the text format.
+    /// Updates the gauges from the present state and encodes all metrics as text.
     ///
     /// # Errors
-    /// If they can't be printed.
+    /// If encoding fails.
     pub fn encode(&self, shared: &Shared) -> Result<Vec<u8>, Error> {
         let state = super::dump::State::capture(shared);
         self.requests.set(int(state.requests));
@@ -168,10 +186,12 @@
     }
 }
 
+/// Converts a count, saturating.
 fn int(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
+/// Converts a number, saturating.
 fn int64(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -147,12 +147,12 @@
             smol::Timer::after(MEMBERS).await;
             Err(Error::Lost)
         };
-        let list = shared.store.list(member::PREFIX, Freshness::Stale);
+        let list = shared.store.list(member::KEY_PREFIX, Freshness::Stale);
         let Ok(listing) = future::or(list, late).await else {
             return Vec::new();
         };
         let row = |item: &platform::store::Item| {
-            let name = item.key.strip_prefix(member::PREFIX)?;
+            let name = item.key.strip_prefix(member::KEY_PREFIX)?;
             let row: near::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
             let near = *row.domain == *shared.settings.domain && *name != *shared.settings.name;
             near.then(|| (Arc::from(name), row.peers))
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -69,7 +69,7 @@
         set_evacuated(shared, domains);
     } else if let Some(id) = key.strip_prefix(entry::PREFIX) {
         remove_target(shared, id);
-    } else if let Some(name) = key.strip_prefix(member::PREFIX) {
+    } else if let Some(name) = key.strip_prefix(member::KEY_PREFIX) {
         put_member(shared, name, value);
     }
 }
