--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -309,9 +309,9 @@
             traffic::Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
-            } => self.send(inner, id, attempt, place, budget),
+            } => self.send(inner, id, attempt, destination, budget),
             traffic::Action::Cancel { attempt, .. } => self.cancel(inner, attempt),
             traffic::Action::Reply { id, answer } => inner.settle(id, Ok(answer)),
             traffic::Action::Refuse { id, refusal } => inner.settle(id, Err(refusal)),
@@ -396,7 +396,7 @@
         inner: &mut Inner,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: dispatch::Place,
+        destination: dispatch::Destination,
         budget: Duration,
     ) {
         let (Some(request), Some(engine)) = (inner.request(id), self.this.upgrade()) else {
@@ -409,20 +409,20 @@
                 id,
                 attempt,
                 name: Arc::clone(&name),
-                place: place.clone(),
+                place: destination.clone(),
                 request,
             },
             budget,
         };
         let task = self.means.executor.spawn(errand.run());
-        inner.fly(attempt, name, place, task);
+        inner.fly(attempt, name, destination, task);
     }
 
     fn cancel(&self, inner: &mut Inner, attempt: arrival::AttemptId) {
         let Some(flight) = inner.land(attempt) else {
             return;
         };
-        let dispatch::Place::Target { addr, .. } = flight.place else {
+        let dispatch::Destination::Target { addr, .. } = flight.place else {
             return;
         };
         let name = Arc::clone(&flight.name);
--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -25,7 +25,7 @@
         /// Its name on the wire.
         name: Arc<str>,
         /// Where to.
-        place: dispatch::Place,
+        place: dispatch::Destination,
         /// What to send.
         request: Arc<Inbound>,
     },
@@ -177,13 +177,13 @@
 impl Engine {
     async fn carry(
         &self,
-        place: &dispatch::Place,
+        place: &dispatch::Destination,
         name: &str,
         request: &Inbound,
         budget: Duration,
     ) -> outbound::Ended {
         match place {
-            dispatch::Place::Target { addr, .. } => {
+            dispatch::Destination::Target { addr, .. } => {
                 let attempt = outbound::Attempt {
                     name,
                     addr: *addr,
@@ -192,7 +192,7 @@
                 };
                 self.means.outbound.send(attempt).await
             }
-            dispatch::Place::Member { peer, .. } => {
+            dispatch::Destination::Member { peer, .. } => {
                 let calls = &self.means.peers;
                 let ending = calls.forward(*peer, request, budget, self.hop(false)).await;
                 ending.into()
@@ -204,7 +204,7 @@
         &self,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Place,
+        place: &dispatch::Destination,
         ended: outbound::Ended,
     ) {
         let mut inner = self.lock();
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -25,7 +25,7 @@
     /// Its name on the wire.
     pub name: Arc<str>,
     /// Where it goes.
-    pub place: dispatch::Place,
+    pub place: dispatch::Destination,
     /// Dropping it drops the attempt's connection.
     _task: smol::Task<()>,
 }
@@ -123,7 +123,7 @@
         &mut self,
         id: arrival::AttemptId,
         name: Arc<str>,
-        place: dispatch::Place,
+        place: dispatch::Destination,
         task: smol::Task<()>,
     ) {
         let flight = Flight {
--- a/crates/explorer/src/world/perform.rs
+++ b/crates/explorer/src/world/perform.rs
@@ -21,8 +21,11 @@
         self.acting = index;
         match action {
             traffic::Action::Send {
-                id, attempt, place, ..
-            } => self.send(index, id, attempt, &place),
+                id,
+                attempt,
+                destination,
+                ..
+            } => self.send(index, id, attempt, &destination),
             traffic::Action::Forward { id, peer, .. } => {
                 let to = scene::process_at(peer.addr);
                 self.hop(index, id, message::HopKind::Forward, to);
@@ -95,14 +98,14 @@
         index: usize,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Place,
+        destination: &dispatch::Destination,
     ) {
-        match place {
-            dispatch::Place::Member { peer, .. } => {
+        match destination {
+            dispatch::Destination::Member { peer, .. } => {
                 let to = scene::process_at(*peer);
                 self.hop(index, id, message::HopKind::Serve(attempt), to);
             }
-            dispatch::Place::Target { .. } => {
+            dispatch::Destination::Target { .. } => {
                 let Some((payload, sender)) =
                     self.asker(index, id, message::HopKind::Serve(attempt))
                 else {
--- a/crates/measure/src/hedge.rs
+++ b/crates/measure/src/hedge.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Place};
+use steer::process::dispatch::{Action, AttemptOutcome, Destination, Dispatch, Event};
 use steer::request::arrival::{AttemptId, RequestId};
 use steer::version::view::{State, Target, View};
 
@@ -53,7 +53,7 @@
             Action::Send {
                 id,
                 attempt,
-                place: Place::Target { name, .. },
+                destination: Destination::Target { name, .. },
                 ..
             } => {
                 let Some(target) = self.view.target(name) else {
@@ -107,7 +107,7 @@
             out.push(Action::Send {
                 id: first.id,
                 attempt,
-                place: Place::Target {
+                destination: Destination::Target {
                     name: Arc::clone(&data.name),
                     addr: data.addr,
                 },
--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use steer::connection::pool::{Connection, Taken};
-use steer::process::dispatch::{Action, AttemptOutcome, Event, Place, Report};
+use steer::process::dispatch::{Action, AttemptOutcome, Destination, Event, Report};
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::record::AskId;
 
@@ -30,9 +30,9 @@
             Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
-            } => self.send(entry, id, attempt, &place, budget),
+            } => self.send(entry, id, attempt, &destination, budget),
             Action::Cancel { attempt, .. } => self.cancel(entry, attempt),
             Action::Reply { id, answer } => self.settle(id, Ok(answer)),
             Action::Refuse { id, refusal } => self.settle(id, Err(refusal)),
@@ -89,13 +89,13 @@
         entry: usize,
         id: RequestId,
         attempt: AttemptId,
-        place: &Place,
+        destination: &Destination,
         budget: Duration,
     ) {
         let work = Work { entry, id, attempt };
         self.after(budget, Happening::Late(work.clone()));
-        let way = match place {
-            Place::Target { name, .. } => {
+        let way = match destination {
+            Destination::Target { name, .. } => {
                 let target = self.target(name);
                 let open = match self.entries[entry].pools[target].take() {
                     Taken::Open(_) => Duration::ZERO,
@@ -108,7 +108,7 @@
                 self.after(open + LOCAL, Happening::Work(target, work));
                 Way::Target(target)
             }
-            Place::Member { name, .. } => {
+            Destination::Member { name, .. } => {
                 self.hop(&work, name, budget);
                 Way::Member
             }
--- a/crates/measure/src/robin.rs
+++ b/crates/measure/src/robin.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::dispatch::{Action, AttemptOutcome, Dispatch, Event, Place};
+use steer::process::dispatch::{Action, AttemptOutcome, Destination, Dispatch, Event};
 use steer::request::arrival::{Arrival, AttemptId, RequestId};
 use steer::request::outcome::{Reason, Refusal};
 use steer::version::view::{State, View};
@@ -74,7 +74,7 @@
         out.push(Action::Send {
             id,
             attempt: AttemptId(self.attempts),
-            place: Place::Target {
+            destination: Destination::Target {
                 name: Arc::clone(&target.name),
                 addr: target.addr,
             },
--- a/crates/measure/src/shift/world/carry.rs
+++ b/crates/measure/src/shift/world/carry.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use steer::process::dispatch::{AttemptOutcome, Place};
+use steer::process::dispatch::{AttemptOutcome, Destination};
 use steer::process::traffic::{Action, Event};
 use steer::request::answer::Answer;
 use steer::request::arrival::{AttemptId, RequestId};
@@ -29,11 +29,11 @@
             Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
-            } => match place {
-                Place::Target { name, .. } => self.work(node, id, attempt, &name),
-                Place::Member { name, .. } => self.hop(node, id, attempt, &name, budget),
+            } => match destination {
+                Destination::Target { name, .. } => self.work(node, id, attempt, &name),
+                Destination::Member { name, .. } => self.hop(node, id, attempt, &name, budget),
             },
             Action::Reply { id, answer } => self.settle(node, id, Ok(answer)),
             Action::Refuse { id, refusal } => self.settle(node, id, Err(refusal)),
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -20,7 +20,7 @@
 
 use std::sync::Arc;
 
-pub use message::{Action, AttemptOutcome, Event, Identity, Place, Report, TICK};
+pub use message::{Action, AttemptOutcome, Destination, Event, Identity, Report, TICK};
 
 use crate::clock::Time;
 use crate::process::safeguard::Safeguard;
@@ -301,19 +301,19 @@
         entry.running += 1;
         entry.flight += u32::from(pick.is_local());
         job.tried
-            .push((pick.place.kind(), Arc::clone(pick.place.name())));
-        self.stats.sent(&pick.place, job.tried.len());
+            .push((pick.destination.kind(), Arc::clone(pick.destination.name())));
+        self.stats.sent(&pick.destination, job.tried.len());
         out.push(Action::Send {
             id: job.arrival.id,
             attempt,
-            place: pick.place.clone(),
+            destination: pick.destination.clone(),
             budget,
         });
         self.flight.add(Running {
             strikes: self.suspects.strikes(job.arrival.fingerprint),
             job,
             attempt,
-            place: pick.place,
+            destination: pick.destination,
             begun: now,
             alone: pick.alone,
         });
--- a/crates/steer/src/process/dispatch/job.rs
+++ b/crates/steer/src/process/dispatch/job.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::clock::Time;
-use crate::process::dispatch::message::Place;
+use crate::process::dispatch::message::Destination;
 use crate::process::target::{Kind, Track};
 use crate::request::arrival::{Arrival, AttemptId, RequestId};
 use crate::request::outcome::{Reason, Refusal};
@@ -54,7 +54,7 @@
     /// Its present try.
     pub attempt: AttemptId,
     /// Where that was sent.
-    pub place: Place,
+    pub destination: Destination,
     /// When.
     pub begun: Time,
     /// Strikes against it when it was sent.
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -15,7 +15,7 @@
 
 /// Where an attempt is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Destination {
     /// A target of this instance's failure domain.
     Target {
         /// Its name.
@@ -34,7 +34,7 @@
     },
 }
 
-impl Place {
+impl Destination {
     /// What it is.
     #[must_use]
     pub const fn kind(&self) -> Kind {
@@ -164,7 +164,7 @@
         /// Name of this try.
         attempt: AttemptId,
         /// Where to.
-        place: Place,
+        destination: Destination,
         /// Time after which the driver gives the attempt up.
         budget: Duration,
     },
--- a/crates/steer/src/process/dispatch/place.rs
+++ b/crates/steer/src/process/dispatch/place.rs
@@ -9,7 +9,7 @@
 use crate::clock::Time;
 use crate::process::dispatch::group::{Group, Remote};
 use crate::process::dispatch::job::Job;
-use crate::process::dispatch::message::Place;
+use crate::process::dispatch::message::Destination;
 use crate::process::dispatch::{Dispatch, Origin};
 use crate::process::safeguard::Safeguard;
 use crate::process::target::{Fit, Track, choose, latency};
@@ -31,14 +31,14 @@
 /// A chosen place.
 pub(super) struct Pick {
     pub track: usize,
-    pub place: Place,
+    pub destination: Destination,
     /// Whether the request has the target for itself.
     pub alone: bool,
 }
 
 impl Pick {
     pub const fn is_local(&self) -> bool {
-        matches!(self.place, Place::Target { .. })
+        matches!(self.destination, Destination::Target { .. })
     }
 }
 
@@ -213,7 +213,7 @@
     fn peer_pick(&self, to: &Remote) -> Pick {
         Pick {
             track: to.track,
-            place: Place::Member {
+            destination: Destination::Member {
                 name: Arc::clone(&self.tracks.as_slice()[to.track].name),
                 incarnation: to.incarnation,
                 peer: to.peer,
@@ -327,13 +327,13 @@
 
 fn target(entry: &Group, tracks: &[Track], at: usize, alone: bool) -> Pick {
     let local = &entry.locals[at];
-    let place = Place::Target {
+    let destination = Destination::Target {
         name: Arc::clone(&tracks[local.track].name),
         addr: local.addr,
     };
     Pick {
         track: local.track,
-        place,
+        destination,
         alone,
     }
 }
--- a/crates/steer/src/process/dispatch/renew.rs
+++ b/crates/steer/src/process/dispatch/renew.rs
@@ -173,7 +173,8 @@
             None => (VecDeque::new(), Time::ZERO, latency::Latency::default(), 0),
         };
         let here = |r: &&super::Running| r.job.arrival.service == data.name;
-        let on_target = |r: &&super::Running| matches!(r.place, super::Place::Target { .. });
+        let on_target =
+            |r: &&super::Running| matches!(r.destination, super::Destination::Target { .. });
         let running: Vec<_> = self.flight.iter().filter(here).collect();
         let mut locals = self.locals(service, home);
         let subset = self.subset(home, &mut locals);
--- a/crates/steer/src/process/dispatch/settle.rs
+++ b/crates/steer/src/process/dispatch/settle.rs
@@ -8,7 +8,7 @@
 use crate::clock::Time;
 use crate::process::dispatch::Dispatch;
 use crate::process::dispatch::job::Running;
-use crate::process::dispatch::message::{Action, AttemptOutcome, Place, Report};
+use crate::process::dispatch::message::{Action, AttemptOutcome, Destination, Report};
 use crate::process::safeguard::Safeguard;
 use crate::process::target::health::Fault;
 use crate::process::target::{Fit, latency};
@@ -105,16 +105,17 @@
     /// Takes an attempt off the counts.
     fn release(&mut self, running: &Running) {
         let service = &running.job.arrival.service;
-        if let Ok(at) = self
-            .tracks
-            .find(running.place.kind(), running.place.name(), service)
-        {
+        if let Ok(at) = self.tracks.find(
+            running.destination.kind(),
+            running.destination.name(),
+            service,
+        ) {
             let track = &mut self.tracks.slice_mut()[at];
             track.flight = track.flight.saturating_sub(1);
             track.held &= !running.alone;
         }
         if let Some(group) = self.group(service) {
-            let local = matches!(running.place, Place::Target { .. });
+            let local = matches!(running.destination, Destination::Target { .. });
             let entry = &mut self.groups[group];
             entry.running = entry.running.saturating_sub(1);
             entry.flight = entry.flight.saturating_sub(u32::from(local));
@@ -130,9 +131,9 @@
         out: &mut Vec<Action>,
     ) {
         let service = &running.job.arrival.service;
-        let name = running.place.name();
+        let name = running.destination.name();
         let begun = running.begun;
-        let Ok(at) = self.tracks.find(running.place.kind(), name, service) else {
+        let Ok(at) = self.tracks.find(running.destination.kind(), name, service) else {
             return;
         };
         let track = &mut self.tracks.slice_mut()[at];
@@ -185,7 +186,7 @@
     ) {
         let took = now.since(running.begun);
         let group = self.group(&running.job.arrival.service);
-        let local = matches!(running.place, Place::Target { .. });
+        let local = matches!(running.destination, Destination::Target { .. });
         let best = group.map_or(0, |g| self.groups[g].best);
         let track = &mut self.tracks.slice_mut()[at];
         // A target that fails fast must not attract requests by its speed.
@@ -205,7 +206,7 @@
         let mut changes = Vec::new();
         if local && !self.suspects.is_empty() {
             changes.extend(self.suspects.clear(running.job.arrival.fingerprint));
-            let name = running.place.name();
+            let name = running.destination.name();
             self.suspects.survived(name, running.begun, &mut changes);
         }
         out.extend(changes.into_iter().map(tell));
@@ -238,12 +239,12 @@
 
     /// A target broke under a request: a strike against it.
     fn broke(&mut self, now: Time, running: &Running, out: &mut Vec<Action>) {
-        let local = matches!(running.place, Place::Target { .. });
+        let local = matches!(running.destination, Destination::Target { .. });
         if !local || !self.tuning.safeguards.has(Safeguard::Poison) {
             return;
         }
         let print = running.job.arrival.fingerprint;
-        let name = running.place.name();
+        let name = running.destination.name();
         let change = self.suspects.strike(now, running.strikes, print, name);
         out.push(tell(change));
         self.sweep(change.print, out);
--- a/crates/steer/src/process/dispatch/stats.rs
+++ b/crates/steer/src/process/dispatch/stats.rs
@@ -2,7 +2,7 @@
 
 use core::fmt;
 
-use crate::process::dispatch::message::Place;
+use crate::process::dispatch::message::Destination;
 use crate::request::outcome::Reason;
 
 /// Counts since the process's start.
@@ -29,10 +29,10 @@
 }
 
 impl Stats {
-    pub(super) fn sent(&mut self, place: &Place, tries: usize) {
-        match place {
-            Place::Target { .. } => self.local += 1,
-            Place::Member { .. } => self.remote += 1,
+    pub(super) fn sent(&mut self, destination: &Destination, tries: usize) {
+        match destination {
+            Destination::Target { .. } => self.local += 1,
+            Destination::Member { .. } => self.remote += 1,
         }
         self.repeats += u64::from(tries > 1);
     }
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -102,7 +102,7 @@
             let waits = group.queue.iter().any(|j| self.suspect(j));
             for local in group.locals.iter().filter(|_| !waits) {
                 let track = &self.tracks.as_slice()[local.track];
-                let alone = |r: &super::Running| r.alone && *r.place.name() == track.name;
+                let alone = |r: &super::Running| r.alone && *r.destination.name() == track.name;
                 let used = self.flight.iter().any(alone);
                 self.tracks.slice_mut()[local.track].held &= used;
             }
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -115,7 +115,7 @@
         /// Name of this try.
         attempt: arrival::AttemptId,
         /// Where to.
-        place: dispatch::Place,
+        destination: dispatch::Destination,
         /// Time after which the driver gives the attempt up.
         budget: Duration,
     },
@@ -224,12 +224,12 @@
             dispatch::Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
             } => Self::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
             },
             dispatch::Action::Cancel { id, attempt } => Self::Cancel { id, attempt },
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -9,7 +9,9 @@
 use proptest::prelude::*;
 use steer::clock::Time;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Action, AttemptOutcome, Dispatch, Event, Place, Report};
+use steer::process::dispatch::{
+    self, Action, AttemptOutcome, Destination, Dispatch, Event, Report,
+};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
@@ -138,7 +140,7 @@
             Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
             } => {
                 assert!(budget > Duration::ZERO, "{id} is sent past its deadline");
@@ -147,13 +149,13 @@
                 assert!(!fate.gone, "{id} is sent for nobody");
                 let harmless = SERVICES[fate.service] != "book";
                 assert!(harmless || !fate.doubt, "{id} may run twice");
-                let on = matches!(place, Place::Member { .. });
+                let on = matches!(destination, Destination::Member { .. });
                 assert!(!(on && fate.peer), "{id} is passed on again");
                 assert!(
                     self.out.iter().all(|o| o.0 != id),
                     "{id} is sent twice at once"
                 );
-                self.out.push((id, attempt, Arc::clone(place.name())));
+                self.out.push((id, attempt, Arc::clone(destination.name())));
             }
             Action::Cancel { id, .. } => self.out.retain(|o| o.0 != id),
             Action::Reply { id, .. } => self.fate(id).finals += 1,
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -26,7 +26,9 @@
 
 use steer::clock::Time;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Action, AttemptOutcome, Dispatch, Event, Place, Report};
+use steer::process::dispatch::{
+    self, Action, AttemptOutcome, Destination, Dispatch, Event, Report,
+};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
@@ -265,11 +267,11 @@
             Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
             } => {
-                let name = Arc::clone(place.name());
-                let kind = if matches!(place, Place::Member { .. }) {
+                let name = Arc::clone(destination.name());
+                let kind = if matches!(destination, Destination::Member { .. }) {
                     "peer "
                 } else {
                     ""
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -189,13 +189,16 @@
     fn show(&self, action: &traffic::Action) -> String {
         match action {
             traffic::Action::Send {
-                id, attempt, place, ..
+                id,
+                attempt,
+                destination,
+                ..
             } => {
-                let kind = match place {
-                    dispatch::Place::Target { .. } => "target",
-                    dispatch::Place::Member { .. } => "peer",
+                let kind = match destination {
+                    dispatch::Destination::Target { .. } => "target",
+                    dispatch::Destination::Member { .. } => "peer",
                 };
-                format!("send {id} as {attempt} to {kind} {}", place.name())
+                format!("send {id} as {attempt} to {kind} {}", destination.name())
             }
             traffic::Action::Cancel { id, attempt } => format!("cancel {id} {attempt}"),
             traffic::Action::Reply { id, answer } => {
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -8,7 +8,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::dispatch::{AttemptOutcome, Identity, Place};
+use steer::process::dispatch::{AttemptOutcome, Destination, Identity};
 use steer::process::gate::Limits;
 use steer::process::share::{Guards, SETTLE, window};
 use steer::process::traffic::{Action, Event, TICK, Traffic};
@@ -83,11 +83,14 @@
         let now = self.now;
         match action {
             Action::Send {
-                id, attempt, place, ..
+                id,
+                attempt,
+                destination,
+                ..
             } => {
-                let (log, work) = match place {
-                    Place::Target { .. } => (&mut self.log.local, WORK),
-                    Place::Member { .. } => (&mut self.log.hops, FAR),
+                let (log, work) = match destination {
+                    Destination::Target { .. } => (&mut self.log.local, WORK),
+                    Destination::Member { .. } => (&mut self.log.hops, FAR),
                 };
                 log.push(now);
                 self.running.push((now + work, id, attempt));
