--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -153,7 +153,7 @@
 
     /// Says whether this process holds its part of every cap.
     pub fn hold(&self, held: bool) {
-        self.handle(&mut self.lock(), traffic::Event::Hold(held));
+        self.handle(&mut self.lock(), traffic::Event::SlotHeld(held));
     }
 
     /// Lends a peer a part of a cap; zero is "nothing".
@@ -280,7 +280,10 @@
     fn wanted(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
         let mut inner = self.lock();
         let ask = inner.expect_loan(mailbox);
-        self.handle(&mut inner, traffic::Event::Wanted { ask, route, amount });
+        self.handle(
+            &mut inner,
+            traffic::Event::LoanRequested { ask, route, amount },
+        );
     }
 
     fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Word>) {
@@ -292,7 +295,7 @@
     fn gone(&self, id: arrival::RequestId) {
         let mut inner = self.lock();
         if inner.abandon(id) {
-            self.handle(&mut inner, traffic::Event::Gone(id));
+            self.handle(&mut inner, traffic::Event::Disconnected(id));
         }
     }
 
@@ -352,7 +355,7 @@
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at: asked,
             } => {
                 let kind = Kind::Borrow {
                     addr: peer,
--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -150,10 +150,10 @@
                 let calls = &engine.means.peers;
                 let lent = calls.borrow(addr, &route, amount, budget).await;
                 if let Some(amount) = lent {
-                    engine.report(traffic::Event::Borrowed {
+                    engine.report(traffic::Event::LoanGranted {
                         route,
                         amount,
-                        asked,
+                        asked_at: asked,
                     });
                 }
             }
--- a/crates/explorer/src/world/step.rs
+++ b/crates/explorer/src/world/step.rs
@@ -392,7 +392,7 @@
             && self.awake(index)
         {
             self.sent[copy].hung = true;
-            self.feed(index, traffic::Event::Gone(id));
+            self.feed(index, traffic::Event::Disconnected(id));
         }
     }
 }
--- a/crates/measure/src/model.rs
+++ b/crates/measure/src/model.rs
@@ -362,15 +362,15 @@
             Happening::Wanted(entry, loan) => self.wanted(entry, &loan),
             Happening::Lent(entry, loan, amount) => {
                 let Loan { route, asked, .. } = loan;
-                let event = Event::Borrowed {
+                let event = Event::LoanGranted {
                     route,
                     amount,
-                    asked,
+                    asked_at: asked,
                 };
                 self.tell(entry, event);
             }
             Happening::Tick(entry) => {
-                self.tell(entry, Event::Hold(true));
+                self.tell(entry, Event::SlotHeld(true));
                 self.tell(entry, Event::Tick);
                 self.after(dispatch::TICK, Happening::Tick(entry));
             }
--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -44,7 +44,7 @@
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at: asked,
             } => {
                 let loan = Loan {
                     from: entry,
@@ -123,7 +123,7 @@
         if self.entries[entry].dead {
             return;
         }
-        let event = Event::Wanted {
+        let event = Event::LoanRequested {
             ask: AskId(0),
             route: loan.route.clone(),
             amount: loan.amount,
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -244,17 +244,17 @@
                 };
                 self.tell(node, event);
             }
-            Happening::Gone(node, id) => self.tell(node, Event::Gone(id)),
+            Happening::Gone(node, id) => self.tell(node, Event::Disconnected(id)),
             Happening::Wanted(node, from, route, amount, asked) => {
                 let ask = AskId(self.asks.len() as u64);
                 self.asks.push((from, route.clone(), asked));
-                self.tell(node, Event::Wanted { ask, route, amount });
+                self.tell(node, Event::LoanRequested { ask, route, amount });
             }
             Happening::Borrowed(node, route, amount, asked) => {
-                let event = Event::Borrowed {
+                let event = Event::LoanGranted {
                     route,
                     amount,
-                    asked,
+                    asked_at: asked,
                 };
                 self.tell(node, event);
             }
@@ -283,7 +283,7 @@
     fn tick(&mut self, node: usize) {
         if self.now >= self.nodes[node].held {
             self.nodes[node].held = self.now + HOLD;
-            self.tell(node, Event::Hold(true));
+            self.tell(node, Event::SlotHeld(true));
         }
         self.tell(node, Event::Tick);
         let waiting = self.nodes[node].traffic.dispatch_state().waiting();
--- a/crates/measure/src/shift/world/carry.rs
+++ b/crates/measure/src/shift/world/carry.rs
@@ -49,7 +49,7 @@
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at: asked,
             } if self.setup.loans => {
                 let to = usize::from(peer.port());
                 let way = self.way(node, to);
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -99,17 +99,17 @@
                 attempt,
                 outcome,
             } => self.ended(now, id, attempt, outcome, out),
-            Event::Hold(held) => self.shares.hold(now, held),
-            Event::Borrowed {
+            Event::SlotHeld(held) => self.shares.hold(now, held),
+            Event::LoanGranted {
                 route,
                 amount,
-                asked,
-            } => self.shares.borrow(asked, &route, amount),
-            Event::Wanted { ask, route, amount } => {
+                asked_at,
+            } => self.shares.borrow(asked_at, &route, amount),
+            Event::LoanRequested { ask, route, amount } => {
                 let amount = self.shares.lend(now, &route, amount);
                 out.push(Action::Lend { ask, amount });
             }
-            Event::Gone(id) => self.gone(now, id, out),
+            Event::Disconnected(id) => self.disconnected(now, id, out),
             Event::View(view) => self.renew(now, view, out),
             Event::Report { target, report } => self.report(now, &target, report),
             Event::Probed { target, report } => self.probed(now, &target, report),
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -161,7 +161,7 @@
                 peer: view.members[lender].peer,
                 route: route.clone(),
                 amount: wish.amount,
-                asked,
+                asked_at: asked,
             });
         }
     }
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -124,18 +124,18 @@
     },
     /// Control says whether this process holds its part of every cap. Due every
     /// two seconds; an old word doesn't count.
-    Hold(bool),
+    SlotHeld(bool),
     /// A peer lent a part of a cap, as [`Action::Borrow`] asked.
-    Borrowed {
+    LoanGranted {
         /// The cap.
         route: Route,
         /// How much of it.
         amount: u64,
         /// When it was asked for.
-        asked: Time,
+        asked_at: Time,
     },
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
-    Wanted {
+    LoanRequested {
         /// The driver's name for the question.
         ask: AskId,
         /// The cap.
@@ -144,7 +144,7 @@
         amount: u64,
     },
     /// The caller left without waiting for its answer.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// A new view is in force.
     View(Arc<View>),
     /// Time passed; due at least every [`TICK`].
@@ -197,7 +197,7 @@
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// Ask a peer for a part of a cap; report back by [`Event::Borrowed`] if it
+    /// Ask a peer for a part of a cap; report back by [`Event::LoanGranted`] if it
     /// lends any.
     Borrow {
         /// The peer's address.
@@ -207,7 +207,7 @@
         /// How much of it.
         amount: u64,
         /// To be given back with the answer.
-        asked: Time,
+        asked_at: Time,
     },
     /// Answer a peer that asked for a part of a cap; zero is "nothing".
     Lend {
--- a/crates/steer/src/process/dispatch/settle.rs
+++ b/crates/steer/src/process/dispatch/settle.rs
@@ -83,7 +83,7 @@
         self.place(now, group, job, out);
     }
 
-    pub(super) fn gone(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn disconnected(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         if let Some(running) = self.flight.take(id, None) {
             self.release(&running);
             self.callers.remove(&running.job.arrival.caller);
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -101,12 +101,12 @@
             }
             Event::Stored { id, result } => self.gate(now, gate::Event::Stored { id, result }),
             Event::Leave => self.gate(now, gate::Event::Leave),
-            Event::Gone(id) => {
+            Event::Disconnected(id) => {
                 self.outbox.forget(id);
                 if self.gate.holds(id) {
                     self.gate(now, gate::Event::Gone(id));
                 } else {
-                    self.dispatch(now, dispatch::Event::Gone(id));
+                    self.dispatch(now, dispatch::Event::Disconnected(id));
                 }
             }
             Event::Ended {
@@ -137,21 +137,21 @@
                 };
                 self.dispatch(now, event);
             }
-            Event::Hold(held) => self.dispatch(now, dispatch::Event::Hold(held)),
-            Event::Borrowed {
+            Event::SlotHeld(held) => self.dispatch(now, dispatch::Event::SlotHeld(held)),
+            Event::LoanGranted {
                 route,
                 amount,
-                asked,
+                asked_at,
             } => {
-                let event = dispatch::Event::Borrowed {
+                let event = dispatch::Event::LoanGranted {
                     route,
                     amount,
-                    asked,
+                    asked_at,
                 };
                 self.dispatch(now, event);
             }
-            Event::Wanted { ask, route, amount } => {
-                self.dispatch(now, dispatch::Event::Wanted { ask, route, amount });
+            Event::LoanRequested { ask, route, amount } => {
+                self.dispatch(now, dispatch::Event::LoanRequested { ask, route, amount });
             }
             Event::View(view) => {
                 self.dispatch(now, dispatch::Event::View(Arc::clone(&view)));
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -74,18 +74,18 @@
     },
     /// Control says whether this process holds its part of every cap. Due every
     /// two seconds; an old word doesn't count.
-    Hold(bool),
+    SlotHeld(bool),
     /// A peer lent a part of a cap, as [`Action::Borrow`] asked.
-    Borrowed {
+    LoanGranted {
         /// The cap.
         route: share::Route,
         /// How much of it.
         amount: u64,
         /// When it was asked for.
-        asked: clock::Time,
+        asked_at: clock::Time,
     },
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
-    Wanted {
+    LoanRequested {
         /// The driver's name for the question.
         ask: record::AskId,
         /// The cap.
@@ -94,7 +94,7 @@
         amount: u64,
     },
     /// The caller left without waiting for its answer.
-    Gone(arrival::RequestId),
+    Disconnected(arrival::RequestId),
     /// A new view is in force.
     View(Arc<view::View>),
     /// Time passed; due at least every [`TICK`].
@@ -188,7 +188,7 @@
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// Ask a peer for a part of a cap; report back by [`Event::Borrowed`] if it
+    /// Ask a peer for a part of a cap; report back by [`Event::LoanGranted`] if it
     /// lends any.
     Borrow {
         /// The peer's address.
@@ -198,7 +198,7 @@
         /// How much of it.
         amount: u64,
         /// To be given back with the answer.
-        asked: clock::Time,
+        asked_at: clock::Time,
     },
     /// Answer a peer that asked for a part of a cap; zero is "nothing".
     Lend {
@@ -240,12 +240,12 @@
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at,
             } => Self::Borrow {
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at,
             },
             dispatch::Action::Lend { ask, amount } => Self::Lend { ask, amount },
             dispatch::Action::Suspect {
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -220,7 +220,7 @@
                 let id = RequestId(nth);
                 if nth < self.fates.len() as u64 && self.fate(id).finals == 0 {
                     self.fate(id).gone = true;
-                    self.take(Event::Gone(id));
+                    self.take(Event::Disconnected(id));
                 }
             }
             Step::View(which) => {
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -127,7 +127,9 @@
                     strikes,
                 });
             }
-            "gone" => self.take(Event::Gone(RequestId(words[1].parse().expect("a request")))),
+            "gone" => self.take(Event::Disconnected(RequestId(
+                words[1].parse().expect("a request"),
+            ))),
             "dump" => {
                 let dump = self.dispatch.dump(self.now);
                 write!(self.out, "{dump}").expect("a string takes all");
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -53,7 +53,7 @@
         let mut out = Vec::new();
         // Control is well here, and the caps are wide: neither bears on keys.
         self.traffic
-            .handle(self.now, traffic::Event::Hold(true), &mut out);
+            .handle(self.now, traffic::Event::SlotHeld(true), &mut out);
         self.traffic.handle(self.now, event, &mut out);
         // Probes of targets and gossip about them are not what is tested here.
         out.retain(|a| {
@@ -104,7 +104,7 @@
                 id: id(),
                 result: line.stored(),
             }),
-            "gone" => self.feed(traffic::Event::Gone(id())),
+            "gone" => self.feed(traffic::Event::Disconnected(id())),
             "leave" => self.feed(traffic::Event::Leave),
             "clock" | "sleep" => {
                 let ms = line.number("ms").expect("the line gives a span");
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -109,7 +109,7 @@
             self.now = self.now + TICK;
             if self.now.since(self.ticked) >= SECOND {
                 self.ticked = self.now;
-                self.feed(Event::Hold(true));
+                self.feed(Event::SlotHeld(true));
             }
             let now = self.now;
             let done: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
