--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -200,7 +200,7 @@
         let limits = gate::Limits::default();
         let tuning = tuning(&settings.limits);
         let rng = fastrand::Rng::new();
-        let decide = traffic::Traffic::tuned(home.clone(), incarnation, limits, tuning, rng);
+        let decide = traffic::Traffic::with_tuning(home.clone(), incarnation, limits, tuning, rng);
         let idle = settings.limits.target_connections();
         let means = engine::Means {
             executor: Arc::clone(&executor),
@@ -304,8 +304,8 @@
     let bounds = tuning::Limits {
         in_flight: limits.in_flight(),
         queue: limits.queue(),
-        caller: caller.clamp(1, 100),
-        wait: limits.wait(),
+        caller_percent: caller.clamp(1, 100),
+        wait_max: limits.wait(),
         ..tuning::Limits::default()
     };
     tuning::Tuning {
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -214,11 +214,11 @@
         let engine: Box<dyn Engine> = match setup.kind {
             Kind::Robin => Box::new(Robin::new(domain_name(domain))),
             Kind::Hedge(tuning, delay) => {
-                let inner = Dispatch::tuned(home, tuning, rng.fork());
+                let inner = Dispatch::with_tuning(home, tuning, rng.fork());
                 let service = Duration::from_secs(setup.deployment.services[3].deadline);
                 Box::new(Hedge::new(inner, service, delay))
             }
-            Kind::Steer(tuning) => Box::new(Dispatch::tuned(home, tuning, rng.fork())),
+            Kind::Steer(tuning) => Box::new(Dispatch::with_tuning(home, tuning, rng.fork())),
         };
         Entry {
             name,
--- a/crates/measure/src/scenarios.rs
+++ b/crates/measure/src/scenarios.rs
@@ -28,7 +28,7 @@
 
 fn tuning(deployment: &Deployment) -> Tuning {
     let mut tuning = Tuning::default();
-    tuning.limits.wait = deployment.wait;
+    tuning.limits.wait_max = deployment.wait;
     tuning
 }
 
@@ -147,8 +147,8 @@
         "virtual time; 12 targets of 3 slots shared, seed {seed}, {seconds} s measured\n\n"
     );
     let ways = [
-        ("least", Policy::Least),
-        ("two", Policy::Two),
+        ("least", Policy::LowestScore),
+        ("two", Policy::TwoChoices),
         ("weighted", Policy::Weighted),
     ];
     let span = Duration::from_secs(seconds) + model::WARM_UP;
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -63,12 +63,12 @@
     /// A dispatcher with nothing in flight and an empty view.
     #[must_use]
     pub fn new(identity: Identity, rng: fastrand::Rng) -> Self {
-        Self::tuned(identity, Tuning::default(), rng)
+        Self::with_tuning(identity, Tuning::default(), rng)
     }
 
     /// The same with limits and safeguards of choice.
     #[must_use]
-    pub fn tuned(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
+    pub fn with_tuning(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
         Self {
             identity,
             tuning,
--- a/crates/steer/src/process/dispatch/place.rs
+++ b/crates/steer/src/process/dispatch/place.rs
@@ -249,7 +249,7 @@
             .filter(|(_, track)| !job.was_at(track))
             .filter(|(_, track)| matches!(track.fit(now, on), Fit::Free | Fit::Trial))
             .map(|(at, track)| (at, u64::from(track.flight)));
-        choose::Policy::Least.choose(places, &mut self.rng)
+        choose::Policy::LowestScore.choose(places, &mut self.rng)
     }
 
     /// An ejected target, for a request that has no other place. When all are
--- a/crates/steer/src/process/dispatch/queue.rs
+++ b/crates/steer/src/process/dispatch/queue.rs
@@ -30,7 +30,7 @@
     pub(super) fn room(&self, group: usize) -> bool {
         let limits = self.tuning.limits;
         let on = self.tuning.safeguards.has(Safeguard::ServiceLimit);
-        let most = limits.in_flight * limits.service / 100;
+        let most = limits.in_flight * limits.service_percent / 100;
         let running = self.groups[group].running;
         self.flight.len() < limits.in_flight && (!on || running < most.max(1))
     }
@@ -83,7 +83,7 @@
     pub(super) fn patience(&self, now: Time, group: usize) -> Duration {
         let entry = &self.groups[group];
         let standing = !entry.queue.is_empty() && now.since(entry.since) > STANDING;
-        let wait = self.tuning.limits.wait;
+        let wait = self.tuning.limits.wait_max;
         let on = self.tuning.safeguards.has(Safeguard::ShortQueue);
         if on && standing { wait / SHORTER } else { wait }
     }
--- a/crates/steer/src/process/dispatch/tuning.rs
+++ b/crates/steer/src/process/dispatch/tuning.rs
@@ -15,12 +15,12 @@
     /// Requests waiting.
     pub queue: usize,
     /// Share of both that one caller may have, in percent.
-    pub caller: usize,
+    pub caller_percent: usize,
     /// Share of both that one service may have, in percent.
-    pub service: usize,
+    pub service_percent: usize,
     /// Longest expected time in the queue. Past it waiting adds latency and no
     /// throughput; short where latency counts, longer where refusals do.
-    pub wait: Duration,
+    pub wait_max: Duration,
 }
 
 impl Default for Limits {
@@ -28,9 +28,9 @@
         Self {
             in_flight: 1024,
             queue: 256,
-            caller: 25,
-            service: 60,
-            wait: Duration::from_millis(250),
+            caller_percent: 25,
+            service_percent: 60,
+            wait_max: Duration::from_millis(250),
         }
     }
 }
@@ -39,13 +39,13 @@
     /// Requests that one caller may have here.
     #[must_use]
     pub const fn per_caller(&self) -> usize {
-        (self.in_flight + self.queue) * self.caller / 100
+        (self.in_flight + self.queue) * self.caller_percent / 100
     }
 
     /// Requests that one service may have here.
     #[must_use]
     pub const fn per_service(&self) -> usize {
-        (self.in_flight + self.queue) * self.service / 100
+        (self.in_flight + self.queue) * self.service_percent / 100
     }
 }
 
--- a/crates/steer/src/process/target/choose.rs
+++ b/crates/steer/src/process/target/choose.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
     /// The lowest score; ties are broken at random.
-    Least,
+    LowestScore,
     /// The lower score of two places drawn at random. Entry instances that
     /// share targets have the same stale reports; taking the lowest of all,
     /// they would all go to the same target.
     #[default]
-    Two,
+    TwoChoices,
     /// Drawn at random, in inverse proportion to the score.
     Weighted,
 }
@@ -24,8 +24,8 @@
         rng: &mut fastrand::Rng,
     ) -> Option<usize> {
         match self {
-            Self::Least => least(places, rng),
-            Self::Two => two(&places, rng),
+            Self::LowestScore => least(places, rng),
+            Self::TwoChoices => two(&places, rng),
             Self::Weighted => weighted(&places, rng),
         }
     }
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -43,7 +43,7 @@
 
     /// The same with the dispatcher's limits of choice.
     #[must_use]
-    pub fn tuned(
+    pub fn with_tuning(
         identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
@@ -51,7 +51,7 @@
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            dispatch: dispatch::Dispatch::tuned(identity.clone(), tuning, rng.clone()),
+            dispatch: dispatch::Dispatch::with_tuning(identity.clone(), tuning, rng.clone()),
             ..Self::new(identity, me, limits, rng)
         }
     }
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -115,7 +115,7 @@
         tuning.limits.in_flight = 12;
         tuning.limits.queue = 16;
         Self {
-            dispatch: Dispatch::tuned(identity, tuning, fastrand::Rng::with_seed(seed)),
+            dispatch: Dispatch::with_tuning(identity, tuning, fastrand::Rng::with_seed(seed)),
             now: Time::ZERO,
             version: 0,
             fates: Vec::new(),
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -76,7 +76,7 @@
     };
     let rng = fastrand::Rng::with_seed(seed as u64);
     let mut script = Script {
-        dispatch: Dispatch::tuned(identity, tuning, rng),
+        dispatch: Dispatch::with_tuning(identity, tuning, rng),
         now: Time::ZERO,
         loud: true,
         attempts: Vec::new(),
