--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -230,7 +230,7 @@
         metrics
             .peer_messages
             .set(counts.messages().try_into().unwrap_or(i64::MAX));
-        self.parts.engine.hold(snapshot.share.parts.is_some());
+        self.parts.engine.hold(snapshot.share.divisor.is_some());
         self.world.members(self.control.record(), snapshot);
     }
 
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/near.rs
@@ -41,7 +41,7 @@
             }
             Content::Want(domains) => self.send_rows(message, domains, out),
             Content::Rows(rows) => self.learn(now, rows, near, out),
-            Content::Succeeded(stamp) => self.slot.released(now, *stamp),
+            Content::Succeeded(stamp) => self.slot.note_release(now, *stamp),
             Content::Ask(name) => self.tell(now, message, name, out),
             Content::Told { name, stamp, age } => self.told(now, name, *stamp, *age),
             Content::Pull(_) | Content::Offer(_) | Content::Fetch(_) | Content::Bodies(_) => {
--- a/crates/steer/src/process/control/standing.rs
+++ b/crates/steer/src/process/control/standing.rs
@@ -97,9 +97,9 @@
             return self.superseded(now, record.stamp, out);
         }
         if record.stamp < self.me.stamp {
-            self.slot.preceded(record.stamp);
+            self.slot.note_predecessor(record.stamp);
             if record.life == Life::Released {
-                self.slot.released(now, record.stamp);
+                self.slot.note_release(now, record.stamp);
             }
             return;
         }
@@ -143,11 +143,11 @@
             return;
         }
         self.raised = Some(now);
-        self.slot.restart();
+        self.slot.reset_quarantine();
         let mut me = Record::clone(&self.me);
         me.stamp.generation = stamp.generation.saturating_add(1);
         self.set_me(me);
-        self.slot.preceded(stamp);
+        self.slot.note_predecessor(stamp);
         out.push(Action::Notice(Notice::Raised(self.me.stamp)));
         self.beat_all(now, true, out);
     }
--- a/crates/steer/src/process/share.rs
+++ b/crates/steer/src/process/share.rs
@@ -28,7 +28,7 @@
 pub use route::Route;
 
 use crate::clock::Time;
-use crate::process::slot::HOLD;
+use crate::process::slot::CONFIRMATION_TTL;
 use crate::version::view::View;
 
 use cell::Cell;
@@ -51,7 +51,7 @@
 pub const STALE: Duration = Duration::from_secs(24);
 
 const _: () = assert!(
-    STALE.as_secs() == 2 * IN_FORCE.as_secs() + HOLD.as_secs() + LAPSE.as_secs(),
+    STALE.as_secs() == 2 * IN_FORCE.as_secs() + CONFIRMATION_TTL.as_secs() + LAPSE.as_secs(),
     "STALE is the sum of what makes a version stale"
 );
 
--- a/crates/steer/src/process/slot.rs
+++ b/crates/steer/src/process/slot.rs
@@ -7,9 +7,9 @@
 //! What breaks that, and what keeps it:
 //! - A replacement starts while its frozen or dying predecessor still uses the
 //!   share. So the holder has to be confirmed: it uses its share only if a peer
-//!   or the store answered a question that it sent less than [`HOLD`] ago, and a
+//!   or the store answered a question that it sent less than [`CONFIRMATION_TTL`] ago, and a
 //!   peer that knows a newer process of the name doesn't answer but says so. A
-//!   newcomer waits [`QUARANTINE`] from its first confirmation, in which its word
+//!   newcomer waits [`QUARANTINE_TIME`] from its first confirmation, in which its word
 //!   reaches every peer that could confirm the old one and the last confirmation
 //!   of that one runs out. (From its start would not do: in a domain that is cut
 //!   off nobody hears it.) It needn't
@@ -18,7 +18,7 @@
 //!   last longer than [`TRANSFER_MAX`], which is below the quarantine, and which
 //!   a newcomer waits out also after its predecessor gave up the share.
 //! - Two versions are in force at different places. So after a change a process
-//!   uses the smallest share of all versions of the last [`TRANSITION`], and a
+//!   uses the smallest share of all versions of the last [`TRANSITION_TIME`], and a
 //!   slot new to the configuration starts from nothing for that time.
 
 use core::fmt;
@@ -28,29 +28,29 @@
 use crate::process::member::Stamp;
 
 /// Longest time that a share is used without a new confirmation.
-pub const HOLD: Duration = Duration::from_secs(5);
+pub const CONFIRMATION_TTL: Duration = Duration::from_secs(5);
 
 /// Time within which a newcomer's word has reached all peers that hear either
 /// it or its predecessor.
-pub const SPREAD: Duration = Duration::from_secs(10);
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(10);
 
 /// Longest time for which a share may be passed on to another process.
 pub const TRANSFER_MAX: Duration = Duration::from_secs(10);
 
-/// Time that a newcomer waits before it uses its slot: [`HOLD`] and
-/// [`SPREAD`], which is more than [`TRANSFER_MAX`], and a third on top for
+/// Time that a newcomer waits before it uses its slot: [`CONFIRMATION_TTL`] and
+/// [`PROPAGATION_TIME`], which is more than [`TRANSFER_MAX`], and a third on top for
 /// clocks that run apart.
-pub const QUARANTINE: Duration = Duration::from_secs(20);
+pub const QUARANTINE_TIME: Duration = Duration::from_secs(20);
 
-/// Time for which the share of the version before still counts: [`HOLD`], and
+/// Time for which the share of the version before still counts: [`CONFIRMATION_TTL`], and
 /// the 7 s within which a version is in force everywhere, and a margin.
-pub const TRANSITION: Duration = Duration::from_secs(15);
+pub const TRANSITION_TIME: Duration = Duration::from_secs(15);
 
 /// The part of every cap that this process may use, apart from transfers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     /// One part of this many; `None` is nothing.
-    pub parts: Option<u32>,
+    pub divisor: Option<u32>,
     /// When the share became what it is.
     pub since: Time,
 }
@@ -59,14 +59,15 @@
     /// What the share is of a cap, rounded down.
     #[must_use]
     pub fn of(&self, cap: u64) -> u64 {
-        self.parts.map_or(0, |parts| cap / u64::from(parts.max(1)))
+        self.divisor
+            .map_or(0, |divisor| cap / u64::from(divisor.max(1)))
     }
 }
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.parts {
-            Some(parts) => write!(f, "1/{parts}"),
+        match self.divisor {
+            Some(divisor) => write!(f, "1/{divisor}"),
             None => f.write_str("nothing"),
         }
     }
@@ -75,7 +76,7 @@
 /// What a version gives this name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
-    parts: Option<u32>,
+    divisor: Option<u32>,
     /// End of the time in which the grant counts; `None` for the one in force.
     until: Option<Time>,
 }
@@ -136,7 +137,7 @@
             behind: None,
             grants: Vec::new(),
             share: Share {
-                parts: None,
+                divisor: None,
                 since: now,
             },
             guards,
@@ -145,7 +146,7 @@
 
     /// A process of this name and of an older stamp is known. A release of one
     /// before it no longer counts: the later one may have held the slot since.
-    pub fn preceded(&mut self, stamp: Stamp) {
+    pub fn note_predecessor(&mut self, stamp: Stamp) {
         if self.predecessor < Some(stamp) {
             self.predecessor = Some(stamp);
             self.free = None;
@@ -153,7 +154,7 @@
     }
 
     /// The predecessor of this stamp gave up its share for good.
-    pub fn released(&mut self, now: Time, stamp: Stamp) {
+    pub fn note_release(&mut self, now: Time, stamp: Stamp) {
         if self.predecessor < Some(stamp) {
             self.free = None;
         }
@@ -180,28 +181,31 @@
     }
 
     /// A version came in force that has this many slots, or none for this name.
-    pub fn configure(&mut self, now: Time, parts: Option<u32>) {
+    pub fn configure(&mut self, now: Time, divisor: Option<u32>) {
         if !self.guards.transition {
             self.grants.clear();
         }
         if let Some(last) = self.grants.last_mut() {
-            if last.parts == parts {
+            if last.divisor == divisor {
                 return;
             }
-            last.until = Some(now + TRANSITION);
+            last.until = Some(now + TRANSITION_TIME);
         }
-        self.grants.push(Grant { parts, until: None });
+        self.grants.push(Grant {
+            divisor,
+            until: None,
+        });
     }
 
     /// The process raised its stamp: its word begins to spread anew.
-    pub const fn restart(&mut self) {
+    pub const fn reset_quarantine(&mut self) {
         self.start = None;
     }
 
     /// Whether this process holds the slot, so that a graceful stop gives it up.
     #[must_use]
     pub fn is_held(&self, now: Time) -> bool {
-        let since = |start: Time| now.since(start) >= QUARANTINE;
+        let since = |start: Time| now.since(start) >= QUARANTINE_TIME;
         let waited = self.start.is_some_and(since);
         let free = self
             .free
@@ -213,13 +217,16 @@
     /// what it knows is of today.
     pub fn share(&mut self, now: Time, sure: bool) -> Share {
         self.grants.retain(|g| g.until.is_none_or(|u| now < u));
-        let parts = if sure && self.is_held(now) && self.is_current(now) {
+        let divisor = if sure && self.is_held(now) && self.is_current(now) {
             self.smallest()
         } else {
             None
         };
-        if parts != self.share.parts {
-            self.share = Share { parts, since: now };
+        if divisor != self.share.divisor {
+            self.share = Share {
+                divisor,
+                since: now,
+            };
         }
         self.share
     }
@@ -228,18 +235,18 @@
         if !self.guards.confirm {
             return true;
         }
-        let fresh = |t: Time| now.since(t) < HOLD;
+        let fresh = |t: Time| now.since(t) < CONFIRMATION_TTL;
         self.confirmed.is_some_and(fresh) && self.behind.is_none_or(fresh)
     }
 
     fn smallest(&self) -> Option<u32> {
-        let mut parts = Some(1);
+        let mut divisor = Some(1);
         for grant in &self.grants {
-            parts = match (parts, grant.parts) {
+            divisor = match (divisor, grant.divisor) {
                 (Some(a), Some(b)) => Some(a.max(b)),
                 _ => None,
             };
         }
-        self.grants.last().and(parts)
+        self.grants.last().and(divisor)
     }
 }
--- a/crates/steer/tests/control_random.rs
+++ b/crates/steer/tests/control_random.rs
@@ -56,7 +56,7 @@
         for _ in 0..millis / 100 {
             self.fleet.run(MOMENT);
             let nodes = self.fleet.nodes.iter().filter(|n| n.alive && !n.frozen);
-            let shares = nodes.filter_map(|n| n.shown.as_ref()?.share.parts);
+            let shares = nodes.filter_map(|n| n.shown.as_ref()?.share.divisor);
             let sum: f64 = shares.map(|parts| 1.0 / f64::from(parts)).sum();
             self.most = self.most.max(sum);
         }
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -334,7 +334,7 @@
             } else {
                 "'"
             };
-            sum += shown.share.parts.map_or(0.0, |p| 1.0 / f64::from(p));
+            sum += shown.share.divisor.map_or(0.0, |p| 1.0 / f64::from(p));
             rows.push((
                 shown.share.to_string(),
                 format!("{}{old}", fleet.name(node.slot)),
--- a/crates/steer/tests/share_fleet.rs
+++ b/crates/steer/tests/share_fleet.rs
@@ -20,7 +20,7 @@
 use rstest::rstest;
 use steer::process::control::Safeguards;
 use steer::process::share::{self, FRESH, IN_FORCE, LAPSE, RESERVE, SETTLE, loan, window};
-use steer::process::slot::{self, HOLD};
+use steer::process::slot::{self, CONFIRMATION_TTL};
 
 const CAP: u64 = 60;
 const SECOND: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 fn settled(domains: usize, nodes: usize, guards: share::Guards, control: Safeguards) -> Bench {
     let mut bench = Bench::new(domains, nodes, guards, control, 1);
     bench.commit(nodes, CAP);
-    bench.run(slot::QUARANTINE + SETTLE + SECOND * 20);
+    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 20);
     let level = bench.level();
     assert!(level <= CAP && level * 10 >= CAP * 9, "{level}");
     for at in 0..nodes {
@@ -70,7 +70,7 @@
 fn replaced_predecessor_alive() {
     let mut bench = settled(3, 6, share::Guards::default(), Safeguards::default());
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
     verdict(&bench, true);
     assert!(bench.took(bench.at("d0-0")) > 0);
 }
@@ -90,7 +90,7 @@
     let old = bench.at("d0-0");
     bench.hang(old);
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
     verdict(&bench, on);
     assert!(bench.took(bench.at("d0-0")) > 0);
 }
@@ -119,7 +119,7 @@
     let old = bench.at("d0-0");
     bench.fleet.freeze(old);
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
     assert!(bench.took(bench.at("d0-0")) > 0);
     bench.fleet.thaw(old);
     bench.run(SECOND * 10);
@@ -399,7 +399,7 @@
 /// What a second's lapse costs: nothing.
 #[test]
 fn short_lapse_costs_nothing() {
-    assert!(LAPSE >= HOLD && FRESH < LAPSE);
+    assert!(LAPSE >= CONFIRMATION_TTL && FRESH < LAPSE);
     let mut bench = settled(3, 6, share::Guards::default(), Safeguards::default());
     let at = bench.at("d0-0");
     bench.fleet.freeze(at);
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/bench.rs
@@ -282,7 +282,7 @@
         if node.published != proc.published {
             proc.published = node.published;
             let shown = node.shown.as_ref().expect("published");
-            proc.shares.hold(now, shown.share.parts.is_some());
+            proc.shares.hold(now, shown.share.divisor.is_some());
         }
     }
 
--- a/crates/steer/tests/share_model/histories.rs
+++ b/crates/steer/tests/share_model/histories.rs
@@ -24,7 +24,7 @@
         delay: SECOND,
     };
     bench.commit(7, CAP);
-    bench.run(slot::QUARANTINE + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut left = SECOND * 20;
     for _ in 0..120 {
