--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -12,22 +12,22 @@
 pub mod access;
 pub mod audience;
 pub mod budget;
+mod completion;
 mod contact;
 mod hash;
 pub mod health;
 mod job;
-pub mod learn;
+pub mod latency;
 pub mod limit;
-mod line;
 pub mod mechanisms;
 pub mod members;
 mod message;
 pub mod parts;
 pub mod place;
+mod queue;
 pub mod quota;
 pub mod replica;
 pub mod roster;
-mod settle;
 pub mod spillover;
 pub mod split;
 pub mod target;
@@ -48,7 +48,7 @@
 use contact::Touch;
 use health::Observation;
 use job::{Job, State};
-use learn::Learnt;
+use latency::LatencyEstimates;
 use mechanisms::{Mechanism, Mechanisms};
 use members::Members;
 use parts::Sharer;
@@ -66,7 +66,7 @@
     routes: Option<Arc<Routes>>,
     /// Targets.
     pub roster: Roster,
-    learnt: Learnt,
+    latency: LatencyEstimates,
     splits: Splits,
     budgets: Vec<(Arc<str>, Budget)>,
     spillovers: Vec<(Arc<str>, Spillover)>,
@@ -119,7 +119,7 @@
             mechanisms,
             routes: None,
             roster: Roster::new(domains),
-            learnt: Learnt::default(),
+            latency: LatencyEstimates::default(),
             splits: Splits::default(),
             budgets: Vec::new(),
             spillovers: Vec::new(),
@@ -245,13 +245,13 @@
     }
 
     /// What a request takes at a service.
-    fn work(&self, job: &Job) -> learn::Work {
+    fn estimate(&self, job: &Job) -> latency::Estimate {
         let route = &job.ask.route;
         let goal = route.goal.as_secs_f64();
         if self.mechanisms.has(Mechanism::Learning) {
-            self.learnt.work(&job.service, &route.name, goal)
+            self.latency.estimate(&job.service, &route.name, goal)
         } else {
-            Learnt::default().work(&job.service, &route.name, goal)
+            LatencyEstimates::default().estimate(&job.service, &route.name, goal)
         }
     }
 
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -63,7 +63,7 @@
         let object = self.jobs[at].ask.object;
         let ratio = (!queued).then_some(took / expected.max(0.001));
         match ending {
-            Ending::Answered if self.work(&self.jobs[at]).sure => {
+            Ending::Answered if self.estimate(&self.jobs[at]).is_reliable => {
                 self.note_slow(&target, ratio);
             }
             Ending::Answered | Ending::NotRun | Ending::Withdrawn => {}
@@ -92,7 +92,7 @@
             self.note_punctual(now, at, &target, warm);
             if !queued {
                 let job = &self.jobs[at];
-                self.learnt
+                self.latency
                     .add(&job.service, &job.ask.route.name, warm, took);
             }
             self.jobs.remove(at);
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -278,9 +278,9 @@
                 ..
             } = &job.state
             {
-                let work = self.work(job);
-                let ratio = now.since(*since).as_secs_f64() / work.other;
-                if work.sure && ratio >= OVERDUE {
+                let work = self.estimate(job);
+                let ratio = now.since(*since).as_secs_f64() / work.not_warm;
+                if work.is_reliable && ratio >= OVERDUE {
                     overdue.push((target.clone(), ratio));
                 }
             }
--- a/crates/steer/src/process/direct/learn.rs
+++ b/crates/steer/src/process/direct/latency.rs
@@ -40,43 +40,43 @@
     service: Arc<str>,
     route: Arc<str>,
     warm: Mean,
-    other: Mean,
+    not_warm: Mean,
 }
 
 /// Times by service and route, sorted.
 #[derive(Clone, Debug, Default)]
-pub struct Learnt {
+pub struct LatencyEstimates {
     times: Vec<Times>,
 }
 
 /// What a request is expected to take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
+pub struct Estimate {
     /// Seconds where its object is warm.
     pub warm: f64,
     /// Seconds where it isn't.
-    pub other: f64,
+    pub not_warm: f64,
     /// Whether both rest on several answers.
-    pub sure: bool,
+    pub is_reliable: bool,
 }
 
-impl Learnt {
+impl LatencyEstimates {
     /// What a request of `route` takes at `service`; `goal` if nothing is known.
     #[must_use]
-    pub fn work(&self, service: &str, route: &str, goal: f64) -> Work {
+    pub fn estimate(&self, service: &str, route: &str, goal: f64) -> Estimate {
         let times = self.find(service, route).ok().map(|at| &self.times[at]);
-        let known = times.map(|t| (t.warm.get(), t.other.get()));
+        let known = times.map(|t| (t.warm.get(), t.not_warm.get()));
         let (warm, other) = match known.unwrap_or_default() {
             (Some(warm), Some(other)) => (warm, other.max(warm)),
             (None, Some(other)) => (other * GAIN, other),
             (Some(warm), None) => (warm, warm / GAIN),
             (None, None) => (goal * GAIN, goal),
         };
-        let sure = times.is_some_and(|t| t.warm.samples.min(t.other.samples) >= SURE);
-        Work {
+        let is_reliable = times.is_some_and(|t| t.warm.samples.min(t.not_warm.samples) >= SURE);
+        Estimate {
             warm: warm.max(0.001),
-            other: other.max(0.001),
-            sure,
+            not_warm: other.max(0.001),
+            is_reliable,
         }
     }
 
@@ -89,7 +89,7 @@
                     service: Arc::clone(service),
                     route: Arc::clone(route),
                     warm: Mean::default(),
-                    other: Mean::default(),
+                    not_warm: Mean::default(),
                 };
                 self.times.insert(at, times);
                 at
@@ -99,7 +99,7 @@
         let mean = if warm {
             &mut times.warm
         } else {
-            &mut times.other
+            &mut times.not_warm
         };
         mean.add(seconds);
     }
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -193,7 +193,7 @@
     fn best(&self, now: Time, job: &Job, near: bool) -> Option<Place> {
         let route = &job.ask.route;
         let goal = route.goal.as_secs_f64();
-        let work = self.work(job);
+        let work = self.estimate(job);
         let mechanisms = self.mechanisms;
         let object = job.ask.object.filter(|_| mechanisms.has(Mechanism::First));
         let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
@@ -222,8 +222,8 @@
             let base = match (warm, place) {
                 (true, _) => work.warm,
                 // Others of this region send the object there too.
-                (false, Some(_)) => f64::midpoint(work.warm, work.other),
-                (false, None) => work.other,
+                (false, Some(_)) => f64::midpoint(work.warm, work.not_warm),
+                (false, None) => work.not_warm,
             };
             let cold = if target.is_cold(now) { COLD } else { 1.0 };
             let slowness = if mechanisms.has(Mechanism::Slowness) {
@@ -235,7 +235,7 @@
             let slots = f64::from(target.entry.slots.max(1));
             let load = self.load(now, target);
             let over = load - slots + 1.0;
-            let mean = f64::midpoint(work.warm, work.other);
+            let mean = f64::midpoint(work.warm, work.not_warm);
             let wait = if over > 0.5 {
                 over * mean * slowness / slots
             } else {
@@ -252,7 +252,7 @@
             let cost = wait + seconds + far + illness + load * 0.002;
             let vain = match place {
                 Some(0) => 0.0,
-                Some(_) if work.sure && job.spare => vain.min(SECOND),
+                Some(_) if work.is_reliable && job.spare => vain.min(SECOND),
                 _ => vain,
             };
             let rank = cost + (base - work.warm) * vain;
--- a/crates/steer/src/process/direct/line.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -113,7 +113,7 @@
 
     /// Whether even a free target that holds the object would answer too late.
     fn is_too_late(&self, now: Time, job: &Job) -> bool {
-        let work = self.work(job);
+        let work = self.estimate(job);
         now + Duration::from_secs_f64(work.warm * LEAST) > job.limit
     }
 
