--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -12,7 +12,7 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
-use steer::process::direct::target::Word;
+use steer::process::direct::target::Feedback;
 use steer::process::direct::{Ending, Go};
 
 use super::Shared;
@@ -46,7 +46,7 @@
     /// The target's whole answer.
     pub answer: Option<Response>,
     /// What the target says of itself, if the answer is its own.
-    pub word: Option<Word>,
+    pub word: Option<Feedback>,
 }
 
 impl Ended {
@@ -98,7 +98,7 @@
     Ended {
         ending,
         answer: Some(answer),
-        word: own.then_some(Word {
+        word: own.then_some(Feedback {
             load: said.load.map(|l| l.running.saturating_add(l.waiting)),
             limit: said.limit,
         }),
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -352,7 +352,7 @@
         );
         let (next, named) = self.shared.decide(|now, direct| {
             let next = direct.ended(now, go.ticket, ending);
-            let named = word.is_some_and(|word| direct.hear_target(now, &go.target, word));
+            let named = word.is_some_and(|word| direct.apply_feedback(now, &go.target, word));
             (next, named)
         });
         let word = word.unwrap_or_default();
--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -123,7 +123,7 @@
                     flying: t.in_flight,
                     limit: t.limit(),
                     slowness: t.health.slowness(now),
-                    illness: t.health.illness(now).max(t.health.refusal(now)),
+                    illness: t.health.failure_rate(now).max(t.health.refusal_rate(now)),
                 })
                 .collect(),
         })
@@ -144,7 +144,7 @@
 fn marks(target: &target::Target, now: Time) -> Vec<&'static str> {
     let all = [
         ("leaving", target.entry.draining),
-        ("gone", target.gone),
+        ("gone", target.is_gone),
         ("cold", target.is_cold(now)),
         ("aside", target.is_ejected(now)),
     ];
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use steer::process::direct::target::Word;
+use steer::process::direct::target::Feedback;
 
 use super::{millis, write};
 use crate::direct::Shared;
@@ -75,7 +75,7 @@
     /// The target's status; 0 if there is none.
     pub status: u16,
     /// What the target says of itself.
-    pub word: Word,
+    pub word: Feedback,
     /// What decided it.
     pub go: &'a steer::process::direct::Go,
     /// The object's hash; 0 if it names none.
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -391,7 +391,7 @@
         if load > 0
             && let Some(target) = direct.roster.get_mut(&self.targets[sent.target].name)
         {
-            target.tell(now, load);
+            target.record_load(now, load);
         }
         match next {
             Next::Again => {}
--- a/crates/emulator/src/world/instance/knowledge.rs
+++ b/crates/emulator/src/world/instance/knowledge.rs
@@ -103,7 +103,7 @@
             .roster
             .all()
             .iter()
-            .filter(|t| !t.gone)
+            .filter(|t| !t.is_gone)
             .map(|t| Arc::clone(&t.entry.id))
             .collect();
         for id in known {
@@ -153,7 +153,7 @@
             draining: false,
             seq: self.now,
             cold: Duration::from_micros(t.cold_until.saturating_sub(self.now)),
-            born: t.born,
+            incarnation: t.born,
         };
         listed.map(entry).collect()
     }
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -13,7 +13,7 @@
 use fastrand::Rng;
 use steer::clock::Time;
 use steer::process::direct::members::Beat;
-use steer::process::direct::target::{Entry, Word};
+use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{Ask, Direct, Ending, Go, Home, Next, Order, Ticket};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::Routes;
@@ -60,7 +60,7 @@
         ticket: Ticket,
         ending: Ending,
         target: usize,
-        word: Word,
+        word: Feedback,
     },
     Beat {
         node: usize,
@@ -285,7 +285,7 @@
             ticket,
             ending,
             target,
-            word: Word { load: None, limit },
+            word: Feedback { load: None, limit },
         };
         self.later(if ending == Ending::NotRun { MS } else { work }, end);
     }
@@ -311,13 +311,13 @@
     }
 
     /// A target's answer has come and is passed on.
-    fn hear(&mut self, at: usize, life: u64, target: usize, word: Word) {
+    fn hear(&mut self, at: usize, life: u64, target: usize, word: Feedback) {
         let node = &mut self.nodes[at];
         let now = node.clock(self.now);
         let (true, Some(direct)) = (node.life == life, &mut node.direct) else {
             return;
         };
-        direct.hear_target(now, &self.targets[target].entry.id, word);
+        direct.apply_feedback(now, &self.targets[target].entry.id, word);
         if word.limit.is_some() {
             node.told.push((target, self.now));
         }
--- a/crates/measure/src/sums/setup.rs
+++ b/crates/measure/src/sums/setup.rs
@@ -52,7 +52,7 @@
                 draining: false,
                 seq: 1,
                 cold: Duration::ZERO,
-                born: 1,
+                incarnation: 1,
             };
             targets.push(Target {
                 entry,
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -9,7 +9,7 @@
 use super::job::{Job, State};
 use super::mechanisms::Mechanism;
 use super::message::{Ending, Go, Next, Ticket};
-use super::target::Word;
+use super::target::Feedback;
 use super::{Direct, SPARE, members, short_hash};
 use crate::clock::Time;
 use crate::request::poison::STRIKES;
@@ -31,7 +31,7 @@
     #[must_use]
     pub fn may_send(&self, target: &str) -> bool {
         let target = self.roster.get(target);
-        target.is_some_and(|t| t.is_open() && !self.roster.is_evacuated(&t.entry.domain))
+        target.is_some_and(|t| t.is_available() && !self.roster.is_evacuated(&t.entry.domain))
     }
 
     /// The same for a request itself: its key may have been taken away.
@@ -72,19 +72,19 @@
         if let Some(target) = self.roster.get_mut(&target) {
             match ending {
                 Ending::Answered => {
-                    target.answered(now, ratio);
+                    target.record_answer(now, ratio);
                     if let Some(object) = object
-                        && target.handled(now, short_hash(object), true)
+                        && target.record_object(now, short_hash(object), true)
                     {
                         let mark = members::mark(&target.entry.id);
                         self.news.push((mark, short_hash(object)));
                     }
                 }
-                Ending::NotRun => target.health.refused(now),
+                Ending::NotRun => target.health.record_refusal(now),
                 Ending::Failed | Ending::Garbled | Ending::Late => {
-                    target.health.failed(now);
+                    target.health.record_failure(now);
                 }
-                Ending::Elsewhere | Ending::Unreached | Ending::Broken => target.unreached(now),
+                Ending::Elsewhere | Ending::Unreached | Ending::Broken => target.eject(now),
                 Ending::Withdrawn => {}
             }
         }
@@ -120,14 +120,14 @@
 
     /// A target's answer says this of it. Says whether it names another limit than
     /// before.
-    pub fn hear_target(&mut self, now: Time, id: &str, word: Word) -> bool {
+    pub fn apply_feedback(&mut self, now: Time, id: &str, feedback: Feedback) -> bool {
         let Some(target) = self.roster.get_mut(id) else {
             return false;
         };
-        if let Some(load) = word.load {
-            target.tell(now, load);
+        if let Some(load) = feedback.load {
+            target.record_load(now, load);
         }
-        target.name_limit(now, word.limit)
+        target.update_limit(now, feedback.limit)
     }
 
     /// Whether a request whose attempt failed is tried elsewhere.
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -79,17 +79,17 @@
 /// How one target does.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    slow: Faded,
-    ill: Faded,
-    refusing: Faded,
+    slowness: Faded,
+    failures: Faded,
+    refusals: Faded,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            slow: Faded::new(1.0),
-            ill: Faded::new(0.0),
-            refusing: Faded::new(0.0),
+            slowness: Faded::new(1.0),
+            failures: Faded::new(0.0),
+            refusals: Faded::new(0.0),
         }
     }
 }
@@ -98,52 +98,53 @@
     /// Time that it needs, over that of others of its service.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f64 {
-        self.slow.get(now)
+        self.slowness.get(now)
     }
 
     /// Share of the last requests that it failed, and that may have run.
     #[must_use]
-    pub fn illness(&self, now: Time) -> f64 {
-        self.ill.get(now)
+    pub fn failure_rate(&self, now: Time) -> f64 {
+        self.failures.get(now)
     }
 
     /// Share of the last requests that it turned away unrun.
     #[must_use]
-    pub fn refusal(&self, now: Time) -> f64 {
-        self.refusing.get(now)
+    pub fn refusal_rate(&self, now: Time) -> f64 {
+        self.refusals.get(now)
     }
 
     /// Whether objects are better handled elsewhere for the time being. One that
     /// turns requests away still serves the rest, and its objects are warm there;
     /// what it didn't run can be sent again.
     #[must_use]
-    pub fn is_poor(&self, now: Time, usual: &Usual) -> bool {
-        self.slowness(now) > SLOW * usual.slowness || self.illness(now) > ILL + usual.illness
+    pub fn is_degraded(&self, now: Time, usual: &Baseline) -> bool {
+        self.slowness(now) > SLOW * usual.slowness
+            || self.failure_rate(now) > ILL + usual.failure_rate
     }
 
     /// An answer, with the time it took over the time expected, if that says
     /// something.
-    pub fn answered(&mut self, now: Time, ratio: Option<f64>) {
-        self.ill.add(now, 0.0);
-        self.refusing.add(now, 0.0);
+    pub fn record_answer(&mut self, now: Time, ratio: Option<f64>) {
+        self.failures.add(now, 0.0);
+        self.refusals.add(now, 0.0);
         if let Some(ratio) = ratio {
-            self.slow(now, ratio);
+            self.record_slowness(now, ratio);
         }
     }
 
     /// A request that it failed.
-    pub fn failed(&mut self, now: Time) {
-        self.ill.add(now, 1.0);
+    pub fn record_failure(&mut self, now: Time) {
+        self.failures.add(now, 1.0);
     }
 
     /// A request that it turned away.
-    pub fn refused(&mut self, now: Time) {
-        self.refusing.add(now, 1.0);
+    pub fn record_refusal(&mut self, now: Time) {
+        self.refusals.add(now, 1.0);
     }
 
     /// A request that took so many times the time expected.
-    fn slow(&mut self, now: Time, ratio: f64) {
-        self.slow
+    fn record_slowness(&mut self, now: Time, ratio: f64) {
+        self.slowness
             .add(now, ratio.clamp(*RATIO.start(), *RATIO.end()));
     }
 }
@@ -152,29 +153,29 @@
 /// its targets are slow and miss deadlines; moving objects among them would only
 /// make them cold besides.
 #[derive(Clone, Copy, Debug)]
-pub struct Usual {
+pub struct Baseline {
     slowness: f64,
-    illness: f64,
+    failure_rate: f64,
 }
 
-impl Usual {
+impl Baseline {
     /// How targets do that do well.
-    const WELL: Self = Self {
+    const HEALTHY: Self = Self {
         slowness: 1.0,
-        illness: 0.0,
+        failure_rate: 0.0,
     };
 
     /// By the best quarter of these targets.
     pub(super) fn of<'a>(now: Time, all: impl Iterator<Item = &'a Health> + Clone) -> Self {
         // Asked with each request, and mostly there is nothing to compare.
-        if !all.clone().any(|h| h.is_poor(now, &Self::WELL)) {
-            return Self::WELL;
+        if !all.clone().any(|h| h.is_degraded(now, &Self::HEALTHY)) {
+            return Self::HEALTHY;
         }
-        let (mut slowness, mut illness): (Vec<f64>, Vec<f64>) =
-            all.map(|h| (h.slowness(now), h.illness(now))).unzip();
+        let (mut slowness, mut failure_rate): (Vec<f64>, Vec<f64>) =
+            all.map(|h| (h.slowness(now), h.failure_rate(now))).unzip();
         Self {
             slowness: quarter(&mut slowness).max(1.0),
-            illness: quarter(&mut illness),
+            failure_rate: quarter(&mut failure_rate),
         }
     }
 }
@@ -192,12 +193,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Observation {
     /// The target's mark.
-    pub mark: u32,
+    pub target_hash: u32,
     /// Requests that it failed.
-    pub failed: u8,
+    pub failures: u8,
     /// Time that a request took over the time expected, in eighths; 0 if none
     /// was slow.
-    pub eighths: u8,
+    pub ratio_eighths: u8,
 }
 
 /// Eighths in one.
@@ -206,11 +207,11 @@
 impl Observation {
     /// A failed request.
     #[must_use]
-    pub const fn failed(mark: u32) -> Self {
+    pub const fn failed(target_hash: u32) -> Self {
         Self {
-            mark,
-            failed: 1,
-            eighths: 0,
+            target_hash,
+            failures: 1,
+            ratio_eighths: 0,
         }
     }
 
@@ -221,29 +222,29 @@
         clippy::cast_sign_loss,
         reason = "clamped to what fits"
     )]
-    pub fn slow(mark: u32, ratio: f64) -> Self {
+    pub fn slow(target_hash: u32, ratio: f64) -> Self {
         let eighths = (ratio * EIGHTHS).clamp(1.0, f64::from(u8::MAX));
         Self {
-            mark,
-            failed: 0,
-            eighths: eighths as u8,
+            target_hash,
+            failures: 0,
+            ratio_eighths: eighths as u8,
         }
     }
 
     fn ratio(self) -> Option<f64> {
-        (self.eighths > 0).then(|| f64::from(self.eighths) / EIGHTHS)
+        (self.ratio_eighths > 0).then(|| f64::from(self.ratio_eighths) / EIGHTHS)
     }
 }
 
 /// Puts what was seen of each target together, sorted by mark.
-pub(super) fn gather(mut seen: Vec<Observation>) -> Vec<Observation> {
+pub(super) fn merge_observations(mut seen: Vec<Observation>) -> Vec<Observation> {
     seen.sort_unstable();
     let mut all: Vec<Observation> = Vec::new();
     for next in seen {
         match all.last_mut() {
-            Some(last) if last.mark == next.mark => {
-                last.failed = last.failed.saturating_add(next.failed);
-                last.eighths = last.eighths.max(next.eighths);
+            Some(last) if last.target_hash == next.target_hash => {
+                last.failures = last.failures.saturating_add(next.failures);
+                last.ratio_eighths = last.ratio_eighths.max(next.ratio_eighths);
             }
             _ => all.push(next),
         }
@@ -288,10 +289,10 @@
         for (id, ratio) in overdue {
             seen.push(Observation::slow(mark(&id), ratio));
             if let Some(target) = self.roster.get_mut(&id) {
-                target.health.slow(now, ratio);
+                target.health.record_slowness(now, ratio);
             }
         }
-        gather(seen)
+        merge_observations(seen)
     }
 
     /// Takes what another instance saw.
@@ -300,14 +301,14 @@
             return;
         }
         for target in self.roster.all_mut() {
-            let Ok(at) = told.binary_search_by_key(&target.short_hash(), |t| t.mark) else {
+            let Ok(at) = told.binary_search_by_key(&target.short_hash(), |t| t.target_hash) else {
                 continue;
             };
-            for _ in 0..told[at].failed {
-                target.health.failed(now);
+            for _ in 0..told[at].failures {
+                target.health.record_failure(now);
             }
             if let Some(ratio) = told[at].ratio() {
-                target.health.slow(now, ratio);
+                target.health.record_slowness(now, ratio);
             }
         }
     }
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -153,7 +153,7 @@
     /// Whether this instance may send another request to a target by the limit that
     /// it names.
     pub(super) fn is_within_limit(&self, now: Time, target: &Target) -> bool {
-        let limit = target.named();
+        let limit = target.limit_state();
         let Some(rate) = limit.rate else { return true };
         let rule = &self.bounds.limit;
         let (total, _) = rule.allowance(rate);
@@ -185,7 +185,7 @@
     pub(super) fn named_limits(&mut self, now: Time) -> Vec<Named> {
         let targets = self.roster.all().iter();
         let all: Vec<Named> = targets
-            .filter_map(|t| t.named().told(now, t.short_hash()))
+            .filter_map(|t| t.limit_state().told(now, t.short_hash()))
             .collect();
         let room = TOLD_MOST.min(all.len());
         let from = self.named % all.len().max(1);
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -9,7 +9,7 @@
 //! in no evacuated domain, in a region that the route allows, not tried before,
 //! and, while cold or limited, within this instance's part of what they take.
 
-use super::health::Usual;
+use super::health::Baseline;
 use super::job::Job;
 use super::mechanisms::Mechanism;
 use super::target::{COLD_SPAN, Target};
@@ -125,7 +125,7 @@
     pub(super) fn lacking(&self, service: &str) -> f64 {
         let mut slots: Vec<(&str, f64)> = Vec::new();
         for (_, target) in self.roster.of(service) {
-            if !target.is_open() {
+            if !target.is_available() {
                 continue;
             }
             let own = f64::from(target.entry.slots);
@@ -162,7 +162,7 @@
     fn used_where(&self, now: Time, service: &str, fits: impl Fn(&Target) -> bool) -> f64 {
         let (mut load, mut slots) = (0.0, 0.0);
         for (_, target) in self.roster.of(service) {
-            let open = target.is_open() && !self.roster.is_evacuated(&target.entry.domain);
+            let open = target.is_available() && !self.roster.is_evacuated(&target.entry.domain);
             if open && fits(target) {
                 load += self.load(now, target);
                 slots += f64::from(target.entry.slots);
@@ -175,7 +175,7 @@
     fn has_home(&self, job: &Job) -> bool {
         let home = |t: &Target| {
             t.region == self.home.region
-                && t.is_open()
+                && t.is_available()
                 && job.ask.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
                 && !job.tried.contains(&t.entry.id)
@@ -217,7 +217,7 @@
                 .ask
                 .object
                 .filter(|_| mechanisms.has(Mechanism::Affinity));
-            let warm = object.is_some_and(|o| target.holds(now, short_hash(o)));
+            let warm = object.is_some_and(|o| target.has_object(now, short_hash(o)));
             let place = preferred.iter().position(|p| *p == Some(index));
             let base = match (warm, place) {
                 (true, _) => work.warm,
@@ -245,7 +245,7 @@
             // An ill target fails that share of its requests, each of which
             // has to begin anew elsewhere. Load breaks ties.
             let illness = if mechanisms.has(Mechanism::Illness) {
-                (target.health.refusal(now) + target.health.illness(now) * lost) * goal
+                (target.health.refusal_rate(now) + target.health.failure_rate(now) * lost) * goal
             } else {
                 0.0
             };
@@ -287,7 +287,7 @@
     /// Whether a target is usable whatever limit it names.
     fn is_fit(&self, now: Time, job: &Job, target: &Target, near: bool) -> bool {
         (target.region == self.home.region) == near
-            && target.is_open()
+            && target.is_available()
             && !target.is_ejected(now)
             && job.ask.allows(&target.region)
             && !self.roster.is_evacuated(&target.entry.domain)
@@ -338,17 +338,17 @@
     ) -> [Option<usize>; PREFERRED] {
         let fits = |t: &Target| {
             (t.region == self.home.region) == near
-                && t.is_open()
+                && t.is_available()
                 && job.ask.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
         let shared = self.mechanisms.has(Mechanism::Health);
         let fit = self.roster.of(&job.service).filter(|(_, t)| fits(t));
         let fit: Vec<(usize, &Target)> = fit.collect();
-        let usual = Usual::of(now, fit.iter().map(|(_, t)| &t.health));
+        let usual = Baseline::of(now, fit.iter().map(|(_, t)| &t.health));
         let mut best = [None; PREFERRED];
         for (index, target) in fit {
-            let well = !shared || !target.health.is_poor(now, &usual);
+            let well = !shared || !target.health.is_degraded(now, &usual);
             let mut next = Some(((well, weight(target.hash(), object)), index));
             for held in &mut best {
                 if next > *held {
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -149,7 +149,7 @@
         let target = &mut self.roster.all_mut()[best.index];
         let age = target.age(now);
         let queued = load >= f64::from(target.entry.slots);
-        target.sent(now, span);
+        target.record_sent(now, span);
         let id = Arc::clone(&target.entry.id);
         let addr = target.entry.addr;
         let limit = target.limit();
--- a/crates/steer/src/process/direct/roster.rs
+++ b/crates/steer/src/process/direct/roster.rs
@@ -76,7 +76,7 @@
             Ok(at) => {
                 let target = &mut self.targets[at];
                 let known = &target.entry;
-                let restarted = entry.born != known.born
+                let restarted = entry.incarnation != known.incarnation
                     || entry.seq < known.seq
                     || entry.addr != known.addr
                     || entry.service != known.service;
@@ -87,12 +87,12 @@
                     *moved = true;
                     return true;
                 }
-                let changed = target.gone || target.entry.draining != entry.draining;
+                let changed = target.is_gone || target.entry.draining != entry.draining;
                 // Leaving is final for an incarnation: an older report that
                 // comes late must not bring it back.
                 let draining = target.entry.draining || entry.draining;
-                target.gone = false;
-                target.missing = None;
+                target.is_gone = false;
+                target.drop_at = None;
                 target.cold_until = target.cold_until.max(now + entry.cold);
                 target.entry = Entry { draining, ..entry };
                 changed
@@ -105,8 +105,8 @@
         let Ok(at) = self.find(id) else {
             return false;
         };
-        let changed = !self.targets[at].gone;
-        self.targets[at].gone = true;
+        let changed = !self.targets[at].is_gone;
+        self.targets[at].is_gone = true;
         if self.targets[at].in_flight == 0 {
             self.targets.remove(at);
             self.reindex();
@@ -118,18 +118,18 @@
     /// have lapsed and be back in a moment. It is dropped at `until`.
     pub fn miss(&mut self, id: &str, until: Time) {
         if let Some(target) = self.get_mut(id) {
-            target.missing.get_or_insert(until);
+            target.drop_at.get_or_insert(until);
         }
     }
 
     /// Renews what other instances say they have at each target.
     pub fn hear(&mut self, now: Time, members: &Members) {
         for target in &mut self.targets {
-            target.near = 0;
+            target.peers_in_flight = 0;
         }
         for (mark, count) in members.flying(now) {
             if let Some(target) = self.marked(mark) {
-                target.near += u32::from(count);
+                target.peers_in_flight += u32::from(count);
             }
         }
     }
@@ -155,29 +155,29 @@
     #[must_use]
     pub fn held(&self, now: Time, region: &str) -> Vec<(u32, u32)> {
         let near = self.targets.iter().filter(|t| *t.region == *region);
-        let open = near.filter(|t| t.is_open());
-        open.flat_map(|t| t.own_held(now).map(|object| (t.short_hash(), object)))
+        let open = near.filter(|t| t.is_available());
+        open.flat_map(|t| t.own_objects(now).map(|object| (t.short_hash(), object)))
             .collect()
     }
 
     /// Another instance says that the target of this mark holds an object.
     pub fn told_held(&mut self, now: Time, mark: u32, object: u32) {
         if let Some(target) = self.marked(mark) {
-            target.handled(now, object, false);
+            target.record_object(now, object, false);
         }
     }
 
     /// Another instance was told this by the target of this mark.
     pub(super) fn told_limit(&mut self, mark: u32, limit: Limit) {
         if let Some(target) = self.marked(mark) {
-            target.told_limit(limit);
+            target.merge_limit(limit);
         }
     }
 
     /// Names of all listed targets, in order.
     #[must_use]
     pub fn listed(&self) -> Vec<Arc<str>> {
-        let listed = self.targets.iter().filter(|t| !t.gone);
+        let listed = self.targets.iter().filter(|t| !t.is_gone);
         listed.map(|t| Arc::clone(&t.entry.id)).collect()
     }
 
@@ -217,7 +217,7 @@
         for target in &mut self.targets {
             if back.contains(&target.entry.domain) {
                 target.mark_cold(now + warmup);
-                target.forget();
+                target.clear_objects();
             }
         }
         self.evacuated = domains;
@@ -244,8 +244,8 @@
     pub fn sweep(&mut self, now: Time) -> Vec<Arc<str>> {
         let mut dropped = Vec::new();
         for target in &mut self.targets {
-            if target.missing.is_some_and(|until| now >= until) && !target.gone {
-                target.gone = true;
+            if target.drop_at.is_some_and(|until| now >= until) && !target.is_gone {
+                target.is_gone = true;
                 dropped.push(Arc::clone(&target.entry.id));
             }
         }
@@ -255,7 +255,7 @@
 
     fn drop_gone(&mut self) {
         let before = self.targets.len();
-        self.targets.retain(|t| !t.gone || t.in_flight > 0);
+        self.targets.retain(|t| !t.is_gone || t.in_flight > 0);
         if self.targets.len() != before {
             self.reindex();
         }
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -35,12 +35,12 @@
     /// How much longer it stays cold.
     pub cold: Duration,
     /// When it started, in the target's own terms; tells incarnations apart.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// What a target's answer says of the target itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct Feedback {
     /// Requests there.
     pub load: Option<u32>,
     /// Requests a second that it takes from all instances together.
@@ -65,7 +65,7 @@
 
 /// An object that a target handled lately.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct WarmObject {
     object: u32,
     at: Time,
     /// Whether this instance sent it there. Only that is told to others: what
@@ -81,30 +81,30 @@
     /// Its region.
     pub region: Arc<str>,
     /// Whether discovery has dropped it.
-    pub gone: bool,
+    pub is_gone: bool,
     /// Requests of this instance that are at it now.
     pub in_flight: u32,
     /// Requests planned for it in the current step.
     pub reserved: u32,
     /// Requests of others that were there at the last report.
-    others: f64,
-    told: Time,
+    others_load: f64,
+    reported_at: Time,
     limit: Limit,
     /// Requests that other instances say they have there.
-    pub(super) near: u32,
+    pub(super) peers_in_flight: u32,
     short_hash: u32,
     /// Hash of its name.
     hash: u64,
     /// When it is dropped unless it is listed again.
-    pub(super) missing: Option<Time>,
+    pub(super) drop_at: Option<Time>,
     /// How it does.
     pub health: Health,
-    failures: u32,
-    aside: Time,
+    failure_streak: u32,
+    ejected_until: Time,
     pub(super) cold_until: Time,
     sent_at: VecDeque<Time>,
     /// Sorted by object.
-    held: Vec<Held>,
+    objects: Vec<WarmObject>,
 }
 
 impl Target {
@@ -115,20 +115,20 @@
             hash: hash(entry.id.as_bytes()),
             entry,
             region,
-            gone: false,
+            is_gone: false,
             in_flight: 0,
             reserved: 0,
-            others: 0.0,
-            told: now,
+            others_load: 0.0,
+            reported_at: now,
             limit: Limit::NONE,
-            near: 0,
-            missing: None,
+            peers_in_flight: 0,
+            drop_at: None,
             health: Health::default(),
-            failures: 0,
-            aside: Time::ZERO,
+            failure_streak: 0,
+            ejected_until: Time::ZERO,
             cold_until,
             sent_at: VecDeque::new(),
-            held: Vec::new(),
+            objects: Vec::new(),
         }
     }
 
@@ -146,14 +146,14 @@
 
     /// Whether it may be sent requests at all.
     #[must_use]
-    pub fn is_open(&self) -> bool {
-        !self.gone && !self.entry.draining
+    pub fn is_available(&self) -> bool {
+        !self.is_gone && !self.entry.draining
     }
 
     /// Whether it is set aside after failures.
     #[must_use]
     pub fn is_ejected(&self, now: Time) -> bool {
-        now < self.aside
+        now < self.ejected_until
     }
 
     /// Whether it is cold.
@@ -171,19 +171,19 @@
     /// fades with the time since the target last told.
     #[must_use]
     pub fn load(&self, now: Time, fade: Duration) -> f64 {
-        let mut others = f64::from(self.near);
-        if self.others > 0.0 {
-            let age = now.since(self.told).as_secs_f64() / fade.as_secs_f64().max(0.001);
-            others = others.max(self.others * (-age).exp());
+        let mut others = f64::from(self.peers_in_flight);
+        if self.others_load > 0.0 {
+            let age = now.since(self.reported_at).as_secs_f64() / fade.as_secs_f64().max(0.001);
+            others = others.max(self.others_load * (-age).exp());
         }
         f64::from(self.in_flight + self.reserved) + others
     }
 
     /// Notes the target's own report: requests running and waiting there, with
     /// the one that it answers and that has ended here.
-    pub fn tell(&mut self, now: Time, present: u32) {
-        self.others = f64::from(present.saturating_sub(self.in_flight + 1));
-        self.told = now;
+    pub fn record_load(&mut self, now: Time, present: u32) {
+        self.others_load = f64::from(present.saturating_sub(self.in_flight + 1));
+        self.reported_at = now;
     }
 
     /// The limit that it names, in requests a second.
@@ -193,19 +193,19 @@
     }
 
     /// The same, with when it was named.
-    pub(super) const fn named(&self) -> &Limit {
+    pub(super) const fn limit_state(&self) -> &Limit {
         &self.limit
     }
 
     /// Notes the limit that an answer to this instance names, or that it names none.
     /// Says whether that is news.
-    pub fn name_limit(&mut self, now: Time, rate: Option<f64>) -> bool {
+    pub fn update_limit(&mut self, now: Time, rate: Option<f64>) -> bool {
         let named = self.limit.answered(now, rate);
         core::mem::replace(&mut self.limit, named).rate != rate
     }
 
     /// Notes what another instance was told of its limit.
-    pub(super) fn told_limit(&mut self, told: Limit) {
+    pub(super) fn merge_limit(&mut self, told: Limit) {
         if self.limit.is_before(&told) {
             self.limit = told;
         }
@@ -215,38 +215,38 @@
     /// there is none.
     #[must_use]
     pub fn age(&self, now: Time) -> Duration {
-        now.since(self.told)
+        now.since(self.reported_at)
     }
 
     /// Whether an object was handled lately, as far as this instance knows.
     #[must_use]
-    pub fn holds(&self, now: Time, object: u32) -> bool {
-        let found = self.held.binary_search_by_key(&object, |h| h.object);
-        found.is_ok_and(|at| now.since(self.held[at].at) < WARM_SPAN)
+    pub fn has_object(&self, now: Time, object: u32) -> bool {
+        let found = self.objects.binary_search_by_key(&object, |h| h.object);
+        found.is_ok_and(|at| now.since(self.objects[at].at) < WARM_SPAN)
     }
 
     /// Notes that it has handled an object, for this instance or for another.
     /// Says whether that is news.
-    pub fn handled(&mut self, now: Time, object: u32, own: bool) -> bool {
-        let held = Held {
+    pub fn record_object(&mut self, now: Time, object: u32, own: bool) -> bool {
+        let held = WarmObject {
             object,
             at: now,
             own,
         };
-        match self.held.binary_search_by_key(&object, |h| h.object) {
+        match self.objects.binary_search_by_key(&object, |h| h.object) {
             Ok(at) => {
-                let known = self.held[at];
+                let known = self.objects[at];
                 let lapsed = now.since(known.at) >= WARM_SPAN;
                 // Another's word doesn't make what was seen here its own.
                 if own || !known.own || lapsed {
-                    self.held[at] = held;
+                    self.objects[at] = held;
                 }
                 lapsed || own && !known.own
             }
             Err(at) => {
-                self.held.insert(at, held);
-                if self.held.len() > WARM_MOST {
-                    self.held.retain(|h| now.since(h.at) < WARM_SPAN / 2);
+                self.objects.insert(at, held);
+                if self.objects.len() > WARM_MOST {
+                    self.objects.retain(|h| now.since(h.at) < WARM_SPAN / 2);
                 }
                 true
             }
@@ -254,14 +254,14 @@
     }
 
     /// It has forgotten all objects.
-    pub(super) fn forget(&mut self) {
-        self.held.clear();
+    pub(super) fn clear_objects(&mut self) {
+        self.objects.clear();
     }
 
     /// Objects that this instance sent there lately.
-    pub(super) fn own_held(&self, now: Time) -> impl Iterator<Item = u32> {
-        let own = move |h: &&Held| h.own && now.since(h.at) < WARM_SPAN;
-        self.held.iter().filter(own).map(|h| h.object)
+    pub(super) fn own_objects(&self, now: Time) -> impl Iterator<Item = u32> {
+        let own = move |h: &&WarmObject| h.own && now.since(h.at) < WARM_SPAN;
+        self.objects.iter().filter(own).map(|h| h.object)
     }
 
     /// Requests of this instance sent to it within `span`, which is [`COLD_SPAN`] or
@@ -278,7 +278,7 @@
     }
 
     /// Notes a request sent to it; those older than `span` are forgotten.
-    pub fn sent(&mut self, now: Time, span: Duration) {
+    pub fn record_sent(&mut self, now: Time, span: Duration) {
         self.in_flight += 1;
         while self
             .sent_at
@@ -291,18 +291,18 @@
     }
 
     /// Notes an answer, with the time it took over the time expected.
-    pub fn answered(&mut self, now: Time, ratio: Option<f64>) {
-        self.failures = 0;
-        self.aside = Time::ZERO;
-        self.health.answered(now, ratio);
+    pub fn record_answer(&mut self, now: Time, ratio: Option<f64>) {
+        self.failure_streak = 0;
+        self.ejected_until = Time::ZERO;
+        self.health.record_answer(now, ratio);
     }
 
     /// Notes that it couldn't be reached or broke off: it gets nothing for a
     /// while, or each request would find out anew.
-    pub fn unreached(&mut self, now: Time) {
-        self.health.failed(now);
-        let factor = 1 << self.failures.min(4);
-        self.failures += 1;
-        self.aside = now + (ASIDE_FIRST * factor).min(ASIDE_MOST);
+    pub fn eject(&mut self, now: Time) {
+        self.health.record_failure(now);
+        let factor = 1 << self.failure_streak.min(4);
+        self.failure_streak += 1;
+        self.ejected_until = now + (ASIDE_FIRST * factor).min(ASIDE_MOST);
     }
 }
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -95,7 +95,7 @@
         draining: false,
         seq: 1,
         cold: Duration::ZERO,
-        born: 1,
+        incarnation: 1,
     }
 }
 
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -104,8 +104,8 @@
         .beat(now + Duration::from_secs(3), false)
         .observations;
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].mark, mark(&first));
-    assert!(seen[0].eighths > 16, "{seen:?}");
+    assert_eq!(seen[0].target_hash, mark(&first));
+    assert!(seen[0].ratio_eighths > 16, "{seen:?}");
 }
 
 /// What failed is told by one heartbeat: the next would count it twice.
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -6,7 +6,7 @@
 use steer::clock::Time;
 use steer::process::direct::limit::{Named, Rule};
 use steer::process::direct::members::{self, Beat};
-use steer::process::direct::target::{Entry, Word};
+use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{Bounds, Ending, Order};
 
 use super::bench::{Bench, MS, at, beat, entry, route};
@@ -29,8 +29,8 @@
 }
 
 fn name(bench: &mut Bench, now: Time, limit: Option<f64>) {
-    let word = Word { load: None, limit };
-    bench.direct.hear_target(now, "t1", word);
+    let word = Feedback { load: None, limit };
+    bench.direct.apply_feedback(now, "t1", word);
 }
 
 /// Requests sent of one every 100 ms, in this span.
@@ -200,11 +200,11 @@
     let targets: Vec<Entry> = (0..25).map(|i| wide(&format!("t{i}"))).collect();
     let mut bench = Bench::new(route(), &targets);
     for target in &targets {
-        let word = Word {
+        let word = Feedback {
             load: None,
             limit: Some(1.0),
         };
-        bench.direct.hear_target(at(1_000), &target.id, word);
+        bench.direct.apply_feedback(at(1_000), &target.id, word);
     }
     let beats = (0..3).flat_map(|_| bench.direct.beat(at(1_100), false).limits);
     let mut marks: Vec<u32> = beats.map(|n| n.mark).collect();
@@ -231,7 +231,7 @@
     let mut bench = one_of(7);
     name(&mut bench, at(2_000), Some(0.0));
     let anew = Entry {
-        born: 2,
+        incarnation: 2,
         ..wide("t1")
     };
     bench.direct.roster.put(at(3_000), anew);
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -27,7 +27,7 @@
             .direct
             .roster
             .get_mut("t1")
-            .is_some_and(|t| t.is_open())
+            .is_some_and(|t| t.is_available())
     );
 }
 
@@ -91,7 +91,7 @@
             .direct
             .roster
             .get_mut("t1")
-            .is_some_and(|t| !t.is_open())
+            .is_some_and(|t| !t.is_available())
     );
 }
 
@@ -101,7 +101,7 @@
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     bench.serve(at(0), 5, super::bench::MS * 100);
     let anew = Entry {
-        born: 2,
+        incarnation: 2,
         ..entry("t1", "near-a")
     };
     assert!(bench.direct.roster.put(at(500), anew));
@@ -123,7 +123,7 @@
     assert_eq!(of(&bench, "sheets"), ["t1", "t2", "t3"]);
     let moved = Entry {
         service: "bills".into(),
-        born: 2,
+        incarnation: 2,
         ..entry("t2", "near-a")
     };
     bench.direct.roster.put(at(10), moved);
--- a/crates/wire/src/near.rs
+++ b/crates/wire/src/near.rs
@@ -392,7 +392,8 @@
         struck.truncate(STRUCK_MOST);
         let mut troubles = beat.observations;
         troubles.truncate(TROUBLES_MOST);
-        let trouble = |t: health::Observation| (t.mark.to_le_bytes(), t.failed, t.eighths);
+        let trouble =
+            |t: health::Observation| (t.target_hash.to_le_bytes(), t.failures, t.ratio_eighths);
         Self {
             name: beat.name.as_ref().to_owned(),
             life: beat.life,
@@ -427,10 +428,10 @@
         let mut flying: Vec<(u32, u8)> = beat.flying.into_iter().map(count).collect();
         flying.sort_unstable();
         let held = |(target, object)| (u32::from_le_bytes(target), u32::from_le_bytes(object));
-        let trouble = |(target, failed, eighths)| health::Observation {
-            mark: u32::from_le_bytes(target),
-            failed,
-            eighths,
+        let trouble = |(target, failures, ratio_eighths)| health::Observation {
+            target_hash: u32::from_le_bytes(target),
+            failures,
+            ratio_eighths,
         };
         let mut troubles: Vec<_> = beat.troubles.into_iter().map(trouble).collect();
         troubles.sort_unstable();
