--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -84,7 +84,7 @@
 
 impl State {
     /// The state now.
-    pub fn of(shared: &Shared) -> Self {
+    pub fn capture(shared: &Shared) -> Self {
         let ready = shared.is_ready();
         let leaving = shared.phase() > Phase::Serving;
         shared.read(|now, direct| Self {
@@ -96,7 +96,7 @@
             store: direct.is_in_touch(now),
             store_calls: shared.store_calls(),
             upstream: upstream(&direct.upstream(now)),
-            connections: shared.count.get(),
+            connections: shared.connections.get(),
             requests: direct.count(),
             waiting: direct.waiting(),
             evacuated: direct.roster.evacuated().to_vec(),
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -80,7 +80,7 @@
     async fn changes(self, _: context::Context, known: u64, wait_ms: u32) -> Changes {
         let shared = &self.0;
         let asked = shared.now();
-        let told = shared.told.listen();
+        let told = shared.updated.listen();
         if lock(&shared.replica).revision() <= known {
             let wait = Duration::from_millis(wait_ms.into()).min(WAIT_MOST);
             let over = async {
--- a/crates/auburnrouter/src/direct/server.rs
+++ b/crates/auburnrouter/src/direct/server.rs
@@ -22,14 +22,15 @@
 
 /// Answers the requests of connections.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// Memory that the body of a request takes.
-    type Room: Send + 'static;
+    /// Memory reserved for the body of a request; released on drop.
+    type Reservation: Send + 'static;
 
     /// Bounds on a connection that is opened now.
     fn limits(&self) -> Limits;
 
-    /// Memory for a body of `length`, if the caller says it.
-    fn room(&self, length: Option<u64>) -> Option<Self::Room>;
+    /// Reserves memory for a body of `length` bytes, or of unknown length. `None` if
+    /// there is not enough.
+    fn reserve_body(&self, length: Option<u64>) -> Option<Self::Reservation>;
 
     /// Tells a caller why its connection ends unread.
     fn refuse(&self, caller: Caller, why: Refusal) -> Response;
@@ -40,7 +41,7 @@
     /// Answers a request. Dropped, it must not run any further.
     fn answer(
         &self,
-        arrival: Arrival<Self::Room>,
+        arrival: Arrival<Self::Reservation>,
     ) -> impl Future<Output = Response> + Send + use<Self>;
 
     /// The process all this is in.
@@ -169,7 +170,7 @@
     loop {
         let accepted = async { Some(socket.accept().await) };
         let closing = async {
-            shared.closed().await;
+            shared.until_closing().await;
             None
         };
         let (mut stream, addr) = match future::or(closing, accepted).await {
@@ -181,7 +182,7 @@
             }
         };
         let Some(entered) = count.enter() else {
-            shared.metrics.turned_away.inc();
+            shared.metrics.rejected_connections.inc();
             // It may have left already; its request isn't read in any case.
             let _ = stream.write(TOO_MANY).await;
             continue;
@@ -196,7 +197,7 @@
         let shared = Arc::clone(&shared);
         let serve = async move {
             let _entered = entered;
-            connection.serve(shared.closed()).await;
+            connection.serve(shared.until_closing()).await;
         };
         executor.spawn(serve).detach();
     }
@@ -221,11 +222,11 @@
 /// `start`.
 pub async fn drain(shared: &Shared, start: Instant) {
     let grace = shared.settings.bounds.grace;
-    let count = &shared.count;
+    let count = &shared.connections;
     let mut quiet = start;
     while start.elapsed() < shutdown_timeout(&shared.settings) {
         if start.elapsed() > grace.mul_f64(LINGER) {
-            shared.close();
+            shared.start_closing();
         }
         if count.get() > 0 || shared.phase() < Phase::Closing {
             quiet = Instant::now();
