--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use steer::process::direct::target::Word;
+use steer::process::direct::target::Feedback;
 
 use super::{millis, write};
 use crate::direct::Shared;
@@ -77,7 +77,7 @@
     /// Status code of the target's answer; 0 if there is none.
     pub status: u16,
     /// Load and limit that the target reported.
-    pub feedback: Word,
+    pub feedback: Feedback,
     /// The decision to send it there, with the estimates it was based on.
     pub assignment: &'a steer::process::direct::Go,
     /// Hash of the object that the request concerns; 0 if it names none.
--- a/crates/steer/src/process/direct/line.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -113,7 +113,7 @@
 
     /// Whether even a free target that holds the object would answer too late.
     fn is_too_late(&self, now: Time, job: &Job) -> bool {
-        let work = self.work(job);
+        let work = self.estimate(job);
         now + Duration::from_secs_f64(work.warm * LEAST) > job.limit
     }
 
@@ -149,7 +149,7 @@
         let target = &mut self.roster.all_mut()[best.index];
         let age = target.age(now);
         let queued = load >= f64::from(target.entry.slots);
-        target.sent(now, span);
+        target.record_sent(now, span);
         let id = Arc::clone(&target.entry.id);
         let addr = target.entry.addr;
         let limit = target.limit();
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -43,7 +43,7 @@
 
     /// The same with the dispatcher's limits of choice.
     #[must_use]
-    pub fn tuned(
+    pub fn with_tuning(
         identity: dispatch::Identity,
         me: view::Incarnation,
         limits: gate::Limits,
@@ -51,7 +51,7 @@
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            dispatch: dispatch::Dispatch::tuned(identity.clone(), tuning, rng.clone()),
+            dispatch: dispatch::Dispatch::with_tuning(identity.clone(), tuning, rng.clone()),
             ..Self::new(identity, me, limits, rng)
         }
     }
@@ -101,12 +101,12 @@
             }
             Event::Stored { id, result } => self.gate(now, gate::Event::Stored { id, result }),
             Event::Leave => self.gate(now, gate::Event::Leave),
-            Event::Gone(id) => {
+            Event::Disconnected(id) => {
                 self.outbox.forget(id);
                 if self.gate.holds(id) {
                     self.gate(now, gate::Event::Gone(id));
                 } else {
-                    self.dispatch(now, dispatch::Event::Gone(id));
+                    self.dispatch(now, dispatch::Event::Disconnected(id));
                 }
             }
             Event::Ended {
@@ -137,21 +137,21 @@
                 };
                 self.dispatch(now, event);
             }
-            Event::Hold(held) => self.dispatch(now, dispatch::Event::Hold(held)),
-            Event::Borrowed {
+            Event::SlotHeld(held) => self.dispatch(now, dispatch::Event::SlotHeld(held)),
+            Event::LoanGranted {
                 route,
                 amount,
-                asked,
+                asked_at,
             } => {
-                let event = dispatch::Event::Borrowed {
+                let event = dispatch::Event::LoanGranted {
                     route,
                     amount,
-                    asked,
+                    asked_at,
                 };
                 self.dispatch(now, event);
             }
-            Event::Wanted { ask, route, amount } => {
-                self.dispatch(now, dispatch::Event::Wanted { ask, route, amount });
+            Event::LoanRequested { ask, route, amount } => {
+                self.dispatch(now, dispatch::Event::LoanRequested { ask, route, amount });
             }
             Event::View(view) => {
                 self.dispatch(now, dispatch::Event::View(Arc::clone(&view)));
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -26,7 +26,9 @@
 
 use steer::clock::Time;
 use steer::process::dispatch::tuning::Tuning;
-use steer::process::dispatch::{self, Action, AttemptOutcome, Dispatch, Event, Place, Report};
+use steer::process::dispatch::{
+    self, Action, AttemptOutcome, Destination, Dispatch, Event, Report,
+};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
@@ -74,7 +76,7 @@
     };
     let rng = fastrand::Rng::with_seed(seed as u64);
     let mut script = Script {
-        dispatch: Dispatch::tuned(identity, tuning, rng),
+        dispatch: Dispatch::with_tuning(identity, tuning, rng),
         now: Time::ZERO,
         loud: true,
         attempts: Vec::new(),
@@ -125,7 +127,9 @@
                     strikes,
                 });
             }
-            "gone" => self.take(Event::Gone(RequestId(words[1].parse().expect("a request")))),
+            "gone" => self.take(Event::Disconnected(RequestId(
+                words[1].parse().expect("a request"),
+            ))),
             "dump" => {
                 let dump = self.dispatch.dump(self.now);
                 write!(self.out, "{dump}").expect("a string takes all");
@@ -265,11 +269,11 @@
             Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
             } => {
-                let name = Arc::clone(place.name());
-                let kind = if matches!(place, Place::Member { .. }) {
+                let name = Arc::clone(destination.name());
+                let kind = if matches!(destination, Destination::Member { .. }) {
                     "peer "
                 } else {
                     ""
