--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -35,7 +35,7 @@
 use settings::direct::{Listen, Settings};
 use shared::{Phase, Shared, lock};
 use smol::net;
-use steer::process::direct::TICK;
+use steer::process::direct::STEP_INTERVAL_MAX;
 use thiserror::Error;
 
 /// An error that keeps an instance from starting.
@@ -227,11 +227,11 @@
     }
 }
 
-/// Steps steering every [`TICK`] while a request waits: load estimates decay with
+/// Steps steering every [`STEP_INTERVAL_MAX`] while a request waits: load estimates decay with
 /// time, so a target may become available without an event.
 async fn tick(shared: Arc<Shared>, ticks: async_channel::Receiver<()>) {
     while ticks.recv().await.is_ok() {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(STEP_INTERVAL_MAX).await;
         shared.decide(|_, _| ());
     }
 }
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -286,7 +286,7 @@
             shared: Arc::clone(&self.shared),
             ticket,
         };
-        let limit = self.shared.read(|_, d| d.limit(ticket));
+        let limit = self.shared.read(|_, d| d.time_limit(ticket));
         let limit = limit.unwrap_or(self.arrived + self.route.timeout);
         let mut may_have_run = false;
         loop {
@@ -340,7 +340,7 @@
     ) -> (Next, Option<Response>) {
         let began = self.shared.now();
         let left = limit.since(began);
-        let (ending, answer, word) = if self.shared.read(|now, d| d.may_go(now, go)) {
+        let (ending, answer, word) = if self.shared.read(|now, d| d.may_send_request(now, go)) {
             let run = attempt::run(&self.shared, go, &self.whole, left);
             match self.until(limit, run).await {
                 Some(ended) => (ended.ending, ended.answer, ended.word),
@@ -354,7 +354,7 @@
             Ending::Unreached | Ending::Withdrawn | Ending::NotRun | Ending::Elsewhere
         );
         let (next, named) = self.shared.decide(|now, direct| {
-            let next = direct.ended(now, go.ticket, ending);
+            let next = direct.finish_attempt(now, go.ticket, ending);
             let named = word.is_some_and(|word| direct.apply_feedback(now, &go.target, word));
             (next, named)
         });
--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -97,8 +97,8 @@
             store_calls: shared.store_calls(),
             upstream: upstream(&direct.upstream(now)),
             connections: shared.connections.get(),
-            requests: direct.count(),
-            waiting: direct.waiting(),
+            requests: direct.request_count(),
+            waiting: direct.waiting_count(),
             evacuated: direct.roster.evacuated().to_vec(),
             instances: direct.others(now).map(|o| Arc::clone(o.0)).collect(),
             stale_ms: direct.staleness(now).map(millis),
@@ -110,7 +110,7 @@
                     rate,
                 })
                 .collect(),
-            elsewhere: direct.elsewhere(),
+            elsewhere: direct.spillover_shares(),
             targets: direct
                 .roster
                 .all()
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -167,8 +167,14 @@
     } = *answer;
     let labels = [&*status.to_string(), reason];
     shared.metrics.own_answers.with_label_values(&labels).inc();
-    let (waiting, config, store, stale) =
-        shared.read(|now, d| (d.waiting(), d.version(), d.store_age(now), d.staleness(now)));
+    let (waiting, config, store, stale) = shared.read(|now, d| {
+        (
+            d.waiting_count(),
+            d.version(),
+            d.store_age(now),
+            d.staleness(now),
+        )
+    });
     let fields = OwnAnswerFields {
         request,
         route,
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -174,7 +174,7 @@
         for decision in decisions {
             steering.deliver(decision);
         }
-        let waiting = steering.direct.waiting() > 0;
+        let waiting = steering.direct.waiting_count() > 0;
         let urgent = steering.direct.take_urgent();
         drop(steering);
         if urgent {
@@ -253,7 +253,7 @@
             steering.waiters.remove(at);
         }
         drop(steering);
-        self.decide(|now, direct| direct.leave(now, ticket));
+        self.decide(|now, direct| direct.cancel(now, ticket));
     }
 
     /// Whether callers should connect to this instance.
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -12,7 +12,9 @@
 
 use steer::clock::Time;
 use steer::process::direct::members::Row;
-use steer::process::direct::{Ask, Direct, Ending, Go, Home, Next, Order, TICK, Ticket, Why, hash};
+use steer::process::direct::{
+    Ask, Direct, Ending, Go, Home, Next, Order, STEP_INTERVAL_MAX, Ticket, Why, hash,
+};
 use steer::request::arrival::Fingerprint;
 
 pub(super) use knowledge::LAPSE;
@@ -221,7 +223,7 @@
         match direct.arrive(now, ask) {
             Err(_) => self.rejected(request, 500_000),
             Ok(ticket) => {
-                let limit = direct.limit(ticket).unwrap_or(now);
+                let limit = direct.time_limit(ticket).unwrap_or(now);
                 let instance = &mut self.instances[number];
                 instance.asks.push(Held {
                     ticket,
@@ -256,10 +258,13 @@
             }
         }
         let instance = &mut self.instances[number];
-        let waits = instance.direct.as_ref().is_some_and(|d| d.waiting() > 0);
+        let waits = instance
+            .direct
+            .as_ref()
+            .is_some_and(|d| d.waiting_count() > 0);
         if waits && !instance.ticking {
             instance.ticking = true;
-            self.after(micros(TICK), Event::Tick(number));
+            self.after(micros(STEP_INTERVAL_MAX), Event::Tick(number));
         }
     }
 
@@ -301,7 +306,10 @@
             instance.life,
             instance.boot,
         );
-        let limit = instance.direct.as_ref().and_then(|d| d.limit(go.ticket));
+        let limit = instance
+            .direct
+            .as_ref()
+            .and_then(|d| d.time_limit(go.ticket));
         let until = limit.map_or(self.now, |l| boot + l.as_micros());
         let Ok(at) = instance.asks.binary_search_by_key(&go.ticket, |a| a.ticket) else {
             return;
@@ -387,7 +395,7 @@
         let Some(direct) = &mut instance.direct else {
             return;
         };
-        let next = direct.ended(now, ticket, ending);
+        let next = direct.finish_attempt(now, ticket, ending);
         if load > 0
             && let Some(target) = direct.roster.get_mut(&self.targets[sent.target].name)
         {
@@ -421,9 +429,9 @@
         let now = self.clock(number);
         if let Some(direct) = &mut self.instances[number].direct {
             if held.at.is_some() {
-                direct.ended(now, ticket, Ending::Late);
+                direct.finish_attempt(now, ticket, Ending::Late);
             }
-            direct.leave(now, ticket);
+            direct.cancel(now, ticket);
         }
         if let Some(target) = held.at {
             self.cancel(target, held.request, held.current);
@@ -448,7 +456,7 @@
             self.drop_ask(number, held.ticket);
             let now = self.clock(number);
             if let Some(direct) = &mut self.instances[number].direct {
-                direct.leave(now, held.ticket);
+                direct.cancel(now, held.ticket);
             }
             if let Some(target) = held.at {
                 self.cancel(target, held.request, held.current);
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -299,7 +299,7 @@
         let Some(direct) = &mut node.direct else {
             return;
         };
-        if direct.ended(now, ticket, ending) != Next::Again {
+        if direct.finish_attempt(now, ticket, ending) != Next::Again {
             node.asks.retain(|a| a.0 != ticket);
         }
     }
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -36,7 +36,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-pub use hash::{hash, short_hash, unit};
+pub use hash::{hash, short_hash, unit_interval};
 pub use message::{Admission, Ask, Bounds, Ending, Go, Home, Next, Order, Ticket, Why};
 
 use crate::clock::Time;
@@ -76,27 +76,27 @@
     confirmed: access::Confirmed,
     quotas: quota::Quotas,
     /// Where not to read from for a while.
-    failed: Failed,
+    failed_upstreams: Failed,
     /// When this process ends, once it was told to stop.
-    end: Option<Time>,
+    stops_at: Option<Time>,
     suspects: Suspects,
     /// Objects that targets have come to hold since the last heartbeat.
-    news: Vec<(u32, u32)>,
+    object_updates: Vec<(u32, u32)>,
     /// What was seen of slow and failing targets since then.
     observations: Vec<Observation>,
     /// How far heartbeats have told all that targets hold.
-    told: usize,
+    object_cursor: usize,
     /// The same of the limits that targets name.
-    named: usize,
-    beats: u64,
+    limit_cursor: usize,
+    heartbeat_seq: u64,
     /// Other instances that sums are shared with.
     sharers: Vec<Sharer>,
     jobs: Vec<Job>,
-    next: u64,
+    next_ticket: u64,
 }
 
 /// Time kept free at the end of a request's limit to write its last answer.
-const SPARE: Duration = Duration::from_millis(30);
+const ANSWER_RESERVE: Duration = Duration::from_millis(30);
 
 impl Direct {
     /// Nothing known yet.
@@ -127,17 +127,17 @@
             store: Touch::default(),
             confirmed: access::Confirmed::default(),
             quotas: quota::Quotas::default(),
-            failed: Failed::default(),
-            end: None,
+            failed_upstreams: Failed::default(),
+            stops_at: None,
             suspects: Suspects::default(),
-            news: Vec::new(),
+            object_updates: Vec::new(),
             observations: Vec::new(),
-            told: 0,
-            named: 0,
-            beats: 0,
+            object_cursor: 0,
+            limit_cursor: 0,
+            heartbeat_seq: 0,
             sharers: Vec::new(),
             jobs: Vec::new(),
-            next: 1,
+            next_ticket: 1,
         }
     }
 
@@ -178,20 +178,20 @@
 
     /// Requests that are here.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.jobs.len()
     }
 
     /// The share of each service's requests that runs in other regions.
     #[must_use]
-    pub fn elsewhere(&self) -> Vec<(Arc<str>, f64)> {
+    pub fn spillover_shares(&self) -> Vec<(Arc<str>, f64)> {
         let share = |p: &(Arc<str>, Spillover)| (Arc::clone(&p.0), p.1.share());
         self.spillovers.iter().map(share).collect()
     }
 
     /// Requests that wait for a target.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let waiting = |j: &&Job| matches!(j.state, State::Waiting);
         self.jobs.iter().filter(waiting).count()
     }
@@ -208,13 +208,13 @@
         if !self.has_region(&ask) {
             return Err(Why::NoHome);
         }
-        let offset = unit(hash(self.home.name.as_bytes()));
+        let offset = unit_interval(hash(self.home.name.as_bytes()));
         let service = self.splits.next(&ask.route, offset).ok_or(Why::NoTarget)?;
         let rule = self.bounds.repeats;
         self.budget(&service).request(now, &rule);
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        let limit = (ask.deadline - SPARE).min(now + ask.route.timeout);
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        let limit = (ask.deadline - ANSWER_RESERVE).min(now + ask.route.timeout);
         self.jobs.push(Job {
             ticket,
             ask,
@@ -234,7 +234,7 @@
 
     /// The end of the time that caller and operator allow a request.
     #[must_use]
-    pub fn limit(&self, ticket: Ticket) -> Option<Time> {
+    pub fn time_limit(&self, ticket: Ticket) -> Option<Time> {
         self.find(ticket).ok().map(|at| self.jobs[at].limit)
     }
 
@@ -273,7 +273,7 @@
 }
 
 /// Time after which a target's report of others' requests has faded.
-const FADE: Duration = Duration::from_millis(400);
+const REPORT_DECAY_TIME: Duration = Duration::from_millis(400);
 
 /// Longest time between two calls of [`Direct::step`] while something waits.
-pub const TICK: Duration = Duration::from_millis(25);
+pub const STEP_INTERVAL_MAX: Duration = Duration::from_millis(25);
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -123,7 +123,7 @@
     /// within the bound on keys by any other.
     #[must_use]
     pub fn is_sure(&self, now: Time) -> bool {
-        let away = self.failed.has_store_within(now, AWAY);
+        let away = self.failed_upstreams.has_store_within(now, AWAY);
         let lag = self.lag().filter(|_| !away);
         self.is_younger(now, |bound| {
             lag.unwrap_or(bound).min(bound).saturating_sub(MARGIN)
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -10,13 +10,13 @@
 use super::mechanisms::Mechanism;
 use super::message::{Ending, Go, Next, Ticket};
 use super::target::Feedback;
-use super::{Direct, SPARE, members, short_hash};
+use super::{ANSWER_RESERVE, Direct, members, short_hash};
 use crate::clock::Time;
 use crate::request::poison::STRIKES;
 
 impl Direct {
     /// The caller has left, or the request's time is over.
-    pub fn leave(&mut self, now: Time, ticket: Ticket) {
+    pub fn cancel(&mut self, now: Time, ticket: Ticket) {
         let Ok(at) = self.find(ticket) else { return };
         let job = self.jobs.remove(at);
         match &job.state {
@@ -36,14 +36,14 @@
 
     /// The same for a request itself: its key may have been taken away.
     #[must_use]
-    pub fn may_go(&self, now: Time, go: &Go) -> bool {
+    pub fn may_send_request(&self, now: Time, go: &Go) -> bool {
         let job = self.find(go.ticket).map(|at| &self.jobs[at]);
         let kept = job.is_ok_and(|job| self.withheld(now, &job.ask).is_none());
         kept && self.may_send(&go.target)
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, ending: Ending) -> Next {
+    pub fn finish_attempt(&mut self, now: Time, ticket: Ticket, ending: Ending) -> Next {
         let Ok(at) = self.find(ticket) else {
             return Next::Settled;
         };
@@ -77,7 +77,7 @@
                         && target.record_object(now, short_hash(object), true)
                     {
                         let mark = members::mark(&target.entry.id);
-                        self.news.push((mark, short_hash(object)));
+                        self.object_updates.push((mark, short_hash(object)));
                     }
                 }
                 Ending::NotRun => target.health.record_refusal(now),
@@ -142,7 +142,7 @@
         let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
         let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
         let left = job.tried.len() < job.ask.route.attempts.max(1);
-        let time = now + SPARE < job.limit;
+        let time = now + ANSWER_RESERVE < job.limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
         let arrived = !matches!(ending, Ending::Unreached | Ending::Withdrawn);
--- a/crates/steer/src/process/direct/contact.rs
+++ b/crates/steer/src/process/direct/contact.rs
@@ -196,12 +196,12 @@
     /// The process was told to stop and will end at `end`; heartbeats say so
     /// from now on.
     pub const fn stop(&mut self, end: Time) {
-        self.end = Some(end);
+        self.stops_at = Some(end);
     }
 
     /// This instance's heartbeat; with its row for those who may not know it.
     pub fn beat(&mut self, now: Time, row: bool) -> Beat {
-        self.beats += 1;
+        self.heartbeat_seq += 1;
         let held = self.held(now);
         let observations = self.take_observations(now);
         let limits = self.named_limits(now);
@@ -209,8 +209,8 @@
         Beat {
             name: Arc::clone(&self.home.name),
             life: self.home.life,
-            seq: self.beats,
-            leaving: self.end.is_some(),
+            seq: self.heartbeat_seq,
+            leaving: self.stops_at.is_some(),
             doubtful: !self.is_sound(now),
             revision: self.store.revision,
             version: self.version(),
@@ -226,16 +226,19 @@
     /// What heartbeats tell of objects at targets: the news, and a part of all
     /// that is known, in turn, for instances that have just started.
     fn held(&mut self, now: Time) -> Vec<(u32, u32)> {
-        let mut held = core::mem::take(&mut self.news);
+        let mut held = core::mem::take(&mut self.object_updates);
         let all = self.roster.held(now, &self.home.region);
         held.truncate(HELD_MOST);
         if !held.is_empty() {
             return held;
         }
         let room = HELD_TURN.min(all.len());
-        let turn = all.iter().cycle().skip(self.told % all.len().max(1));
+        let turn = all
+            .iter()
+            .cycle()
+            .skip(self.object_cursor % all.len().max(1));
         held.extend(turn.take(room));
-        self.told = self.told.wrapping_add(room);
+        self.object_cursor = self.object_cursor.wrapping_add(room);
         held
     }
 
--- a/crates/steer/src/process/direct/hash.rs
+++ b/crates/steer/src/process/direct/hash.rs
@@ -22,7 +22,7 @@
 
 /// A hash as a number from 0 to 1.
 #[must_use]
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     #[allow(clippy::cast_precision_loss, reason = "53 bits are kept")]
     let top = (hash >> 11) as f64;
     top / 9_007_199_254_740_992.0
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -12,7 +12,7 @@
 use core::time::Duration;
 
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, members, parts, unit};
+use super::{Direct, members, parts, unit_interval};
 use crate::clock::Time;
 
 /// What the operator allows beyond a limit.
@@ -171,7 +171,7 @@
         let own = members::mark(&self.home.name) ^ target.short_hash();
         let own = u64::from(own).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let window = self.bounds.limit.window;
-        QUIET + window.saturating_mul(count).mul_f64(unit(own))
+        QUIET + window.saturating_mul(count).mul_f64(unit_interval(own))
     }
 
     /// Span of requests to a target that has to be remembered.
@@ -188,8 +188,8 @@
             .filter_map(|t| t.limit_state().told(now, t.short_hash()))
             .collect();
         let room = TOLD_MOST.min(all.len());
-        let from = self.named % all.len().max(1);
-        self.named = from + room;
+        let from = self.limit_cursor % all.len().max(1);
+        self.limit_cursor = from + room;
         all.into_iter().cycle().skip(from).take(room).collect()
     }
 
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -13,7 +13,7 @@
 use super::job::Job;
 use super::mechanisms::Mechanism;
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, FADE, hash, short_hash, unit};
+use super::{Direct, REPORT_DECAY_TIME, hash, short_hash, unit_interval};
 use crate::clock::Time;
 
 /// A target for a request.
@@ -104,7 +104,7 @@
     /// object cold in two regions.
     pub(super) fn pressure(&self, now: Time, job: &Job) -> (Option<bool>, f64) {
         let position = match job.ask.object {
-            Some(object) => unit(hash(&object.to_le_bytes())),
+            Some(object) => unit_interval(hash(&object.to_le_bytes())),
             None => 0.5,
         };
         let near = self.best(now, job, true);
@@ -274,7 +274,7 @@
     /// Requests believed to be at a target.
     pub(super) fn load(&self, now: Time, target: &Target) -> f64 {
         if self.mechanisms.has(Mechanism::Counts) {
-            target.load(now, FADE)
+            target.load(now, REPORT_DECAY_TIME)
         } else {
             f64::from(target.in_flight + target.reserved)
         }
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -11,7 +11,7 @@
 use super::mechanisms::Mechanism;
 use super::message::{Go, Order, Ticket, Why};
 use super::spillover::Spillover;
-use super::{Direct, SPARE, place, unit};
+use super::{ANSWER_RESERVE, Direct, place, unit_interval};
 use crate::clock::Time;
 
 /// Share of a request's latency objective for which it may be held before it is
@@ -37,7 +37,7 @@
 
 impl Direct {
     /// Decides on everything that waits. To be called after each event, and at
-    /// the latest after [`TICK`] while something waits.
+    /// the latest after [`STEP_INTERVAL_MAX`] while something waits.
     pub fn step(&mut self, now: Time) -> Vec<Order> {
         let mut order: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
         for job in &self.jobs {
@@ -93,7 +93,7 @@
         let held = now.since(job.arrived).as_secs_f64();
         let goal = job.ask.route.goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
-        let hopeless = finish + SPARE > job.limit || self.outlasts(now, &best);
+        let hopeless = finish + ANSWER_RESERVE > job.limit || self.outlasts(now, &best);
         let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.limit;
         let reject = self.mechanisms.has(Mechanism::Reject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
@@ -108,7 +108,8 @@
     /// its caller would get none. Another instance can still take the request.
     fn outlasts(&self, now: Time, best: &place::Place) -> bool {
         let finish = now + Duration::from_secs_f64(best.cost * DOUBT);
-        self.end.is_some_and(|end| finish + SPARE > end)
+        self.stops_at
+            .is_some_and(|end| finish + ANSWER_RESERVE > end)
     }
 
     /// Whether even a free target that holds the object would answer too late.
@@ -123,7 +124,7 @@
         let goal = job.ask.route.goal.mul_f64(HOLD);
         // One that was sent already, or has just come, waits for a target that
         // is only set aside for a moment.
-        if now < job.arrived + goal && now + SPARE < job.limit {
+        if now < job.arrived + goal && now + ANSWER_RESERVE < job.limit {
             return None;
         }
         Some(self.reject(now, at, Why::NoTarget, None))
@@ -181,7 +182,7 @@
     /// When a rejected caller may come back: once the queue ahead of it is
     /// done. The spread keeps callers rejected together from returning so.
     pub(super) fn after(job: &Job, wait: f64) -> Duration {
-        let spread = unit(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+        let spread = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let goal = job.ask.route.goal.as_secs_f64();
         let seconds = wait.max(goal * 0.2) * (0.75 + spread * 0.75);
         Duration::from_secs_f64(seconds).clamp(AFTER_LEAST, AFTER_MOST)
--- a/crates/steer/src/process/direct/upstream.rs
+++ b/crates/steer/src/process/direct/upstream.rs
@@ -87,7 +87,7 @@
     pub fn upstream(&self, now: Time) -> Upstream {
         let (near, region) = self.candidates(now);
         let fit = |(name, row): &(&Arc<str>, &Row)| {
-            (!self.failed.has(now, name)).then(|| Upstream::Peer {
+            (!self.failed_upstreams.has(now, name)).then(|| Upstream::Peer {
                 name: Arc::clone(name),
                 addr: row.peers,
             })
@@ -99,7 +99,7 @@
         if let Some(peer) = before.find_map(fit) {
             return peer;
         }
-        if !self.failed.has_store(now) {
+        if !self.failed_upstreams.has_store(now) {
             return Upstream::Store;
         }
         let after = near.iter().take(AFTER_NEAR);
@@ -120,9 +120,9 @@
     /// An upstream failed, or lies behind.
     pub fn upstream_failed(&mut self, now: Time, upstream: &Upstream) {
         match upstream {
-            Upstream::Store => self.failed.store = Some(now),
+            Upstream::Store => self.failed_upstreams.store = Some(now),
             Upstream::Peer { name, .. } => {
-                let peers = &mut self.failed.peers;
+                let peers = &mut self.failed_upstreams.peers;
                 peers.retain(|(known, at)| known != name && now.since(*at) < REST);
                 peers.push((Arc::clone(name), now));
             }
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -171,7 +171,7 @@
             ticket
         })
         .collect();
-    assert!(bench.direct.waiting() > 0, "the targets are full");
+    assert!(bench.direct.waiting_count() > 0, "the targets are full");
     let later = if taken {
         configure(&mut bench.direct, 3, route(), Vec::new());
         configure(
@@ -185,7 +185,7 @@
     } else {
         at(4_900)
     };
-    let waiting = bench.direct.waiting();
+    let waiting = bench.direct.waiting_count();
     let orders = bench.direct.step(later);
     let whys: Vec<Why> = orders
         .iter()
@@ -208,15 +208,17 @@
     let Some(Order::Go(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
-    assert!(bench.direct.may_go(at(20), &go));
+    assert!(bench.direct.may_send_request(at(20), &go));
     configure(
         &mut bench.direct,
         3,
         route(),
         vec![team("other", &[], None)],
     );
-    assert!(!bench.direct.may_go(at(20), &go));
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Withdrawn);
+    assert!(!bench.direct.may_send_request(at(20), &go));
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, Ending::Withdrawn);
     assert_eq!(next, Next::Again);
     let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
@@ -240,7 +242,9 @@
         route(),
         vec![team("other", &[], None)],
     );
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Broken);
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, Ending::Broken);
     assert_eq!(next, Next::Again);
     let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
@@ -273,7 +277,9 @@
     };
     assert_eq!(&*go.target, expected);
     // Sent again, it stays where it may be.
-    let next = bench.direct.ended(at(20), go.ticket, Ending::NotRun);
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, Ending::NotRun);
     assert_eq!(next, Next::Again);
     match bench.order(at(20)) {
         Some(Order::Go(go)) => {
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -193,7 +193,9 @@
     /// A request arrives, is sent and answered after `took`.
     pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Go {
         let go = self.send(now, Some(object));
-        let next = self.direct.ended(now + took, go.ticket, Ending::Answered);
+        let next = self
+            .direct
+            .finish_attempt(now + took, go.ticket, Ending::Answered);
         assert_eq!(next, Next::Settled);
         go
     }
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -117,7 +117,9 @@
     let (mut bench, first) = served(unsafe_route());
     let now = at(SELDOM + 2_000);
     let go = bench.send(now, Some(OBJECT));
-    bench.direct.ended(now + 100 * MS, go.ticket, ending);
+    bench
+        .direct
+        .finish_attempt(now + 100 * MS, go.ticket, ending);
     let seen = bench.direct.beat(now + 200 * MS, false).observations;
     assert_eq!(seen, [Observation::failed(mark(&first))]);
     assert_eq!(bench.direct.beat(now + 450 * MS, false).observations, []);
@@ -132,7 +134,7 @@
     let go = bench.send(now, Some(OBJECT));
     bench
         .direct
-        .ended(now + 100 * MS, go.ticket, Ending::NotRun);
+        .finish_attempt(now + 100 * MS, go.ticket, Ending::NotRun);
     assert_eq!(bench.direct.beat(now + 200 * MS, false).observations, []);
     let Some(Order::Go(_)) = bench.order(now + 200 * MS) else {
         panic!("what wasn't run is sent again");
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -41,7 +41,9 @@
         for order in bench.direct.step(at(now)) {
             if let Order::Go(go) = order {
                 sent += 1;
-                bench.direct.ended(at(now), go.ticket, Ending::Answered);
+                bench
+                    .direct
+                    .finish_attempt(at(now), go.ticket, Ending::Answered);
             }
         }
     }
@@ -95,7 +97,9 @@
     for order in bench.direct.step(at(now)) {
         if let Order::Go(go) = order {
             sent += 1;
-            bench.direct.ended(at(now), go.ticket, Ending::Answered);
+            bench
+                .direct
+                .finish_attempt(at(now), go.ticket, Ending::Answered);
         }
     }
     sent
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -42,7 +42,7 @@
     assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
     bench
         .direct
-        .ended(at(2_100), held[0].ticket, Ending::Answered);
+        .finish_attempt(at(2_100), held[0].ticket, Ending::Answered);
     let Some(Order::Go(go)) = bench.order(at(2_100)) else {
         panic!("a slot is free");
     };
@@ -103,7 +103,7 @@
         assert_eq!(&*go.target, "t2");
         bench
             .direct
-            .ended(at(1_001 + i), go.ticket, Ending::Answered);
+            .finish_attempt(at(1_001 + i), go.ticket, Ending::Answered);
     }
 }
 
@@ -118,7 +118,9 @@
     assert_eq!(bench.order(at(10)), None);
     let both = vec!["near-a".into(), "near-b".into()];
     bench.direct.evacuate(at(20), both);
-    bench.direct.ended(at(30), held[0].ticket, Ending::Answered);
+    bench
+        .direct
+        .finish_attempt(at(30), held[0].ticket, Ending::Answered);
     let order = bench.order(at(30));
     assert!(!matches!(order, Some(Order::Go(_))), "{order:?}");
 }
@@ -205,7 +207,9 @@
     });
     let urgent = bench.arrive(at(2), None);
     assert_eq!(bench.order(at(2)), None);
-    bench.direct.ended(at(50), held[0].ticket, Ending::Answered);
+    bench
+        .direct
+        .finish_attempt(at(50), held[0].ticket, Ending::Answered);
     let Some(Order::Go(go)) = bench.order(at(50)) else {
         panic!("a slot is free");
     };
@@ -236,7 +240,9 @@
     };
     bench.direct.roster.put(at(1_200), leaving);
     assert!(!bench.direct.may_send(&go.target));
-    let next = bench.direct.ended(at(2_400), go.ticket, Ending::Withdrawn);
+    let next = bench
+        .direct
+        .finish_attempt(at(2_400), go.ticket, Ending::Withdrawn);
     assert_eq!(next, Next::Again);
     let Some(Order::Go(again)) = bench.order(at(2_400)) else {
         panic!("there is another target");
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -379,7 +379,11 @@
                     let came = came.iter().find(|(ticket, _)| *ticket == go.ticket);
                     self.held.extend(came.map(|(_, came)| self.now - came));
                     let direct = &mut self.nodes[at].direct;
-                    direct.ended(now + Duration::from_millis(1), go.ticket, Ending::Answered);
+                    direct.finish_attempt(
+                        now + Duration::from_millis(1),
+                        go.ticket,
+                        Ending::Answered,
+                    );
                 }
                 Order::Reject { why, .. } => {
                     assert_eq!(why, Why::Quota);
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -14,7 +14,7 @@
     };
     let mut bench = Bench::new(route, &targets);
     let go = bench.send(at(0), Some(1));
-    let next = bench.direct.ended(at(10), go.ticket, ending);
+    let next = bench.direct.finish_attempt(at(10), go.ticket, ending);
     (bench, next)
 }
 
@@ -49,7 +49,7 @@
         panic!("another target is free");
     };
     assert_eq!(go.attempt, 2);
-    let last = bench.direct.ended(at(20), go.ticket, ending);
+    let last = bench.direct.finish_attempt(at(20), go.ticket, ending);
     assert_ne!(last, Next::Again, "its route allows two targets");
 }
 
@@ -62,7 +62,9 @@
     let Some(Order::Go(go)) = bench.order(at(10)) else {
         panic!("another target is free");
     };
-    let last = bench.direct.ended(at(20), go.ticket, Ending::NotRun);
+    let last = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, Ending::NotRun);
     assert_eq!(last, Next::Settled);
 }
 
@@ -73,10 +75,12 @@
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
     let ticket = bench.arrive(at(1), None);
     assert_eq!(bench.order(at(1)), None);
-    bench.direct.leave(at(20), ticket);
-    bench.direct.ended(at(50), held[0].ticket, Ending::Answered);
+    bench.direct.cancel(at(20), ticket);
+    bench
+        .direct
+        .finish_attempt(at(50), held[0].ticket, Ending::Answered);
     assert_eq!(bench.order(at(50)), None);
-    assert_eq!(bench.direct.count(), 3);
+    assert_eq!(bench.direct.request_count(), 3);
 }
 
 /// A look-up's target gives no answer, and then no other is left that could take
@@ -86,7 +90,9 @@
     let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
     let mut bench = Bench::new(route(), &targets);
     let go = bench.send(at(0), Some(1));
-    let next = bench.direct.ended(at(900), go.ticket, Ending::Garbled);
+    let next = bench
+        .direct
+        .finish_attempt(at(900), go.ticket, Ending::Garbled);
     assert_eq!(next, Next::Again);
     for id in ["t1", "t2"] {
         assert!(bench.direct.unlist(at(900), id));
@@ -105,14 +111,18 @@
     let mut bench = Bench::new(route(), &targets);
     let first = bench.send(at(0), Some(1));
     assert_eq!(
-        bench.direct.ended(at(50), first.ticket, Ending::Broken),
+        bench
+            .direct
+            .finish_attempt(at(50), first.ticket, Ending::Broken),
         Next::Again
     );
     let Some(Order::Go(second)) = bench.order(at(50)) else {
         panic!("another target is free");
     };
     assert_eq!(
-        bench.direct.ended(at(90), second.ticket, Ending::Broken),
+        bench
+            .direct
+            .finish_attempt(at(90), second.ticket, Ending::Broken),
         Next::Settled
     );
     let told = bench.direct.beat(at(100), false).struck;
@@ -143,7 +153,11 @@
     let mut bench = Bench::new(route(), &targets);
     let lost = bench.send(at(0), Some(1));
     let kept = bench.send(at(1), Some(1));
-    bench.direct.ended(at(50), lost.ticket, Ending::Broken);
-    bench.direct.ended(at(60), kept.ticket, Ending::Answered);
+    bench
+        .direct
+        .finish_attempt(at(50), lost.ticket, Ending::Broken);
+    bench
+        .direct
+        .finish_attempt(at(60), kept.ticket, Ending::Answered);
     assert!(bench.direct.beat(at(70), false).struck.is_empty());
 }
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -132,7 +132,7 @@
     let busy = bench.send(at(20), None);
     bench.direct.unlist(at(30), "t1");
     bench.direct.unlist(at(30), "t3");
-    bench.direct.ended(
+    bench.direct.finish_attempt(
         at(40),
         busy.ticket,
         steer::process::direct::Ending::Answered,
--- a/crates/steer/tests/direct/stop.rs
+++ b/crates/steer/tests/direct/stop.rs
@@ -40,7 +40,9 @@
     bench.serve(at(0), 1, 900 * MS);
     bench.direct.stop(at(2_500));
     let sent = bench.send(at(1_000), Some(1));
-    bench.direct.ended(at(1_900), sent.ticket, Ending::Answered);
+    bench
+        .direct
+        .finish_attempt(at(1_900), sent.ticket, Ending::Answered);
     bench.arrive(at(2_000), Some(1));
     let order = bench.order(at(2_000));
     assert!(matches!(order, Some(Order::Reject { .. })), "{order:?}");
@@ -52,6 +54,6 @@
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     bench.direct.stop(at(60_000));
     let ticket = bench.arrive_until(at(1_000), None, at(2_000));
-    let limit = bench.direct.limit(ticket);
+    let limit = bench.direct.time_limit(ticket);
     assert!(limit.is_some_and(|l| l <= at(2_000) && l > at(2_000) - Duration::from_millis(100)));
 }
