--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -20,7 +20,7 @@
 
 use std::sync::Arc;
 
-pub use message::{Action, AttemptOutcome, Event, Identity, Place, Report, TICK};
+pub use message::{Action, AttemptOutcome, Destination, Event, Identity, Report, TICK};
 
 use crate::clock::Time;
 use crate::process::safeguard::Safeguard;
@@ -63,12 +63,12 @@
     /// A dispatcher with nothing in flight and an empty view.
     #[must_use]
     pub fn new(identity: Identity, rng: fastrand::Rng) -> Self {
-        Self::tuned(identity, Tuning::default(), rng)
+        Self::with_tuning(identity, Tuning::default(), rng)
     }
 
     /// The same with limits and safeguards of choice.
     #[must_use]
-    pub fn tuned(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
+    pub fn with_tuning(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
         Self {
             identity,
             tuning,
@@ -99,17 +99,17 @@
                 attempt,
                 outcome,
             } => self.ended(now, id, attempt, outcome, out),
-            Event::Hold(held) => self.shares.hold(now, held),
-            Event::Borrowed {
+            Event::SlotHeld(held) => self.shares.hold(now, held),
+            Event::LoanGranted {
                 route,
                 amount,
-                asked,
-            } => self.shares.borrow(asked, &route, amount),
-            Event::Wanted { ask, route, amount } => {
+                asked_at,
+            } => self.shares.borrow(asked_at, &route, amount),
+            Event::LoanRequested { ask, route, amount } => {
                 let amount = self.shares.lend(now, &route, amount);
                 out.push(Action::Lend { ask, amount });
             }
-            Event::Gone(id) => self.gone(now, id, out),
+            Event::Disconnected(id) => self.disconnected(now, id, out),
             Event::View(view) => self.renew(now, view, out),
             Event::Report { target, report } => self.report(now, &target, report),
             Event::Probed { target, report } => self.probed(now, &target, report),
@@ -301,19 +301,19 @@
         entry.running += 1;
         entry.flight += u32::from(pick.is_local());
         job.tried
-            .push((pick.place.kind(), Arc::clone(pick.place.name())));
-        self.stats.sent(&pick.place, job.tried.len());
+            .push((pick.destination.kind(), Arc::clone(pick.destination.name())));
+        self.stats.sent(&pick.destination, job.tried.len());
         out.push(Action::Send {
             id: job.arrival.id,
             attempt,
-            place: pick.place.clone(),
+            destination: pick.destination.clone(),
             budget,
         });
         self.flight.add(Running {
             strikes: self.suspects.strikes(job.arrival.fingerprint),
             job,
             attempt,
-            place: pick.place,
+            destination: pick.destination,
             begun: now,
             alone: pick.alone,
         });
