--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -153,7 +153,7 @@
 
     /// Says whether this process holds its part of every cap.
     pub fn hold(&self, held: bool) {
-        self.handle(&mut self.lock(), traffic::Event::Hold(held));
+        self.handle(&mut self.lock(), traffic::Event::SlotHeld(held));
     }
 
     /// Lends a peer a part of a cap; zero is "nothing".
@@ -280,7 +280,10 @@
     fn wanted(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
         let mut inner = self.lock();
         let ask = inner.expect_loan(mailbox);
-        self.handle(&mut inner, traffic::Event::Wanted { ask, route, amount });
+        self.handle(
+            &mut inner,
+            traffic::Event::LoanRequested { ask, route, amount },
+        );
     }
 
     fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Word>) {
@@ -292,7 +295,7 @@
     fn gone(&self, id: arrival::RequestId) {
         let mut inner = self.lock();
         if inner.abandon(id) {
-            self.handle(&mut inner, traffic::Event::Gone(id));
+            self.handle(&mut inner, traffic::Event::Disconnected(id));
         }
     }
 
@@ -309,9 +312,9 @@
             traffic::Action::Send {
                 id,
                 attempt,
-                place,
+                destination,
                 budget,
-            } => self.send(inner, id, attempt, place, budget),
+            } => self.send(inner, id, attempt, destination, budget),
             traffic::Action::Cancel { attempt, .. } => self.cancel(inner, attempt),
             traffic::Action::Reply { id, answer } => inner.settle(id, Ok(answer)),
             traffic::Action::Refuse { id, refusal } => inner.settle(id, Err(refusal)),
@@ -352,7 +355,7 @@
                 peer,
                 route,
                 amount,
-                asked,
+                asked_at: asked,
             } => {
                 let kind = Kind::Borrow {
                     addr: peer,
@@ -396,7 +399,7 @@
         inner: &mut Inner,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: dispatch::Place,
+        destination: dispatch::Destination,
         budget: Duration,
     ) {
         let (Some(request), Some(engine)) = (inner.request(id), self.this.upgrade()) else {
@@ -409,20 +412,20 @@
                 id,
                 attempt,
                 name: Arc::clone(&name),
-                place: place.clone(),
+                place: destination.clone(),
                 request,
             },
             budget,
         };
         let task = self.means.executor.spawn(errand.run());
-        inner.fly(attempt, name, place, task);
+        inner.fly(attempt, name, destination, task);
     }
 
     fn cancel(&self, inner: &mut Inner, attempt: arrival::AttemptId) {
         let Some(flight) = inner.land(attempt) else {
             return;
         };
-        let dispatch::Place::Target { addr, .. } = flight.place else {
+        let dispatch::Destination::Target { addr, .. } = flight.place else {
             return;
         };
         let name = Arc::clone(&flight.name);
--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -12,7 +12,7 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
-use steer::process::direct::target::Word;
+use steer::process::direct::target::Feedback;
 use steer::process::direct::{Ending, Go};
 
 use super::Shared;
@@ -46,7 +46,7 @@
     /// The complete answer, whatever the outcome; `None` if none was received.
     pub answer: Option<Response>,
     /// Load and limit that the target reports, if it is the one that answered.
-    pub feedback: Option<Word>,
+    pub feedback: Option<Feedback>,
 }
 
 impl Completion {
@@ -107,7 +107,7 @@
     Completion {
         outcome,
         answer: Some(answer),
-        feedback: is_own.then_some(Word {
+        feedback: is_own.then_some(Feedback {
             load: info.load.map(|l| l.running.saturating_add(l.waiting)),
             limit: info.limit,
         }),
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -228,7 +228,7 @@
         route: Arc::clone(&route),
         pass,
     };
-    let routed = RoutedRequest {
+    let outgoing = RoutedRequest {
         shared,
         forwarded: ForwardedRequest {
             method: head.method,
@@ -244,7 +244,7 @@
         arrived,
         origin,
     };
-    routed.run(ask).await
+    outgoing.run(ask).await
 }
 
 /// Reason for a 401, as counted and logged.
@@ -294,7 +294,7 @@
             shared: Arc::clone(&self.shared),
             ticket,
         };
-        let limit = self.shared.read(|_, d| d.limit(ticket));
+        let limit = self.shared.read(|_, d| d.time_limit(ticket));
         let limit = limit.unwrap_or(self.arrived + self.route.timeout);
         let mut may_have_run = false;
         loop {
@@ -350,7 +350,10 @@
     ) -> (Next, Option<Response>) {
         let start = self.shared.now();
         let remaining = limit.since(start);
-        let (outcome, answer, feedback) = if self.shared.read(|now, d| d.may_go(now, assignment)) {
+        let (outcome, answer, feedback) = if self
+            .shared
+            .read(|now, d| d.may_send_request(now, assignment))
+        {
             let run = attempt::run(&self.shared, assignment, &self.forwarded, remaining);
             match self.run_until(limit, run).await {
                 Some(completion) => (completion.outcome, completion.answer, completion.feedback),
@@ -364,9 +367,9 @@
             Ending::Unreached | Ending::Withdrawn | Ending::NotRun | Ending::Elsewhere
         );
         let (follow_up, limit_changed) = self.shared.decide(|now, direct| {
-            let follow_up = direct.ended(now, assignment.ticket, outcome);
+            let follow_up = direct.finish_attempt(now, assignment.ticket, outcome);
             let limit_changed = feedback
-                .is_some_and(|feedback| direct.hear_target(now, &assignment.target, feedback));
+                .is_some_and(|feedback| direct.apply_feedback(now, &assignment.target, feedback));
             (follow_up, limit_changed)
         });
         let feedback = feedback.unwrap_or_default();
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -9,14 +9,14 @@
 use super::job::{Job, State};
 use super::mechanisms::Mechanism;
 use super::message::{Ending, Go, Next, Ticket};
-use super::target::Word;
-use super::{Direct, SPARE, members, short_hash};
+use super::target::Feedback;
+use super::{ANSWER_RESERVE, Direct, members, short_hash};
 use crate::clock::Time;
 use crate::request::poison::STRIKES;
 
 impl Direct {
     /// The caller has left, or the request's time is over.
-    pub fn leave(&mut self, now: Time, ticket: Ticket) {
+    pub fn cancel(&mut self, now: Time, ticket: Ticket) {
         let Ok(at) = self.find(ticket) else { return };
         let job = self.jobs.remove(at);
         match &job.state {
@@ -31,19 +31,19 @@
     #[must_use]
     pub fn may_send(&self, target: &str) -> bool {
         let target = self.roster.get(target);
-        target.is_some_and(|t| t.is_open() && !self.roster.is_evacuated(&t.entry.domain))
+        target.is_some_and(|t| t.is_available() && !self.roster.is_evacuated(&t.entry.domain))
     }
 
     /// The same for a request itself: its key may have been taken away.
     #[must_use]
-    pub fn may_go(&self, now: Time, go: &Go) -> bool {
+    pub fn may_send_request(&self, now: Time, go: &Go) -> bool {
         let job = self.find(go.ticket).map(|at| &self.jobs[at]);
         let kept = job.is_ok_and(|job| self.withheld(now, &job.ask).is_none());
         kept && self.may_send(&go.target)
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, ending: Ending) -> Next {
+    pub fn finish_attempt(&mut self, now: Time, ticket: Ticket, ending: Ending) -> Next {
         let Ok(at) = self.find(ticket) else {
             return Next::Settled;
         };
@@ -63,7 +63,7 @@
         let object = self.jobs[at].ask.object;
         let ratio = (!queued).then_some(took / expected.max(0.001));
         match ending {
-            Ending::Answered if self.work(&self.jobs[at]).sure => {
+            Ending::Answered if self.estimate(&self.jobs[at]).is_reliable => {
                 self.note_slow(&target, ratio);
             }
             Ending::Answered | Ending::NotRun | Ending::Withdrawn => {}
@@ -72,19 +72,19 @@
         if let Some(target) = self.roster.get_mut(&target) {
             match ending {
                 Ending::Answered => {
-                    target.answered(now, ratio);
+                    target.record_answer(now, ratio);
                     if let Some(object) = object
-                        && target.handled(now, short_hash(object), true)
+                        && target.record_object(now, short_hash(object), true)
                     {
                         let mark = members::mark(&target.entry.id);
-                        self.news.push((mark, short_hash(object)));
+                        self.object_updates.push((mark, short_hash(object)));
                     }
                 }
-                Ending::NotRun => target.health.refused(now),
+                Ending::NotRun => target.health.record_refusal(now),
                 Ending::Failed | Ending::Garbled | Ending::Late => {
-                    target.health.failed(now);
+                    target.health.record_failure(now);
                 }
-                Ending::Elsewhere | Ending::Unreached | Ending::Broken => target.unreached(now),
+                Ending::Elsewhere | Ending::Unreached | Ending::Broken => target.eject(now),
                 Ending::Withdrawn => {}
             }
         }
@@ -92,7 +92,7 @@
             self.note_punctual(now, at, &target, warm);
             if !queued {
                 let job = &self.jobs[at];
-                self.learnt
+                self.latency
                     .add(&job.service, &job.ask.route.name, warm, took);
             }
             self.jobs.remove(at);
@@ -120,14 +120,14 @@
 
     /// A target's answer says this of it. Says whether it names another limit than
     /// before.
-    pub fn hear_target(&mut self, now: Time, id: &str, word: Word) -> bool {
+    pub fn apply_feedback(&mut self, now: Time, id: &str, feedback: Feedback) -> bool {
         let Some(target) = self.roster.get_mut(id) else {
             return false;
         };
-        if let Some(load) = word.load {
-            target.tell(now, load);
+        if let Some(load) = feedback.load {
+            target.record_load(now, load);
         }
-        target.name_limit(now, word.limit)
+        target.update_limit(now, feedback.limit)
     }
 
     /// Whether a request whose attempt failed is tried elsewhere.
@@ -142,7 +142,7 @@
         let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
         let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
         let left = job.tried.len() < job.ask.route.attempts.max(1);
-        let time = now + SPARE < job.limit;
+        let time = now + ANSWER_RESERVE < job.limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
         let arrived = !matches!(ending, Ending::Unreached | Ending::Withdrawn);
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -12,7 +12,7 @@
 use core::time::Duration;
 
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, members, parts, unit};
+use super::{Direct, members, parts, unit_interval};
 use crate::clock::Time;
 
 /// What the operator allows beyond a limit.
@@ -153,7 +153,7 @@
     /// Whether this instance may send another request to a target by the limit that
     /// it names.
     pub(super) fn is_within_limit(&self, now: Time, target: &Target) -> bool {
-        let limit = target.named();
+        let limit = target.limit_state();
         let Some(rate) = limit.rate else { return true };
         let rule = &self.bounds.limit;
         let (total, _) = rule.allowance(rate);
@@ -171,7 +171,7 @@
         let own = members::mark(&self.home.name) ^ target.short_hash();
         let own = u64::from(own).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let window = self.bounds.limit.window;
-        QUIET + window.saturating_mul(count).mul_f64(unit(own))
+        QUIET + window.saturating_mul(count).mul_f64(unit_interval(own))
     }
 
     /// Span of requests to a target that has to be remembered.
@@ -185,11 +185,11 @@
     pub(super) fn named_limits(&mut self, now: Time) -> Vec<Named> {
         let targets = self.roster.all().iter();
         let all: Vec<Named> = targets
-            .filter_map(|t| t.named().told(now, t.short_hash()))
+            .filter_map(|t| t.limit_state().told(now, t.short_hash()))
             .collect();
         let room = TOLD_MOST.min(all.len());
-        let from = self.named % all.len().max(1);
-        self.named = from + room;
+        let from = self.limit_cursor % all.len().max(1);
+        self.limit_cursor = from + room;
         all.into_iter().cycle().skip(from).take(room).collect()
     }
 
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -15,7 +15,7 @@
 
 /// Where an attempt is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Destination {
     /// A target of this instance's failure domain.
     Target {
         /// Its name.
@@ -34,7 +34,7 @@
     },
 }
 
-impl Place {
+impl Destination {
     /// What it is.
     #[must_use]
     pub const fn kind(&self) -> Kind {
@@ -124,18 +124,18 @@
     },
     /// Control says whether this process holds its part of every cap. Due every
     /// two seconds; an old word doesn't count.
-    Hold(bool),
+    SlotHeld(bool),
     /// A peer lent a part of a cap, as [`Action::Borrow`] asked.
-    Borrowed {
+    LoanGranted {
         /// The cap.
         route: Route,
         /// How much of it.
         amount: u64,
         /// When it was asked for.
-        asked: Time,
+        asked_at: Time,
     },
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
-    Wanted {
+    LoanRequested {
         /// The driver's name for the question.
         ask: AskId,
         /// The cap.
@@ -144,7 +144,7 @@
         amount: u64,
     },
     /// The caller left without waiting for its answer.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// A new view is in force.
     View(Arc<View>),
     /// Time passed; due at least every [`TICK`].
@@ -164,7 +164,7 @@
         /// Name of this try.
         attempt: AttemptId,
         /// Where to.
-        place: Place,
+        destination: Destination,
         /// Time after which the driver gives the attempt up.
         budget: Duration,
     },
@@ -197,7 +197,7 @@
         /// Where it listens.
         addr: SocketAddr,
     },
-    /// Ask a peer for a part of a cap; report back by [`Event::Borrowed`] if it
+    /// Ask a peer for a part of a cap; report back by [`Event::LoanGranted`] if it
     /// lends any.
     Borrow {
         /// The peer's address.
@@ -207,7 +207,7 @@
         /// How much of it.
         amount: u64,
         /// To be given back with the answer.
-        asked: Time,
+        asked_at: Time,
     },
     /// Answer a peer that asked for a part of a cap; zero is "nothing".
     Lend {
