--- a/crates/auburnrouter/tests/direct.rs
+++ b/crates/auburnrouter/tests/direct.rs
@@ -1,5 +1,5 @@
-//! The whole path on the users' platform: entry instances as processes, with
-//! stand-ins of the store, the operator and the targets.
+//! End-to-end tests on the users' platform: entry instances as processes, with
+//! stand-ins for the store, the operator and the targets.
 
 #[path = "direct/harness.rs"]
 mod harness;
--- a/crates/auburnrouter/tests/direct/answers.rs
+++ b/crates/auburnrouter/tests/direct/answers.rs
@@ -1,4 +1,4 @@
-//! What becomes of targets' answers, whole, broken or doubled.
+//! Handling of targets' answers that are complete, lost, truncated or sent twice.
 
 use std::time::Duration;
 
@@ -7,40 +7,43 @@
 
 use super::harness::{Harness, wait_until};
 
-/// The target runs a payment and its answer is lost. The caller must not hear
-/// "not run", and no other target may run it; a look-up is asked again.
+/// A target runs a request and its answer is lost. A payment must not be reported as not
+/// run and must not run at another target; a look-up is retried.
 #[rstest]
 #[case::payment("PUT", "/pay/x", 502, 1)]
 #[case::look_up("GET", "/view/x", 200, 2)]
 fn lose_answer(#[case] method: &str, #[case] path: &str, #[case] status: u16, #[case] runs: usize) {
     let harness = Harness::start(2);
-    // Whichever target the request goes to first loses its answer.
+    // The answer is lost at whichever target gets the request first.
     for target in &harness.targets {
         target.set(Manner::Lose, Duration::ZERO);
     }
-    let other = harness.targets.clone();
-    let healer = std::thread::spawn(move || {
-        wait_until("it ran once", || other.iter().any(|t| !t.runs().is_empty()));
-        for target in other {
+    let targets = harness.targets.clone();
+    let recovery = std::thread::spawn(move || {
+        wait_until("it ran once", || {
+            targets.iter().any(|t| !t.runs().is_empty())
+        });
+        for target in targets {
             if target.runs().is_empty() {
                 target.set(Manner::Well, Duration::ZERO);
             }
         }
     });
     let answer = harness.entry.send(method, path, "r1", "");
-    healer.join().expect("it ran");
+    recovery.join().expect("a target ran it");
     if path == "/pay/x" {
         assert_eq!(answer.status, status, "{answer:?}");
         assert_eq!(harness.runs().len(), runs);
         assert_eq!(answer.header("response-seal"), None);
     } else {
-        // The second target may have been asked before it was well.
+        // The retry may reach the second target before it stops losing answers.
         assert!([200, 502].contains(&answer.status), "{answer:?}");
         assert_eq!(harness.runs().len(), runs);
     }
 }
 
-/// What a target's answer may be passed on as.
+/// Answers of a target, and the status that the caller gets for each. A 503 without the
+/// not-run header becomes 502, as the request may have run.
 #[rstest]
 #[case::failure(Manner::Fail, 500)]
 #[case::false_promise(Manner::Unavailable, 502)]
@@ -64,8 +67,8 @@
     }
 }
 
-/// A target sends a second answer after each. On a connection that is used
-/// again, the next caller would get it.
+/// A target sends a second answer after each one. If its connection were reused, the
+/// next request would get the stray answer.
 #[test]
 fn drop_connection_with_stray_answer() {
     let harness = Harness::start(1);
@@ -78,8 +81,8 @@
     }
 }
 
-/// A target has gone and another has its address. The request names the one it
-/// is meant for, so the other turns it away, and a third one runs it.
+/// A target is gone and another one has taken over its address. Requests name their
+/// target, so the other one refuses them, and a third target runs them.
 #[test]
 fn pass_by_reused_address() {
     let harness = Harness::start(2);
--- a/crates/auburnrouter/tests/direct/harness.rs
+++ b/crates/auburnrouter/tests/direct/harness.rs
@@ -1,4 +1,5 @@
-//! Entry instances as processes, with stand-ins of the platform around them.
+//! Harness that runs entry instances as processes against stand-ins of the platform's
+//! store and targets.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -12,15 +13,16 @@
 use platform_standin::store::Route;
 use platform_standin::{Store, Target};
 
-/// Longest that anything is waited for.
+/// Longest time that a test waits for a condition or an answer.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const MS: Duration = Duration::from_millis(1);
 
-/// The host that callers name.
+/// Host of the callers' requests.
 pub const HOST: &str = "a.example";
 
-/// Routes of the usual configuration.
+/// Default routes of the tests: look-ups, which are idempotent, and payments, which
+/// are not.
 pub const ROUTES: [Route<'static>; 2] = [
     Route {
         prefix: "/view/",
@@ -34,7 +36,7 @@
     },
 ];
 
-/// An entry instance. Dropped, it is killed.
+/// Entry instance in a child process, which is killed on drop.
 pub struct Entry {
     child: Child,
     pub callers: SocketAddr,
@@ -48,7 +50,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It may have ended as the test wanted it to.
+        // Fails if the process has ended already, as some tests expect.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.file);
@@ -56,25 +58,25 @@
 }
 
 impl Entry {
-    /// Starts an instance and reads its lines.
+    /// Starts an instance with default settings and collects its log lines.
     pub fn start(name: &str, domain: &str, store: SocketAddr, seeds: &[SocketAddr]) -> Self {
         Self::start_with(&platform_standin::settings(name, domain, store, seeds))
     }
 
-    /// The same with settings of the test's own.
+    /// Starts an instance with the given settings and collects its log lines.
     pub fn start_with(settings: &str) -> Self {
         let (entry, out) = Self::run(settings);
         let lines = Arc::clone(&entry.lines);
         std::thread::spawn(move || {
             for line in out.lines().map_while(Result::ok) {
-                lines.lock().expect("no one panics with it").push(line);
+                lines.lock().expect("the lock is not poisoned").push(line);
             }
         });
         entry
     }
 
-    /// Starts an instance whose lines nobody reads, but for the first, which
-    /// says where it listens.
+    /// Starts an instance and returns its output unread, but for the first line, which
+    /// names the addresses it listens on.
     pub fn start_unread(
         name: &str,
         domain: &str,
@@ -89,16 +91,17 @@
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let file = format!("auburnrouter-direct-{}-{number}.jsonc", std::process::id());
         let file = std::env::temp_dir().join(file);
-        fs::write(&file, settings).expect("the temporary place is writable");
+        fs::write(&file, settings).expect("the temporary directory is writable");
         let mut child = Command::new(env!("CARGO_BIN_EXE_auburnrouter"))
             .args(["direct", "--settings-var", "TEST_SETTINGS"])
             .env("TEST_SETTINGS", &file)
             .stdout(Stdio::piped())
             .spawn()
             .expect("the program is built");
-        let mut out = BufReader::new(child.stdout.take().expect("it is piped"));
+        let mut out = BufReader::new(child.stdout.take().expect("stdout is piped"));
         let mut first = String::new();
-        out.read_line(&mut first).expect("it says where it listens");
+        out.read_line(&mut first)
+            .expect("the first line names the addresses");
         let first: serde_json::Value = serde_json::from_str(&first).expect("a line is JSON");
         let addr = |name: &str| {
             let text = first[name].as_str().unwrap_or_default();
@@ -119,15 +122,18 @@
 
     pub fn signal(&self, signal: rustix::process::Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("it runs");
+        rustix::process::kill_process(pid, signal).expect("the process runs");
     }
 
-    /// Waits until it has ended; its exit code.
+    /// Waits until the process ends and returns its exit code.
     pub fn wait_exit(&mut self) -> Option<i32> {
         wait_until("the process ends", || {
-            self.child.try_wait().expect("it was started").is_some()
+            self.child
+                .try_wait()
+                .expect("the child was started")
+                .is_some()
         });
-        self.child.wait().expect("it was started").code()
+        self.child.wait().expect("the child was started").code()
     }
 
     pub fn await_ready(&self) {
@@ -137,17 +143,18 @@
         });
     }
 
-    /// Sends a request of a caller.
+    /// Sends a caller's request and returns the answer.
     pub fn send(&self, method: &str, path: &str, id: &str, body: &str) -> Answer {
-        self.try_send(method, path, id, body).expect("it answers")
+        self.try_send(method, path, id, body)
+            .expect("the instance answers")
     }
 
-    /// The same; `None` if the connection ends without an answer.
+    /// Sends a caller's request; `None` if the connection ends without an answer.
     pub fn try_send(&self, method: &str, path: &str, id: &str, body: &str) -> Option<Answer> {
         send_raw(self.callers, &request(method, path, id, body))
     }
 
-    /// Its state.
+    /// State as the operators' dump gives it; empty if there is no answer.
     pub fn dump(&self) -> String {
         let found = send_raw(self.operators, "GET /dump HTTP/1.1\r\nHost: x\r\n\r\n");
         found.map(|a| a.body).unwrap_or_default()
@@ -161,7 +168,7 @@
     )
 }
 
-/// An answer as a caller sees it.
+/// Answer as a caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -176,7 +183,7 @@
     }
 }
 
-/// Sends text on a connection of its own and reads one answer.
+/// Sends raw text on a new connection and reads one answer.
 pub fn send_raw(addr: SocketAddr, text: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(addr).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
@@ -184,7 +191,7 @@
     read_answer(&mut stream)
 }
 
-/// Reads one answer.
+/// Reads one answer; `None` if the connection ends or times out before it is complete.
 pub fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -213,28 +220,28 @@
     })
 }
 
-/// Looks again and again, for a bounded time.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "in vain: {what}");
+        assert!(Instant::now() < until, "in vain: {condition}");
         std::thread::yield_now();
     }
 }
 
-/// The first line of an instance's log that has `part`; lines come a moment after
-/// what they tell.
+/// Waits for the first log line of an instance that contains `part`. Lines are written a
+/// moment after the event they report.
 pub fn wait_for_line(entry: &Entry, part: &str) -> String {
-    let find = || {
-        let lines = entry.lines.lock().expect("no one panics with it");
+    let found = || {
+        let lines = entry.lines.lock().expect("the lock is not poisoned");
         lines.iter().find(|l| l.contains(part)).cloned()
     };
-    wait_until(part, || find().is_some());
-    find().unwrap_or_default()
+    wait_until(part, || found().is_some());
+    found().unwrap_or_default()
 }
 
-/// A store with a configuration, targets of service `sheets`, and an instance
-/// that is ready and knows all of them.
+/// Configured store, targets of service `sheets`, and an instance that is ready and
+/// knows all targets.
 pub struct Harness {
     pub store: Store,
     pub targets: Vec<Target>,
@@ -259,14 +266,14 @@
             targets,
             entry,
         };
-        let last = format!("\"t{}\"", harness.targets.len() - 1);
+        let last_id = format!("\"t{}\"", harness.targets.len() - 1);
         wait_until("all targets are known", || {
-            harness.entry.dump().contains(&last)
+            harness.entry.dump().contains(&last_id)
         });
         harness
     }
 
-    /// Requests that ran, over all targets.
+    /// Requests that ran at any target.
     pub fn runs(&self) -> Vec<platform_standin::target::Run> {
         self.targets.iter().flat_map(Target::runs).collect()
     }
--- a/crates/auburnrouter/tests/direct/pipeline.rs
+++ b/crates/auburnrouter/tests/direct/pipeline.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first is answered.
+//! HTTP pipelining: callers that send further requests before the first is answered.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,67 +8,72 @@
 
 use super::harness::{Answer, HOST, Harness, MS, WAIT_TIMEOUT, read_answer, request, wait_until};
 
-/// A caller's connection.
+/// Connection of a caller to the instance.
 struct Caller(TcpStream);
 
 impl Caller {
     fn connect(harness: &Harness) -> Self {
-        let stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+        let stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("the time isn't zero");
+            .expect("the timeout is not zero");
         Self(stream)
     }
 
     fn send(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).expect("it is open");
+        self.0
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
     }
 
     fn read(&mut self) -> Answer {
-        read_answer(&mut self.0).expect("it is answered")
+        read_answer(&mut self.0).expect("the request is answered")
     }
 
     /// Whether an answer has begun to arrive.
     fn is_answered(&self) -> bool {
         let stream = &self.0;
-        stream.set_read_timeout(Some(MS)).expect("it isn't zero");
+        stream
+            .set_read_timeout(Some(MS))
+            .expect("the timeout is not zero");
         let found = stream.peek(&mut [0]);
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("it isn't zero");
+            .expect("the timeout is not zero");
         found.is_ok()
     }
 
-    /// Whether nothing more comes.
+    /// Whether the instance has closed the connection.
     fn has_ended(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
 }
 
-/// A look-up that takes `work` milliseconds.
+/// Look-up, which is idempotent, that runs for `work` milliseconds.
 fn look_up(id: &str, work: u64) -> String {
     request("GET", &format!("/view/{id}?work_ms={work}"), id, "")
 }
 
+/// Payment, which is not idempotent, that runs for `work` milliseconds.
 fn pay(id: &str, work: u64) -> String {
     request("PUT", &format!("/pay/{id}?work_ms={work}"), id, "body")
 }
 
+/// Whether a target has started to run the request of this id.
 fn ran(harness: &Harness, id: &str) -> bool {
     harness.runs().iter().any(|r| r.id == id)
 }
 
-/// A caller sends four look-ups at once; the first takes longest. They run side
-/// by side: one after the other they would take the sum of their times. Each
-/// answer is its own request's, in the order of the requests.
+/// Four pipelined look-ups, of which the first takes longest, run concurrently, and are
+/// answered in order. One after the other they would take the sum of their times.
 #[test]
 fn answer_pipeline_in_order() {
     let harness = Harness::start(4);
     let mut caller = Caller::connect(&harness);
     let sent = Instant::now();
-    let works = [500, 400, 10, 300];
+    let durations = [500, 400, 10, 300];
     let text: String = (0..4)
-        .map(|i| look_up(&format!("r{i}"), works[i]))
+        .map(|i| look_up(&format!("r{i}"), durations[i]))
         .collect();
     caller.send(&text);
     for i in 0..4 {
@@ -82,10 +87,9 @@
     assert_eq!(harness.runs().len(), 4);
 }
 
-/// A payment stands behind a look-up, and a look-up behind the payment. Each
-/// starts when what is ahead of it is answered: were the connection closed by
-/// the answer ahead, the caller would take the payment for unread and send it
-/// again.
+/// A payment is pipelined between two look-ups. Each request starts only when all before
+/// it are answered: if an earlier answer closed the connection, the caller would take
+/// the payment as unread and send it again.
 #[test]
 fn hold_payment_behind_look_up() {
     let harness = Harness::start(4);
@@ -102,8 +106,8 @@
     assert_eq!(harness.runs().len(), 3);
 }
 
-/// Something malformed stands behind two look-ups, and a payment behind it. The
-/// look-ups are answered, then the caller is told; nothing behind is read.
+/// Malformed input follows two look-ups, and a payment follows it. The look-ups are
+/// answered, then the error; the payment is never read.
 #[test]
 fn refuse_malformed_in_its_turn() {
     let harness = Harness::start(4);
@@ -119,14 +123,14 @@
     assert!(!ran(&harness, "r2"));
 }
 
-/// The second of three look-ups is rejected, since no route is there for it;
-/// the others are served, each with its own answer.
+/// The second of three look-ups has no route and is rejected; the others are served,
+/// each with its own answer.
 #[test]
 fn reject_one_in_the_middle() {
     let harness = Harness::start(4);
     let mut caller = Caller::connect(&harness);
-    let lost = request("GET", "/nowhere/", "r1", "");
-    caller.send(&(look_up("r0", 200) + &lost + &look_up("r2", 100)));
+    let unrouted = request("GET", "/nowhere/", "r1", "");
+    caller.send(&(look_up("r0", 200) + &unrouted + &look_up("r2", 100)));
     assert_eq!(caller.read().body, "body of r0");
     let refused = caller.read();
     assert_eq!(refused.status, 404);
@@ -134,22 +138,22 @@
     assert_eq!(caller.read().body, "body of r2");
 }
 
-/// The caller asks that the connection close behind its second request. What it
-/// sends after that never runs.
+/// The caller asks to close the connection after its second request. A request sent
+/// after that never runs.
 #[test]
 fn close_where_caller_asks() {
     let harness = Harness::start(4);
     let mut caller = Caller::connect(&harness);
-    let last = look_up("r1", 0).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    caller.send(&(look_up("r0", 200) + &last + &pay("r2", 0)));
+    let closing = look_up("r1", 0).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+    caller.send(&(look_up("r0", 200) + &closing + &pay("r2", 0)));
     assert_eq!(caller.read().header("connection"), None);
     assert_eq!(caller.read().header("connection"), Some("close"));
     assert!(caller.has_ended());
     assert!(!ran(&harness, "r2"));
 }
 
-/// The caller leaves while three of its look-ups run: all targets are freed at
-/// once, and the payment behind them never starts.
+/// The caller disconnects while three of its look-ups run. All are cancelled at their
+/// targets at once, and the payment behind them never starts.
 #[test]
 fn cancel_pipeline_with_caller() {
     let harness = Harness::start(4);
@@ -158,18 +162,22 @@
     let text: String = ids.iter().map(|id| look_up(id, 10_000)).collect();
     caller.send(&(text + &pay("r3", 0)));
     wait_until("all run", || ids.iter().all(|id| ran(&harness, id)));
-    let left = Instant::now();
+    let disconnected = Instant::now();
     drop(caller);
     wait_until("all targets are left alone", || {
         harness.runs().iter().all(|r| r.left_alone)
     });
-    assert!(left.elapsed() < 500 * MS, "{:?}", left.elapsed());
+    assert!(
+        disconnected.elapsed() < 500 * MS,
+        "{:?}",
+        disconnected.elapsed()
+    );
     assert!(!ran(&harness, "r3"));
 }
 
-/// SIGTERM comes while two look-ups run and a payment waits behind them. Both
-/// are answered, the second says that the connection closes, and the payment
-/// never runs: its caller sends it elsewhere.
+/// SIGTERM arrives while two look-ups run and a payment waits behind them. Both are
+/// answered, the second answer closes the connection, and the payment never runs: its
+/// caller can send it to another instance.
 #[test]
 fn stop_behind_what_has_started() {
     let mut harness = Harness::start(4);
@@ -193,9 +201,9 @@
     assert!(!ran(&harness, "r2"));
 }
 
-/// A caller sends hundreds of look-ups and reads no answer. A bounded number of
-/// them are here at a time, reading stops, and once the caller reads, each is
-/// answered in its turn.
+/// A caller sends hundreds of look-ups and reads no answer. A bounded number of them
+/// start while the first is unanswered, and once the caller reads, all are answered in
+/// order.
 #[test]
 fn bound_what_is_sent_ahead() {
     const SENT: usize = 400;
@@ -206,27 +214,27 @@
     caller.send(&first);
     wait_until("the first runs", || ran(&harness, "first"));
     let mut writer = caller.0.try_clone().expect("a descriptor is free");
-    let writing = std::thread::spawn(move || writer.write_all(rest.as_bytes()));
-    // Until the first is answered, no more than the bound start beside it.
-    let mut most = 0;
+    let writer_thread = std::thread::spawn(move || writer.write_all(rest.as_bytes()));
+    // Until the first is answered, no more than the bound are started, counting it.
+    let mut max_started = 0;
     loop {
         let started = harness.runs().len();
         if caller.is_answered() {
             break;
         }
-        most = started;
+        max_started = started;
     }
-    assert_eq!(most, 16);
+    assert_eq!(max_started, 16);
     assert_eq!(caller.read().body, "body of first");
     for i in 0..SENT {
         assert_eq!(caller.read().body, format!("body of r{i}"));
     }
-    let written = writing.join().expect("it doesn't panic");
+    let written = writer_thread.join().expect("the thread does not panic");
     written.expect("the connection is open");
 }
 
-/// Half a payment stands behind a look-up, and its rest never comes. Its caller
-/// is told so in its turn, within the time for a request to arrive.
+/// Half of a payment follows a look-up, and the rest never arrives. After the answer to
+/// the look-up, the caller gets a 408 once the request timeout has passed.
 #[test]
 fn refuse_half_sent_behind_another() {
     let harness = Harness::start(4);
@@ -241,7 +249,7 @@
     assert!(caller.has_ended());
 }
 
-/// A caller waits to be told before it sends its body.
+/// A caller that expects `100 Continue` gets it before it sends its body.
 #[test]
 fn tell_caller_to_go_on() {
     let harness = Harness::start(1);
--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -1,4 +1,4 @@
-//! What a caller gets for its request, and what targets see of it.
+//! Single requests: the answer that a caller gets, and what the target receives.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -46,7 +46,7 @@
 #[case::nonsense("NONSENSE\r\n\r\n", 400)]
 fn refuse_at_once(#[case] text: &str, #[case] status: u16) {
     let harness = Harness::start(1);
-    let answer = send_raw(harness.entry.callers, text).expect("it answers");
+    let answer = send_raw(harness.entry.callers, text).expect("the instance answers");
     assert_eq!(answer.status, status, "{answer:?}");
     assert!(harness.runs().is_empty());
 }
@@ -61,8 +61,8 @@
     assert!(harness.runs().is_empty());
 }
 
-/// Callers send bodies of a length that would take all memory together. Those
-/// beyond a quarter of it are told to come back; others are served.
+/// Callers announce bodies that together would take all memory. Bodies beyond a quarter
+/// of the memory limit get a 503; requests without a body are still served.
 #[test]
 fn bound_memory_of_bodies() {
     let harness = Harness::start(1);
@@ -70,33 +70,35 @@
     wait_until("the new limits are in force", || {
         harness.entry.dump().contains("\"version\":9")
     });
-    let begin = |id: &str| {
-        let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+    let send_head = |id: &str| {
+        let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
         let length = 40 << 20;
         let head = format!(
             "PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nContent-Length: {length}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).expect("it is open");
+        stream
+            .write_all(head.as_bytes())
+            .expect("the connection is open");
         stream
     };
-    let _held = begin("r1");
-    wait_until("a second one has no room", || {
-        let mut stream = begin("r2");
+    let _held = send_head("r1");
+    wait_until("there is no room for a second body", || {
+        let mut stream = send_head("r2");
         stream
             .set_read_timeout(Some(100 * MS))
-            .expect("the time isn't zero");
+            .expect("the timeout is not zero");
         read_answer(&mut stream).is_some_and(|a| a.status == 503)
     });
     assert_eq!(harness.entry.send("GET", "/view/x", "r3", "").status, 200);
 }
 
-/// An instance starts before there is a configuration. It says "come back" and
-/// not "there is no such route": a caller asks nowhere again after a 404.
+/// An instance that starts before there is a configuration answers 503 and not 404: after
+/// a 404 the caller would not try again.
 #[test]
 fn ask_back_without_configuration() {
     let store = Store::start().expect("a port is free");
     let entry = Entry::start("near-1", "near-a", store.addr(), &[]);
-    wait_until("it listens", || {
+    wait_until("the instance listens", || {
         entry.try_send("GET", "/view/x", "r", "").is_some()
     });
     let answer = entry.send("GET", "/view/x", "r1", "");
@@ -104,47 +106,54 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// The store is away, and a caller asks for a route that may have been added
-/// meanwhile. "Come back" rather than "there is none".
+/// While the store does not answer, an unknown route gets a 503 and not a 404: it may have
+/// been added in the meantime.
 #[test]
 fn doubt_missing_route_without_store() {
     let harness = Harness::start(1);
     assert_eq!(harness.entry.send("GET", "/added/x", "r1", "").status, 404);
     harness.store.set(Mode::Busy);
-    wait_until("it is out of touch", || {
+    wait_until("the store counts as lost", || {
         harness.entry.send("GET", "/added/x", "r2", "").status == 503
     });
 }
 
-/// The caller closes its connection while its look-up runs: the target is
-/// freed at once.
+/// The caller closes its connection while its look-up runs: the request is cancelled at
+/// the target at once.
 #[test]
 fn cancel_with_caller() {
     let harness = Harness::start(1);
     harness.targets[0].set(Manner::Well, Duration::from_secs(10));
-    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
     let text = request("GET", "/view/x", "r1", "");
-    stream.write_all(text.as_bytes()).expect("it is open");
-    wait_until("it runs", || !harness.runs().is_empty());
-    let left = Instant::now();
+    stream
+        .write_all(text.as_bytes())
+        .expect("the connection is open");
+    wait_until("the request runs", || !harness.runs().is_empty());
+    let disconnected = Instant::now();
     drop(stream);
     wait_until("the target is left alone", || harness.runs()[0].left_alone);
-    assert!(left.elapsed() < 500 * MS, "{:?}", left.elapsed());
+    assert!(
+        disconnected.elapsed() < 500 * MS,
+        "{:?}",
+        disconnected.elapsed()
+    );
 }
 
-/// The process stands still for a moment, as under a load that is beyond it. Its
-/// caller sends a look-up and leaves meanwhile. Once the process goes on, the
-/// look-up must not run: its bytes and the caller's end are both there to read,
-/// and whoever starts what it has read before it reads on works for nobody.
+/// While the process is stopped, as it may be under overload, a caller sends a look-up and
+/// disconnects. When the process continues, the look-up must not run: its bytes and the
+/// end of stream are both readable by then, and have to be read before a request starts.
 #[test]
 fn forget_who_left_unread() {
     let harness = Harness::start(1);
     for round in 0..5 {
         harness.entry.signal(Signal::STOP);
-        let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+        let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
         let left = format!("left{round}");
         let text = request("GET", "/view/x", &left, "");
-        stream.write_all(text.as_bytes()).expect("it is open");
+        stream
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
         drop(stream);
         harness.entry.signal(Signal::CONT);
         let answer = harness
@@ -156,9 +165,9 @@
     }
 }
 
-/// Somebody opens connections and sends nothing. Beyond what the process has
-/// descriptors for, the next caller is told to come back, and those that are
-/// connected are still served: running out would stop all of them.
+/// A caller opens connections and sends nothing. Connections beyond what the process's
+/// file descriptors allow get a 503, and those open before are still served: running out
+/// of descriptors would stop all of them.
 #[test]
 fn turn_away_beyond_descriptors() {
     let store = platform_standin::Store::start().expect("a port is free");
@@ -166,22 +175,26 @@
     let target = platform_standin::Target::start("t0", "sheets", "near-a").expect("a port is free");
     target.register(&store, "ready", 1);
     let settings = platform_standin::settings("near-1", "near-a", store.addr(), &[]);
-    let few = settings.replace("\"descriptors\":1024", "\"descriptors\":80");
-    let entry = Entry::start_with(&few);
+    let limited = settings.replace("\"descriptors\":1024", "\"descriptors\":80");
+    let entry = Entry::start_with(&limited);
     wait_until("a target is known", || entry.dump().contains("\"t0\""));
-    let mut first = TcpStream::connect(entry.callers).expect("it listens");
-    let mut ask_first = |id: &str| {
+    let mut first = TcpStream::connect(entry.callers).expect("the instance listens");
+    let mut send_first = |id: &str| {
         let text = request("GET", "/view/x", id, "");
-        first.write_all(text.as_bytes()).expect("it is open");
-        read_answer(&mut first).expect("it is answered").status
+        first
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
+        read_answer(&mut first)
+            .expect("the request is answered")
+            .status
     };
-    assert_eq!(ask_first("r1"), 200);
-    let open = || TcpStream::connect(entry.callers).expect("it listens");
+    assert_eq!(send_first("r1"), 200);
+    let open = || TcpStream::connect(entry.callers).expect("the instance listens");
     let held: Vec<TcpStream> = (0..20).map(|_| open()).collect();
-    let told = read_answer(&mut open()).expect("it is told at once");
-    assert_eq!(told.status, 503);
-    assert_eq!(told.header("retry-after"), Some("1"));
-    assert_eq!(ask_first("r2"), 200);
+    let rejected = read_answer(&mut open()).expect("it is told at once");
+    assert_eq!(rejected.status, 503);
+    assert_eq!(rejected.header("retry-after"), Some("1"));
+    assert_eq!(send_first("r2"), 200);
     drop(held);
     wait_until("there is room again", || {
         entry
--- a/crates/auburnrouter/tests/direct/stop.rs
+++ b/crates/auburnrouter/tests/direct/stop.rs
@@ -1,4 +1,5 @@
-//! Planned stops: what was taken is answered, and nothing is taken too late.
+//! Graceful shutdown: accepted requests are answered, and none is accepted too late to
+//! be.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,18 +9,20 @@
 
 use super::harness::{Harness, MS, read_answer, request, send_raw, wait_until};
 
-/// SIGTERM comes while a payment runs. Its caller gets the answer, whole, and is
-/// told that the connection closes; the process ends well before it is killed.
+/// SIGTERM arrives while a payment runs. Its caller gets the complete answer, which closes
+/// the connection, and the process ends by itself with its registration removed.
 #[test]
 fn stop_without_a_cut() {
     let mut harness = Harness::start(1);
     harness.targets[0].set(Manner::Well, 700 * MS);
-    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
     let text = request("PUT", "/pay/x", "r1", "");
-    stream.write_all(text.as_bytes()).expect("it is open");
-    wait_until("it runs", || !harness.runs().is_empty());
+    stream
+        .write_all(text.as_bytes())
+        .expect("the connection is open");
+    wait_until("the request runs", || !harness.runs().is_empty());
     harness.entry.signal(Signal::TERM);
-    let answer = read_answer(&mut stream).expect("it is answered");
+    let answer = read_answer(&mut stream).expect("the request is answered");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("connection"), Some("close"));
     let ready = send_raw(
@@ -27,14 +30,14 @@
         "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n",
     );
     assert!(ready.is_none_or(|a| a.status == 503));
-    wait_until("its row is gone", || {
+    wait_until("its registration is gone", || {
         harness.store.keys("auburnrouter/").is_empty()
     });
     assert_eq!(harness.entry.wait_exit(), Some(0));
 }
 
-/// A look-up is at a target that is slow today, and would soon be asked of
-/// another. SIGTERM comes: it ends where it is, and its caller gets the answer.
+/// A look-up runs at a target that has become slow and would soon be retried at another.
+/// After SIGTERM it stays where it is, and its caller gets the answer.
 #[test]
 fn stop_without_breaking_off_a_slow_target() {
     let mut harness = Harness::start(2);
@@ -45,20 +48,22 @@
         target.set(Manner::Well, 1_500 * MS);
     }
     let before = harness.runs().len();
-    let mut stream = TcpStream::connect(harness.entry.callers).expect("it listens");
+    let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
     let text = request("GET", "/view/x", "r1", "");
-    stream.write_all(text.as_bytes()).expect("it is open");
-    wait_until("it runs", || harness.runs().len() > before);
+    stream
+        .write_all(text.as_bytes())
+        .expect("the connection is open");
+    wait_until("the request runs", || harness.runs().len() > before);
     harness.entry.signal(Signal::TERM);
-    let answer = read_answer(&mut stream).expect("it is answered");
+    let answer = read_answer(&mut stream).expect("the request is answered");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(harness.runs().len(), before + 1);
     assert_eq!(harness.entry.wait_exit(), Some(0));
 }
 
-/// Callers that still know the address keep coming after SIGTERM. One that is
-/// taken late in the grace time would be cut at its end: from some moment on
-/// none is taken, and each that was taken gets its whole answer.
+/// Callers keep connecting after SIGTERM. A request accepted late in the grace period
+/// would be cut off at its end, so from some moment on none is accepted, and each
+/// accepted one gets a complete answer.
 #[test]
 fn stop_taking_requests_in_time_to_answer() {
     let mut harness = Harness::start(4);
@@ -66,31 +71,31 @@
         target.set(Manner::Well, 1_200 * MS);
     }
     harness.entry.signal(Signal::TERM);
-    let mut taken = Vec::new();
+    let mut callers = Vec::new();
     while let Ok(mut stream) = TcpStream::connect(harness.entry.callers) {
-        let id = format!("r{}", taken.len());
+        let id = format!("r{}", callers.len());
         let text = request("GET", &format!("/view/{id}"), &id, "");
-        let asked = std::thread::spawn(move || {
-            // A connection that ends before it was read was not taken.
+        let caller = std::thread::spawn(move || {
+            // A connection that ends before its request was read does not count.
             if stream.write_all(text.as_bytes()).is_err() {
                 return None;
             }
             read_answer(&mut stream).map(|answer| (id, answer))
         });
-        taken.push(asked);
-        // Callers come one after the other, as many as the targets can serve.
+        callers.push(caller);
+        // Callers arrive one after the other, no faster than the targets can serve.
         std::thread::sleep(200 * MS);
     }
-    let answers: Vec<_> = taken
+    let answers: Vec<_> = callers
         .into_iter()
-        .filter_map(|asked| asked.join().expect("it doesn't panic"))
+        .filter_map(|caller| caller.join().expect("the thread does not panic"))
         .collect();
     assert!(answers.len() >= 5, "only {} were taken", answers.len());
     for (id, answer) in &answers {
-        let known = [200, 503].contains(&answer.status);
-        assert!(known, "{id}: {answer:?}");
+        let is_expected = [200, 503].contains(&answer.status);
+        assert!(is_expected, "{id}: {answer:?}");
     }
-    // Each that a target ran was answered with what the target said.
+    // Each request that ran was answered with the target's answer.
     for run in harness.runs().iter().filter(|r| r.id.starts_with('r')) {
         let answered = answers.iter().find(|a| a.0 == run.id);
         let status = answered.map(|a| a.1.status);
