--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -297,7 +297,7 @@
 
     /// Takes what another instance saw.
     pub(super) fn receive_observations(&mut self, now: Time, told: &[Observation]) {
-        if told.is_empty() || !self.mechanisms.has(Mechanism::Health) {
+        if told.is_empty() || !self.mechanisms.has(Mechanism::SharedHealth) {
             return;
         }
         for target in self.roster.all_mut() {
--- a/crates/steer/src/process/direct/latency.rs
+++ b/crates/steer/src/process/direct/latency.rs
@@ -1,21 +1,24 @@
-//! What requests of a route take at the targets of a service, learnt from
-//! answers, apart for objects that a target handled lately and others.
+//! Estimates of how long a route's requests take at a service's targets,
+//! learned from answers. Requests whose object is warm at the target are kept
+//! apart from the others, which take longer.
 //!
-//! Invariant: an estimate is never zero, and before the first answer it is the
-//! route's latency objective.
+//! Invariant: an estimate is never zero; before the first answer it is the
+//! route's latency objective, scaled by [`WARM_RATIO`] for warm objects.
 
 use std::sync::Arc;
 
-/// Weight of a new sample in a moving mean, once there are some.
-const SAMPLE: f64 = 0.06;
+/// Least weight of a new sample in a mean; the first samples weigh more.
+const SAMPLE_WEIGHT_MIN: f64 = 0.06;
 
-/// Time for a warm object over that for another, before any is known.
-const GAIN: f64 = 0.6;
+/// Assumed latency of a warm object over that of another, while only one of the
+/// two, or neither, has samples.
+const WARM_RATIO: f64 = 0.6;
 
-/// Answers of each sort from which on times are sure enough to move objects by.
-const SURE: u32 = 8;
+/// Samples that both means need before objects are moved by their difference.
+const RELIABLE_SAMPLES_MIN: u32 = 8;
 
-/// A moving mean of seconds.
+/// An exponentially weighted mean of latencies, which starts as the plain mean of
+/// the first samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     seconds: f64,
@@ -25,7 +28,7 @@
 impl Mean {
     fn add(&mut self, seconds: f64) {
         self.samples = self.samples.saturating_add(1);
-        let weight = SAMPLE.max(1.0 / f64::from(self.samples));
+        let weight = SAMPLE_WEIGHT_MIN.max(1.0 / f64::from(self.samples));
         self.seconds += (seconds - self.seconds) * weight;
     }
 
@@ -34,79 +37,81 @@
     }
 }
 
-/// Times of one route at one service.
+/// Mean latencies of one route at one service.
 #[derive(Clone, Debug)]
-struct Times {
+struct Latencies {
     service: Arc<str>,
     route: Arc<str>,
     warm: Mean,
     not_warm: Mean,
 }
 
-/// Times by service and route, sorted.
+/// Mean latencies of all routes and services seen, sorted by service and route.
 #[derive(Clone, Debug, Default)]
 pub struct LatencyEstimates {
-    times: Vec<Times>,
+    latencies: Vec<Latencies>,
 }
 
-/// What a request is expected to take.
+/// Expected service time of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Seconds where its object is warm.
+    /// Seconds at a target where its object is warm.
     pub warm: f64,
-    /// Seconds where it isn't.
+    /// Seconds at another target; never less than `warm`.
     pub not_warm: f64,
-    /// Whether both rest on several answers.
+    /// Whether both rest on at least [`RELIABLE_SAMPLES_MIN`] answers.
     pub is_reliable: bool,
 }
 
 impl LatencyEstimates {
-    /// What a request of `route` takes at `service`; `goal` if nothing is known.
+    /// Estimates the service time of a request of `route` at `service`. `goal`,
+    /// the route's latency objective in seconds, is used while nothing is known.
     #[must_use]
     pub fn estimate(&self, service: &str, route: &str, goal: f64) -> Estimate {
-        let times = self.find(service, route).ok().map(|at| &self.times[at]);
-        let known = times.map(|t| (t.warm.get(), t.not_warm.get()));
-        let (warm, other) = match known.unwrap_or_default() {
-            (Some(warm), Some(other)) => (warm, other.max(warm)),
-            (None, Some(other)) => (other * GAIN, other),
-            (Some(warm), None) => (warm, warm / GAIN),
-            (None, None) => (goal * GAIN, goal),
+        let latencies = self.find(service, route).ok().map(|at| &self.latencies[at]);
+        let known = latencies.map(|l| (l.warm.get(), l.not_warm.get()));
+        let (warm, not_warm) = match known.unwrap_or_default() {
+            (Some(warm), Some(not_warm)) => (warm, not_warm.max(warm)),
+            (None, Some(not_warm)) => (not_warm * WARM_RATIO, not_warm),
+            (Some(warm), None) => (warm, warm / WARM_RATIO),
+            (None, None) => (goal * WARM_RATIO, goal),
         };
-        let is_reliable = times.is_some_and(|t| t.warm.samples.min(t.not_warm.samples) >= SURE);
+        let is_reliable = latencies
+            .is_some_and(|l| l.warm.samples.min(l.not_warm.samples) >= RELIABLE_SAMPLES_MIN);
         Estimate {
             warm: warm.max(0.001),
-            not_warm: other.max(0.001),
+            not_warm: not_warm.max(0.001),
             is_reliable,
         }
     }
 
-    /// Notes what a request took.
+    /// Records the latency of an answered request, in seconds.
     pub fn add(&mut self, service: &Arc<str>, route: &Arc<str>, warm: bool, seconds: f64) {
         let at = match self.find(service, route) {
             Ok(at) => at,
             Err(at) => {
-                let times = Times {
+                let latencies = Latencies {
                     service: Arc::clone(service),
                     route: Arc::clone(route),
                     warm: Mean::default(),
                     not_warm: Mean::default(),
                 };
-                self.times.insert(at, times);
+                self.latencies.insert(at, latencies);
                 at
             }
         };
-        let times = &mut self.times[at];
+        let latencies = &mut self.latencies[at];
         let mean = if warm {
-            &mut times.warm
+            &mut latencies.warm
         } else {
-            &mut times.not_warm
+            &mut latencies.not_warm
         };
         mean.add(seconds);
     }
 
     fn find(&self, service: &str, route: &str) -> Result<usize, usize> {
         let key = (service, route);
-        self.times
-            .binary_search_by(|t| (&*t.service, &*t.route).cmp(&key))
+        self.latencies
+            .binary_search_by(|l| (&*l.service, &*l.route).cmp(&key))
     }
 }
--- a/crates/steer/src/process/direct/mechanisms.rs
+++ b/crates/steer/src/process/direct/mechanisms.rs
@@ -1,54 +1,58 @@
-//! Mechanisms that can be taken out, to measure what each is worth.
+//! Switches for the single mechanisms of steering, so that a simulation can
+//! measure the effect of each by running without it.
 //!
-//! Invariant: a process in service has all of them.
+//! Invariant: an instance in production runs with [`Mechanisms::ALL`].
 
 use thiserror::Error;
 
-/// Which mechanisms are in.
+/// A set of enabled mechanisms, one bit each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms(u32);
 
-/// There is no such mechanism.
+/// The given name belongs to no mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("no mechanism is called \"{0}\"; known are {names}", names = Mechanisms::NAMES.join(", "))]
 pub struct Unknown(pub String);
 
-/// One mechanism.
+/// A single mechanism; its position is its bit in [`Mechanisms`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Objects are sent where they were handled lately.
+    /// Prefer targets where the request's object is warm.
     Affinity,
-    /// An object belongs to one target of a region first, by hash.
-    First,
-    /// Work in vain counts more than it costs the request itself.
-    Vain,
-    /// Others' requests at targets count: reports and heartbeats.
-    Counts,
-    /// Times are learnt; without, the objective stands for them.
+    /// Give each object preferred targets in a region, by rendezvous hashing.
+    PreferredTargets,
+    /// Weigh the extra work of a cold object more than its cost to the request.
+    WastedWork,
+    /// Count requests of other instances at a target, from its reports and from
+    /// heartbeats.
+    PeerLoad,
+    /// Estimate latencies from answers; without it the route's latency objective
+    /// stands for them.
     Learning,
-    /// Slow targets cost more.
+    /// Add the slowness of a target to its cost.
     Slowness,
-    /// Targets that fail cost more.
-    Illness,
-    /// Instances tell each other how targets do, and objects of those that do
-    /// poorly move.
-    Health,
-    /// Requests run in other regions.
-    Elsewhere,
-    /// The share elsewhere starts by slots; without, at nothing.
-    Start,
-    /// Requests wait here rather than at targets.
-    Hold,
-    /// What can't be answered in time is rejected at once.
-    Reject,
-    /// What wasn't run is sent again.
-    Again,
-    /// The more urgent is looked at first.
+    /// Add the failure and refusal rates of a target to its cost.
+    FailureRate,
+    /// Use other instances' health observations, and move objects away from
+    /// degraded targets.
+    SharedHealth,
+    /// Send a share of a service's requests to other regions.
+    Spillover,
+    /// Start that share at the region's lack of slots; without it at zero.
+    InitialShare,
+    /// Queue requests at the instance instead of at targets.
+    LocalQueue,
+    /// Reject a request as soon as it can't be answered in time.
+    EarlyReject,
+    /// Send a request again after a failed attempt, where that is allowed.
+    Retry,
+    /// Decide on more urgent requests first.
     Priority,
 }
 
 impl Mechanisms {
-    /// Names of all, in the order of [`Mechanism`].
+    /// Names by which a command line selects mechanisms, in the order of
+    /// [`Mechanism`].
     pub const NAMES: [&'static str; 14] = [
         "affinity",
         "first",
@@ -66,20 +70,20 @@
         "priority",
     ];
 
-    /// All of them.
+    /// Every mechanism enabled.
     pub const ALL: Self = Self(u32::MAX);
 
-    /// Takes one out by its name.
+    /// Returns the set without the named mechanism.
     ///
     /// # Errors
-    /// If there is none of that name.
+    /// Returns [`Unknown`] if no mechanism has that name.
     pub fn without(self, name: &str) -> Result<Self, Unknown> {
         let at = Self::NAMES.iter().position(|n| *n == name);
         let at = at.ok_or_else(|| Unknown(name.to_owned()))?;
         Ok(Self(self.0 & !(1 << at)))
     }
 
-    /// Whether one is in.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub const fn has(self, mechanism: Mechanism) -> bool {
         self.0 & (1 << mechanism as u32) != 0
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -195,14 +195,17 @@
         let goal = route.goal.as_secs_f64();
         let work = self.estimate(job);
         let mechanisms = self.mechanisms;
-        let object = job.ask.object.filter(|_| mechanisms.has(Mechanism::First));
+        let object = job
+            .ask
+            .object
+            .filter(|_| mechanisms.has(Mechanism::PreferredTargets));
         let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
-        let vain = if mechanisms.has(Mechanism::Vain) {
+        let vain = if mechanisms.has(Mechanism::WastedWork) {
             SOCIAL
         } else {
             0.0
         };
-        let extra = if mechanisms.has(Mechanism::Hold) {
+        let extra = if mechanisms.has(Mechanism::LocalQueue) {
             EXTRA
         } else {
             f64::INFINITY
@@ -244,7 +247,7 @@
             let far = if near { 0.0 } else { FAR };
             // An ill target fails that share of its requests, each of which
             // has to begin anew elsewhere. Load breaks ties.
-            let illness = if mechanisms.has(Mechanism::Illness) {
+            let illness = if mechanisms.has(Mechanism::FailureRate) {
                 (target.health.refusal_rate(now) + target.health.failure_rate(now) * lost) * goal
             } else {
                 0.0
@@ -273,7 +276,7 @@
 
     /// Requests believed to be at a target.
     pub(super) fn load(&self, now: Time, target: &Target) -> f64 {
-        if self.mechanisms.has(Mechanism::Counts) {
+        if self.mechanisms.has(Mechanism::PeerLoad) {
             target.load(now, REPORT_DECAY_TIME)
         } else {
             f64::from(target.in_flight + target.reserved)
@@ -342,7 +345,7 @@
                 && job.ask.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
-        let shared = self.mechanisms.has(Mechanism::Health);
+        let shared = self.mechanisms.has(Mechanism::SharedHealth);
         let fit = self.roster.of(&job.service).filter(|(_, t)| fits(t));
         let fit: Vec<(usize, &Target)> = fit.collect();
         let usual = Baseline::of(now, fit.iter().map(|(_, t)| &t.health));
--- a/crates/steer/src/process/direct/split.rs
+++ b/crates/steer/src/process/direct/split.rs
@@ -1,8 +1,9 @@
-//! Which part of a split route a request goes to.
+//! Weighted split of a route's requests over its services.
 //!
-//! Each part earns its weight with each request and the part with most credit
-//! gets it, so that over any run of requests a part is within one request of
-//! its share. Drawing at random would miss a share by chance at low rates.
+//! Each request adds to every part its share of the weights as credit, and goes
+//! to the part with most credit, which pays one. So each part stays within one
+//! request of its share over any run of requests; a random draw would miss the
+//! share by chance at low rates.
 
 use std::sync::Arc;
 
@@ -10,28 +11,30 @@
 
 /// Credits of one route's parts.
 #[derive(Clone, Debug)]
-struct Credits {
+struct RouteCredits {
     route: Arc<str>,
     services: Vec<Arc<str>>,
-    earned: Vec<f64>,
+    /// One per service, in the same order.
+    credits: Vec<f64>,
 }
 
-/// Credits by route, sorted by its name.
+/// Credits of all split routes, sorted by route name.
 #[derive(Clone, Debug, Default)]
 pub struct Splits {
-    routes: Vec<Credits>,
+    routes: Vec<RouteCredits>,
 }
 
 impl Splits {
-    /// The service of the next request of `route`, if the route has any.
-    /// `offset`, from 0 to 1, sets where the first round starts: instances that
-    /// all began with the heaviest part would together give it too much.
+    /// Selects the service for the next request of `route`; `None` if the route
+    /// has no parts, or two or more that all weigh nothing. `offset`, from 0 to 1,
+    /// shifts the first round: if all instances began with the heaviest part, it
+    /// would get too much in total.
     pub fn next(&mut self, route: &Route, offset: f64) -> Option<Arc<str>> {
         if route.parts.len() < 2 {
             return route.parts.first().map(|p| Arc::clone(&p.service));
         }
         let at = self.ensure(route, offset);
-        let credits = &mut self.routes[at].earned;
+        let credits = &mut self.routes[at].credits;
         let total: f64 = route.parts.iter().map(|p| p.weight).sum();
         if total <= 0.0 {
             return None;
@@ -47,22 +50,24 @@
         Some(Arc::clone(&route.parts[best].service))
     }
 
+    /// Returns the index of the route's credits, which are reset if the services
+    /// of its parts have changed.
     fn ensure(&mut self, route: &Route, offset: f64) -> usize {
-        let same = |c: &Credits| {
+        let is_current = |c: &RouteCredits| {
             c.services.len() == route.parts.len()
                 && c.services
                     .iter()
                     .zip(&route.parts)
                     .all(|(s, p)| *s == p.service)
         };
-        let fresh = || Credits {
+        let fresh = || RouteCredits {
             route: Arc::clone(&route.name),
             services: route.parts.iter().map(|p| Arc::clone(&p.service)).collect(),
-            earned: start(route, offset),
+            credits: initial_credits(route, offset),
         };
         match self.routes.binary_search_by(|c| c.route.cmp(&route.name)) {
             Ok(at) => {
-                if !same(&self.routes[at]) {
+                if !is_current(&self.routes[at]) {
                     self.routes[at] = fresh();
                 }
                 at
@@ -75,8 +80,9 @@
     }
 }
 
-/// Credits that sum to zero and differ by instance.
-fn start(route: &Route, offset: f64) -> Vec<f64> {
+/// Credits of a route's parts at the start: their sum is zero, and `offset` makes
+/// them differ between instances.
+fn initial_credits(route: &Route, offset: f64) -> Vec<f64> {
     let mut credits = vec![0.0; route.parts.len()];
     let shift = offset - 0.5;
     credits[0] = shift;
