--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -211,7 +211,7 @@
         let offset = unit_interval(hash(self.home.name.as_bytes()));
         let service = self.splits.next(&ask.route, offset).ok_or(Why::NoTarget)?;
         let rule = self.bounds.repeats;
-        self.budget(&service).request(now, &rule);
+        self.budget(&service).record_request(now, &rule);
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let limit = (ask.deadline - ANSWER_RESERVE).min(now + ask.route.timeout);
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -138,7 +138,7 @@
         );
         let job = &mut self.jobs[at];
         job.may_have_run |= !not_run;
-        let allowed = self.mechanisms.has(Mechanism::Again);
+        let allowed = self.mechanisms.has(Mechanism::Retry);
         let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
         let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
         let left = job.tried.len() < job.ask.route.attempts.max(1);
@@ -149,7 +149,7 @@
         let rule = self.bounds.repeats;
         let instances = self.sharers.len() + 1;
         // What never arrived costs no target anything; the bound is on arrivals.
-        let leave = !arrived || self.budget(&service).spend(now, &rule, instances);
+        let leave = !arrived || self.budget(&service).try_spend(now, &rule, instances);
         if again && left && time && leave {
             return Next::Again;
         }
@@ -177,7 +177,7 @@
         let late = now > job.objective();
         let found = self.spillovers.binary_search_by(|p| p.0.cmp(&job.service));
         if let Ok(at) = found {
-            self.spillovers[at].1.answered(elsewhere, late);
+            self.spillovers[at].1.record_answer(elsewhere, late);
         }
     }
 
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -95,7 +95,7 @@
         let finish = now + Duration::from_secs_f64(best.cost);
         let hopeless = finish + ANSWER_RESERVE > job.limit || self.outlasts(now, &best);
         let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.limit;
-        let reject = self.mechanisms.has(Mechanism::Reject);
+        let reject = self.mechanisms.has(Mechanism::EarlyReject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
             let after = Self::after(&self.jobs[at], best.wait);
             return Some(self.reject(now, at, Why::Overload, Some(after)));
@@ -193,8 +193,8 @@
         let (pressure, position) = self.pressure(now, &self.jobs[at]);
         let service = Arc::clone(&self.jobs[at].service);
         let has = |mechanism| self.mechanisms.has(mechanism);
-        let pressure = pressure.filter(|_| has(Mechanism::Elsewhere));
-        let start = has(Mechanism::Start);
+        let pressure = pressure.filter(|_| has(Mechanism::Spillover));
+        let start = has(Mechanism::InitialShare);
         let used = self.used(now, &service);
         let side = pressure.is_some_and(|pressure| {
             let share = if start { self.lacking(&service) } else { 0.0 };
@@ -207,7 +207,9 @@
                     at
                 }
             };
-            spillovers[at].1.next(now, pressure, used, position)
+            spillovers[at]
+                .1
+                .choose_remote(now, pressure, used, position)
         });
         self.jobs[at].elsewhere = Some(side);
         self.jobs[at].spare = self.used_for(now, &self.jobs[at], side) < SPARE_USED;
--- a/crates/steer/src/process/direct/spillover.rs
+++ b/crates/steer/src/process/direct/spillover.rs
@@ -1,152 +1,174 @@
-//! Which share of a service's requests runs in other regions.
+//! Cross-region spillover: the share of a service's requests that runs in other
+//! regions.
 //!
-//! The operator bounds how far the share of a region's requests that run
-//! elsewhere may change from one short window to the next. Random overflow
-//! breaks that bound at low rates by chance alone, and a spill that follows the
-//! load breaks it on purpose, both when it begins and when it ends. So the
-//! share is a state of its own: it rises while more than a few requests would be
-//! better off elsewhere, falls while none would and the own region has room for
-//! all of its requests, and requests follow it one by one, wanted or not.
+//! The operator bounds how far that share may change from one window of
+//! [`BOUND_WINDOW`] to the next. Overflow by random choice breaks the bound at low
+//! rates by chance alone, and overflow that follows the load breaks it whenever a
+//! burst begins or ends. So the share is a state of its own. It rises while more
+//! than a few requests would be better off in another region; it falls while//! would and the own region has room for all of its requests. Requests are
+//! assigned by it one by one, whether or not the single request would be better
+//! off.
 //!
-//! Invariant: the share moves by at most [`Spillover::rate`] a second, and the
-//! requests sent elsewhere stay within [`BAND`] and one of it.
+//! Invariants: the share moves by at most [`Spillover::rate`] per second; the
+//! count of requests sent to other regions stays within [`CREDIT_BAND`] and one
+//! request of the share.
 
 use core::time::Duration;
 
 use crate::clock::Time;
 
 /// Part of the operator's bound by which the share may move within a window.
-/// The rest is for what counting by whole requests adds, at each instance and
-/// for each service.
-const PART: f64 = 0.55;
+/// The rest covers rounding to whole requests, at each instance and for each
+/// service.
+const BOUND_USED_RATIO: f64 = 0.55;
 
-/// Window of the operator's bound.
-const WINDOW: Duration = Duration::from_secs(2);
+/// Window of the operator's bound on changes of the share.
+const BOUND_WINDOW: Duration = Duration::from_secs(2);
 
-/// Time over which the pressure is averaged.
-const SMOOTH: Duration = Duration::from_millis(1500);
+/// Time over which pressure and utilization are averaged.
+const SMOOTHING_TIME: Duration = Duration::from_millis(1500);
 
-/// How far requests may run ahead of the share or lag behind it, so that the
-/// same objects go elsewhere time and again: they are warm there.
-const BAND: f64 = 0.35;
+/// Number of requests by which the assignments may run ahead of the share or lag
+/// behind it. The slack lets the same objects go to other regions each time, where
+/// they are warm.
+const CREDIT_BAND: f64 = 0.35;
 
-/// Part of the requests that may be better off elsewhere while the share stays
-/// as it is.
+/// Part of requests that would be better off in another region at which the share
+/// stays as it is.
 ///
-/// The share is an integral of what goes beyond it. A share that follows the
-/// part of such requests itself settles where as many are late at home as run
+/// The share is an integral of the excess over this part. A share proportional to
+/// the part itself would settle where as many requests are late at home as run
 /// elsewhere, far below what a region with few targets lacks.
-const WANTED: f64 = 0.05;
+const PRESSURE_SETPOINT: f64 = 0.05;
 
-/// How much more of the warm answers may be late at home than elsewhere. Beyond it
-/// home is fuller than it looks: other regions' instances send requests there too
-/// whose team has no other home.
-const LATER: f64 = 0.4;
+/// Largest difference between the parts of warm answers that are late at home and
+/// elsewhere before every request counts as pressure. Beyond it the own region is
+/// fuller than it looks: instances of other regions also send there, for teams
+/// that may run nowhere else.
+const LATE_RATIO_GAP_MAX: f64 = 0.4;
 
-/// Answers over which the parts that are late are averaged.
-const ANSWERS: f64 = 16.0;
+/// Number of answers over which the late parts are averaged.
+const LATE_AVERAGE_ANSWERS: f64 = 16.0;
 
-/// How far beyond [`WANTED`] the share rises as fast as it may: single requests
-/// move it little.
-const STEEP: f64 = 0.10;
+/// Excess over [`PRESSURE_SETPOINT`] from which the share rises at its full rate.
+/// Single requests move the share little that way.
+const PRESSURE_RANGE: f64 = 0.10;
 
-/// How full the own region may be with all its requests for the share to fall as
-/// fast as it may. A region that fits them only just would send them away again
-/// a moment later, and objects begin cold each time they move. A slow fixed rate
-/// would keep requests away long after home has room, where the way there alone
-/// uses up short objectives.
-const FITS: f64 = 0.4;
+/// Utilization of the own region, with all its requests at home, up to which the
+/// share falls at its full rate. If they only just fitted they would have to leave
+/// again a moment later, and objects are cold after each move. A slow fixed rate
+/// would keep requests away long after there is room at home, where the way alone
+/// uses up short latency objectives.
+const FULL_FALL_UTILIZATION_MAX: f64 = 0.4;
 
-/// How full it is from where on the share doesn't fall at all, though nobody is
-/// late: they are in time because others run elsewhere.
-const FULL: f64 = 0.7;
+/// The same utilization from which the share doesn't fall at all, although no
+/// request is late: they are in time only because others run elsewhere.
+const FALL_UTILIZATION_MAX: f64 = 0.7;
 
-/// Largest share: some requests must show whether there is room at home again.
-const MOST: f64 = 0.9;
+/// Largest share. The remaining requests show whether home has room again.
+const SHARE_MAX: f64 = 0.9;
 
-/// The same while answers at home are late: few are enough to show that.
-const MOST_LATE: f64 = 0.98;
+/// Largest share while answers at home are late, which takes few requests to see.
+const SHARE_LATE_MAX: f64 = 0.98;
 
-/// The share of one service's requests that runs in other regions.
+/// Controller of the share of one service's requests that runs in other regions.
 #[derive(Clone, Copy, Debug)]
 pub struct Spillover {
+    /// Largest change of the share per second.
     rate: f64,
     share: f64,
+    /// Smoothed part of requests that would be better off elsewhere.
     pressure: f64,
-    used: f64,
+    /// Smoothed part of the own region's slots in use.
+    utilization: f64,
+    /// Requests that are due elsewhere by the share and have not been sent there.
     credit: f64,
-    at: Option<Time>,
-    /// Parts of the answers that are late, at home and elsewhere.
-    late: [f64; 2],
+    updated_at: Option<Time>,
+    /// Averaged parts of answers that are late, at home and elsewhere.
+    late_ratios: [f64; 2],
 }
 
 impl Spillover {
-    /// Starts at `share`; `bound` is the largest change of it in a window.
+    /// Starts at `share`; `bound` is the largest change of the share from one
+    /// [`BOUND_WINDOW`] to the next.
     #[must_use]
     pub fn new(bound: f64, share: f64) -> Self {
         Self {
-            rate: bound * PART / WINDOW.as_secs_f64(),
+            rate: bound * BOUND_USED_RATIO / BOUND_WINDOW.as_secs_f64(),
             share,
-            pressure: WANTED,
-            used: 0.0,
+            pressure: PRESSURE_SETPOINT,
+            utilization: 0.0,
             credit: 0.5,
-            at: None,
-            late: [0.0; 2],
+            updated_at: None,
+            late_ratios: [0.0; 2],
         }
     }
 
-    /// How full the own region would be if all its requests ran there.
+    /// Utilization of the own region if all its requests ran there.
     fn demand(&self) -> f64 {
-        self.used / (1.0 - self.share).max(1.0 - MOST)
+        self.utilization / (1.0 - self.share).max(1.0 - SHARE_MAX)
     }
 
-    /// The share now.
+    /// The current share, from 0 to 1.
     #[must_use]
     pub const fn share(&self) -> f64 {
         self.share
     }
 
-    /// A request that might have run at home or elsewhere was answered.
-    pub fn answered(&mut self, elsewhere: bool, late: bool) {
-        let part = &mut self.late[usize::from(elsewhere)];
-        *part += (f64::from(u8::from(late)) - *part) / ANSWERS;
+    /// Records whether the answer to a request that could have run in any region
+    /// was late.
+    pub fn record_answer(&mut self, is_remote: bool, is_late: bool) {
+        let ratio = &mut self.late_ratios[usize::from(is_remote)];
+        *ratio += (f64::from(u8::from(is_late)) - *ratio) / LATE_AVERAGE_ANSWERS;
     }
 
-    /// Whether the next request runs elsewhere. `pressure`: it would be better off so.
-    /// `used`: part of the own region's slots in use. `position`, from 0 to 1, is the
-    /// same for all requests of an object: low ones go first.
-    pub fn next(&mut self, now: Time, pressure: bool, used: f64, position: f64) -> bool {
-        self.follow(now, pressure, used);
+    /// Decides whether the next request runs in another region. `pressure` says
+    /// whether it would be better off there; `utilization` is the part of the own
+    /// region's slots in use. `position`, from 0 to 1, is the same for all requests
+    /// of an object: objects at low positions go first.
+    pub fn choose_remote(
+        &mut self,
+        now: Time,
+        pressure: bool,
+        utilization: f64,
+        position: f64,
+    ) -> bool {
+        self.update(now, pressure, utilization);
         self.credit += self.share;
-        let ahead = self.credit >= 1.0 + BAND;
-        let open = self.credit >= 1.0 - BAND && self.share > 0.0;
-        let elsewhere = ahead || (open && position <= self.share);
-        if elsewhere {
+        let is_behind = self.credit >= 1.0 + CREDIT_BAND;
+        let is_allowed = self.credit >= 1.0 - CREDIT_BAND && self.share > 0.0;
+        let is_remote = is_behind || (is_allowed && position <= self.share);
+        if is_remote {
             self.credit -= 1.0;
         }
-        elsewhere
+        is_remote
     }
 
-    fn follow(&mut self, now: Time, pressure: bool, used: f64) {
-        let passed = self.at.map_or(0.0, |at| now.since(at).as_secs_f64());
-        self.at = Some(now);
-        let [home, elsewhere] = self.late;
-        let later = home - elsewhere > LATER;
-        let pressure = pressure || later;
-        let most = if later {
-            MOST_LATE
+    /// Moves the averages and the share on to `now`.
+    fn update(&mut self, now: Time, pressure: bool, utilization: f64) {
+        let elapsed = self
+            .updated_at
+            .map_or(0.0, |at| now.since(at).as_secs_f64());
+        self.updated_at = Some(now);
+        let [home, remote] = self.late_ratios;
+        let is_home_late = home - remote > LATE_RATIO_GAP_MAX;
+        let pressure = pressure || is_home_late;
+        let share_max = if is_home_late {
+            SHARE_LATE_MAX
         } else {
-            MOST.max(self.share)
+            SHARE_MAX.max(self.share)
         };
-        let weight = (passed / SMOOTH.as_secs_f64()).min(0.2);
+        let weight = (elapsed / SMOOTHING_TIME.as_secs_f64()).min(0.2);
         self.pressure += (f64::from(u8::from(pressure)) - self.pressure) * weight;
-        self.used += (used - self.used) * weight;
-        let fits = ((FULL - self.demand()) / (FULL - FITS)).clamp(0.0, 1.0);
-        let pull = if self.pressure > WANTED {
-            ((self.pressure - WANTED) / STEEP).min(1.0)
+        self.utilization += (utilization - self.utilization) * weight;
+        let room = ((FALL_UTILIZATION_MAX - self.demand())
+            / (FALL_UTILIZATION_MAX - FULL_FALL_UTILIZATION_MAX))
+            .clamp(0.0, 1.0);
+        let slope = if self.pressure > PRESSURE_SETPOINT {
+            ((self.pressure - PRESSURE_SETPOINT) / PRESSURE_RANGE).min(1.0)
         } else {
-            fits * (self.pressure - WANTED) / WANTED
+            room * (self.pressure - PRESSURE_SETPOINT) / PRESSURE_SETPOINT
         };
-        self.share = (self.share + pull * self.rate * passed).clamp(0.0, most);
+        self.share = (self.share + slope * self.rate * elapsed).clamp(0.0, share_max);
     }
 }
--- a/crates/steer/tests/direct/budget.rs
+++ b/crates/steer/tests/direct/budget.rs
@@ -27,10 +27,10 @@
         let now = at(millis);
         for (i, budget) in budgets.iter_mut().enumerate() {
             if (millis / 50 + i as u64).is_multiple_of(4) {
-                budget.request(now, &RULE);
+                budget.record_request(now, &RULE);
                 requests.push(millis);
             }
-            while budget.spend(now, &RULE, instances) {
+            while budget.try_spend(now, &RULE, instances) {
                 repeats.push(millis);
             }
         }
@@ -55,9 +55,9 @@
     let mut budget = Budget::default();
     let mut spent = 0;
     for i in 0..100 {
-        budget.request(at(i), &RULE);
+        budget.record_request(at(i), &RULE);
     }
-    while budget.spend(at(100), &RULE, 1_000) {
+    while budget.try_spend(at(100), &RULE, 1_000) {
         spent += 1;
     }
     assert_eq!(spent, 16, "0.8 of a fifth of 100 and of 0.058");
--- a/crates/steer/tests/direct/spillover.rs
+++ b/crates/steer/tests/direct/spillover.rs
@@ -17,7 +17,7 @@
             let millis = i * 20;
             let pressure = (5_000..15_000).contains(&millis);
             let position = f64::from(u32::try_from(i * 7 % 24).unwrap_or_default()) / 24.0;
-            spillover.next(at(millis), pressure, 0.0, position)
+            spillover.choose_remote(at(millis), pressure, 0.0, position)
         })
         .collect()
 }
@@ -63,7 +63,7 @@
         let position = f64::from(u32::try_from(i * 7 % 24).unwrap_or_default()) / 24.0;
         // As requests come home they take their slots there.
         let used = used * (1.0 - spillover.share()) / 0.5;
-        spillover.next(at(i * 20), false, used, position);
+        spillover.choose_remote(at(i * 20), false, used, position);
     }
     let share = spillover.share();
     assert!(
@@ -87,7 +87,7 @@
         let part = ((home - fits) / home).max(0.0);
         let pressure = (f64::from(u32::try_from(i * 61 % 100).unwrap_or_default()) / 100.0) < part;
         let position = f64::from(u32::try_from(i * 7 % 24).unwrap_or_default()) / 24.0;
-        let elsewhere = spillover.next(at(i * 20), pressure, home, position);
+        let elsewhere = spillover.choose_remote(at(i * 20), pressure, home, position);
         late += usize::from(i >= 1_500 && pressure && !elsewhere);
     }
     assert!(late <= 50, "{late} of the last 500 are late at home");
