--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -146,8 +146,8 @@
         false
     }
 
-    /// Other registered instances of the own domain, with their peer addresses, in
-    /// the order of precedence for reading the store. Empty if the list fails.
+    /// Other registered instances of the own domain with their peer addresses: the
+    /// first few by precedence for reading the store. Empty if the list fails.
     async fn domain_peers(&self) -> Vec<(Arc<str>, SocketAddr)> {
         let shared = &self.shared;
         let late = async {
--- a/crates/auburnrouter/tests/direct/follow.rs
+++ b/crates/auburnrouter/tests/direct/follow.rs
@@ -1,4 +1,5 @@
-//! Following the platform's store, and peers where it is away.
+//! Tests of following the platform's store, and of reading from other instances
+//! while it is unavailable.
 
 use std::time::{Duration, Instant};
 
@@ -9,8 +10,8 @@
 
 use super::harness::{Entry, HOST, Harness, ROUTES, send_raw, wait_for_line, wait_until};
 
-/// A new version takes a route away and adds one; an older one arrives later
-/// and must change nothing.
+/// A new version of the configuration removes a route and adds one. An older version
+/// that is written later must not change anything.
 #[test]
 fn follow_configuration_upwards() {
     let harness = Harness::start(1);
@@ -20,7 +21,7 @@
         safe: true,
     };
     harness.store.configure(9, HOST, &[added]);
-    wait_until("the new route is there", || {
+    wait_until("the new route is in use", || {
         harness.entry.send("GET", "/added/x", "r1", "").status == 200
     });
     assert_eq!(harness.entry.send("GET", "/view/x", "r2", "").status, 404);
@@ -28,8 +29,12 @@
     harness
         .store
         .write("servers/mark", &serde_json::json!("no entry"));
-    wait_until("it has read what came after", || {
-        let lines = harness.entry.lines.lock().expect("no one panics with it");
+    wait_until("the entry written after it is processed", || {
+        let lines = harness
+            .entry
+            .lines
+            .lock()
+            .expect("the lock is not poisoned");
         lines
             .iter()
             .any(|l| l.contains("entry-refused") && l.contains("mark"))
@@ -38,18 +43,21 @@
     assert_eq!(harness.entry.send("GET", "/added/x", "r4", "").status, 200);
 }
 
-/// A domain is evacuated and taken back, and a target leaves. What comes back
-/// is cold: a process that has just started sends it nothing for a second.
+/// An evacuated domain must get no requests. When its evacuation is lifted its
+/// targets count as cold: an instance that has just started sends them nothing for a
+/// second.
 #[test]
 fn follow_evacuation_and_leaving() {
     let harness = Harness::start(1);
     let other = Target::start("u0", "sheets", "near-b").expect("a port is free");
     other.register(&harness.store, "ready", 1);
-    wait_until("it is known", || harness.entry.dump().contains("\"u0\""));
+    wait_until("the second target is known", || {
+        harness.entry.dump().contains("\"u0\"")
+    });
     harness
         .store
         .write("op/evacuate/near-a", &serde_json::json!({}));
-    wait_until("it is evacuated", || {
+    wait_until("the domain is evacuated", || {
         harness.entry.dump().contains("\"evacuated\":[\"near-a\"]")
     });
     let before = harness.runs().len();
@@ -65,11 +73,14 @@
     assert_eq!(harness.runs().len(), before);
     harness.store.remove("op/evacuate/near-a");
     other.register(&harness.store, "draining", 2);
-    wait_until("it is taken back", || {
-        let dump = harness.entry.dump();
-        dump.contains("\"evacuated\":[]") && dump.contains("\"leaving\"]")
-    });
-    let there = other.runs().len();
+    wait_until(
+        "the evacuation is lifted and the second target leaves",
+        || {
+            let dump = harness.entry.dump();
+            dump.contains("\"evacuated\":[]") && dump.contains("\"leaving\"]")
+        },
+    );
+    let other_before = other.runs().len();
     let mut count = 0;
     wait_until("the domain serves again", || {
         count += 1;
@@ -80,11 +91,10 @@
         answer.status == 200
     });
     assert_eq!(harness.runs().len(), before + 1);
-    assert_eq!(other.runs().len(), there);
+    assert_eq!(other.runs().len(), other_before);
 }
 
-/// Something writes entries that are none. They name no target, and the others
-/// hold.
+/// Malformed target entries must be skipped; the other targets keep serving.
 #[test]
 fn pass_over_malformed_entries() {
     let harness = Harness::start(1);
@@ -97,14 +107,19 @@
         "status": { "state": "resting", "seq": 1, "warmup_left_s": 0 },
     });
     harness.store.write("servers/state", &state);
-    wait_until("all are seen", || {
-        let lines = harness.entry.lines.lock().expect("no one panics with it");
+    wait_until("all malformed entries are logged", || {
+        let lines = harness
+            .entry
+            .lines
+            .lock()
+            .expect("the lock is not poisoned");
         lines.iter().filter(|l| l.contains("entry-refused")).count() >= 3
     });
     assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
-/// The store drops its history while an entry changes: everything is read anew.
+/// The store compacts its history while an entry changes: everything must be read
+/// anew, and the removed target must go.
 #[test]
 fn read_anew_without_history() {
     let harness = Harness::start(1);
@@ -117,14 +132,14 @@
     wait_until("the new target is known", || {
         harness.entry.dump().contains("\"n0\"")
     });
-    wait_until("the old one is gone", || {
+    wait_until("the old target is gone", || {
         !harness.entry.dump().contains("\"t0\"")
     });
     assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
-/// The store is away. One instance knows everything; another starts and has
-/// only the address of the first. It learns from it and serves.
+/// The store is unavailable when an instance starts. It must learn everything from
+/// the instance that its settings name as seed.
 #[rstest]
 #[case::busy(Mode::Busy)]
 #[case::silent(Mode::Silent)]
@@ -134,56 +149,56 @@
     let seeds = [harness.entry.peers];
     let late = Entry::start("near-2", "near-b", harness.store.addr(), &seeds);
     late.await_ready();
-    wait_until("it serves", || {
+    wait_until("the new instance serves", || {
         late.send("GET", "/view/x", "r1", "").status == 200
     });
 }
 
-/// Two instances find each other in the store, and the directory names both for
-/// as long as both run: one is killed, and its row ends with its lease.
+/// The directory must return both registered instances, and no longer one that was
+/// killed once its lease has expired.
 #[test]
 fn name_only_running_instances() {
     let harness = Harness::start(1);
     let mut other = Entry::start("near-2", "near-b", harness.store.addr(), &[]);
     other.await_ready();
-    let ask_where = || {
+    let resolve = || {
         let text =
             "GET /v1/resolve?name=a.example&region=near&zone=near-a HTTP/1.1\r\nHost: x\r\n\r\n";
         send_raw(harness.entry.directory, text)
             .map(|a| a.body)
             .unwrap_or_default()
     };
-    let named = |addr: std::net::SocketAddr| format!("\"{addr}\"");
-    wait_until("both are named", || {
-        let body = ask_where();
-        body.contains(&named(harness.entry.callers)) && body.contains(&named(other.callers))
+    let quoted = |addr: std::net::SocketAddr| format!("\"{addr}\"");
+    wait_until("both instances are returned", || {
+        let body = resolve();
+        body.contains(&quoted(harness.entry.callers)) && body.contains(&quoted(other.callers))
     });
     other.signal(Signal::KILL);
     other.wait_exit();
     let killed = Instant::now();
-    wait_until("one is named", || {
-        !ask_where().contains(&named(other.callers))
+    wait_until("only one instance is returned", || {
+        !resolve().contains(&quoted(other.callers))
     });
     assert!(
         killed.elapsed() < Duration::from_secs(7),
         "{:?}",
         killed.elapsed()
     );
-    assert!(ask_where().contains(&named(harness.entry.callers)));
+    assert!(resolve().contains(&quoted(harness.entry.callers)));
 }
 
-/// Where an instance reads what the store holds, by its own dump.
+/// Upstream of an instance, by its state dump.
 fn upstream(entry: &Entry) -> String {
     let dump: serde_json::Value = serde_json::from_str(&entry.dump()).unwrap_or_default();
     dump["upstream"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Four instances of one domain that all know each other. One reads the store,
-/// the others read from it, at first hand or second.
+/// Four instances of one domain that know each other. One reads the store, the
+/// others read from it, directly or through one another.
 struct Domain {
     store: Store,
     _targets: Vec<Target>,
-    /// Who reads the store stands first.
+    /// The first is the one that reads the store.
     entries: Vec<Entry>,
 }
 
@@ -223,8 +238,8 @@
     }
 }
 
-/// Four instances stand in one domain. Only one watches the store, and all have
-/// a new configuration in force.
+/// Of four instances in one domain only one may watch the store, as calls to it are
+/// billed; all must apply a new configuration.
 #[test]
 fn read_store_once_for_domain() {
     let Domain {
@@ -234,7 +249,7 @@
     } = Domain::start();
     store.configure(9, HOST, &[added()]);
     for entry in &entries {
-        wait_until("the new route is there", || {
+        wait_until("the new route is in use", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
@@ -243,25 +258,30 @@
         let text = metrics.map(|a| a.body).unwrap_or_default();
         let line = text.lines().find(|l| l.contains("kind=\"watch\""));
         let count = line.and_then(|l| l.rsplit(' ').next()?.parse::<u64>().ok());
-        count.expect("the metric is there")
+        count.expect("the metric is exported")
     };
     let before: Vec<u64> = entries.iter().map(calls).collect();
-    wait_until("the first watches on", || {
+    wait_until("the first instance goes on watching", || {
         calls(&entries[0]) > before[0] + 1
     });
     for (entry, before) in entries.iter().zip(before).skip(1) {
-        assert_eq!(calls(entry), before, "{} watches too", upstream(entry));
+        assert_eq!(
+            calls(entry),
+            before,
+            "an instance that reads from {} watches too",
+            upstream(entry)
+        );
     }
 }
 
-/// The instance that reads the store for its domain ends without a word, or falls
-/// silent with its connections open. The others have a new configuration in force
-/// within the operator's bound of a few seconds all the same.
+/// The instance that reads the store for its domain is killed, or hangs with its
+/// connections open. The others must still apply a new configuration within the
+/// operator's bound.
 #[rstest]
 #[case::killed(Signal::KILL)]
 #[case::silent(Signal::STOP)]
 fn replace_dead_upstream(#[case] signal: Signal) {
-    const IN_FORCE: Duration = Duration::from_secs(4);
+    const APPLY_TIMEOUT: Duration = Duration::from_secs(4);
     let Domain {
         store,
         _targets,
@@ -271,16 +291,16 @@
     store.configure(9, HOST, &[added()]);
     let written = Instant::now();
     for entry in &entries[1..] {
-        wait_until("the new route is there", || {
+        wait_until("the new route is in use", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
     let passed = written.elapsed();
-    assert!(passed < IN_FORCE, "{passed:?}");
+    assert!(passed < APPLY_TIMEOUT, "{passed:?}");
 }
 
-/// The store goes away and comes back. Those who read from another ask it, not
-/// all of them the store, and learn what came meanwhile.
+/// After an outage of the store, all instances must learn of changes made meanwhile,
+/// those that read from another instance through it.
 #[test]
 fn follow_upstream_after_outage() {
     let Domain {
@@ -289,20 +309,20 @@
         entries,
     } = Domain::start();
     store.set(Mode::Busy);
-    wait_until("all notice", || {
+    wait_until("all instances notice the outage", || {
         entries.iter().all(|e| e.dump().contains("\"store\":false"))
     });
     store.configure(9, HOST, &[added()]);
     store.set(Mode::Up);
     for entry in &entries {
-        wait_until("the new route is there", || {
+        wait_until("the new route is in use", || {
             entry.send("GET", "/added/x", "r1", "").status == 200
         });
     }
 }
 
-/// A process starts while reads that may be old still show an earlier
-/// configuration. It must not serve by that one: its routes may be gone.
+/// An instance starts while stale reads of the store still return an earlier
+/// configuration. It must not apply that one, as its routes may have been removed.
 #[test]
 fn start_from_old_list() {
     let mut harness = Harness::start(1);
@@ -314,13 +334,13 @@
     assert!(first.contains("\"version\":9"), "{first}");
 }
 
-/// A caller comes while a process starts. It isn't turned away for want of a
-/// configuration that is there a moment later; one that stays away is said so.
+/// A request that arrives while an instance starts must not be rejected if the
+/// configuration is read shortly after; if it can't be read, the answer is 503.
 #[rstest]
 #[case::soon(Mode::Up)]
 #[case::never(Mode::Busy)]
 fn keep_caller_during_start(#[case] mode: Mode) {
-    const HELD_MS: u64 = 500;
+    const HOLD_MS_MIN: u64 = 500;
     let harness = Harness::start(1);
     harness.store.set(mode);
     let late = Entry::start("far-1", "far-a", harness.store.addr(), &[]);
@@ -332,16 +352,16 @@
     }
     let line = wait_for_line(&late, "\"event\":\"config\"");
     let line: serde_json::Value = serde_json::from_str(&line).expect("a line is JSON");
-    let soon = line["at_ms"].as_u64().is_some_and(|at| at < HELD_MS);
+    let soon = line["at_ms"].as_u64().is_some_and(|at| at < HOLD_MS_MIN);
     assert!(answer.status == 200 || !soon, "{answer:?}, {line}");
 }
 
-/// A process starts in a domain where others know everything, and the store is
-/// slow to list it: it learns from one of them and serves at once.
+/// The store does not answer the full read of an instance that starts. It must learn
+/// everything from another instance of its domain instead.
 #[test]
 fn start_from_neighbour() {
     let harness = Harness::start(1);
-    wait_until("the first is listed", || {
+    wait_until("the first instance is registered", || {
         !harness.store.keys("auburnrouter/instances/").is_empty()
     });
     harness.store.withhold();
--- a/crates/auburnrouter/tests/direct/keys.rs
+++ b/crates/auburnrouter/tests/direct/keys.rs
@@ -1,4 +1,5 @@
-//! Callers with keys: who is served, who isn't, and what targets and others see.
+//! Tests of API keys and teams: which requests are served, and that keys are not
+//! passed on.
 
 use std::time::Duration;
 
@@ -9,8 +10,9 @@
 use super::harness::{Entry, HOST, Harness, ROUTES, request, send_raw, wait_until};
 
 const KEY: &str = "dqiqrh4jcda9rgy35iei";
-const OTHER: &str = "spuxsr7i427eya6u6sz9";
+const OTHER_KEY: &str = "spuxsr7i427eya6u6sz9";
 
+/// A team with these keys and quota, served in all regions.
 fn masons<'a>(keys: &'a [&'a str], rate: f64) -> Team<'a> {
     Team {
         name: "masons",
@@ -20,40 +22,47 @@
     }
 }
 
+/// A team whose home region isn't that of the instances.
 fn office() -> Team<'static> {
     Team {
         name: "office",
-        keys: &[OTHER],
+        keys: &[OTHER_KEY],
         rate: 0.0,
         homes: &["far"],
     }
 }
 
-/// An instance that knows these teams.
+/// Starts an instance configured with these teams.
 fn start(teams: &[Team<'_>]) -> Harness {
     let harness = Harness::start(1);
     configure(&harness.store, &harness.entry, 4, teams);
     harness
 }
 
+/// Writes a configuration and waits until the instance applies it.
 fn configure(store: &Store, entry: &Entry, version: u64, teams: &[Team<'_>]) {
     store.configure_teams(version, HOST, &ROUTES, teams);
     let in_force = format!("\"version\":{version},");
-    wait_until("the version is in force", || {
+    wait_until("the new version is in force", || {
         entry.dump().contains(&in_force)
     });
 }
 
+/// Sends a request with these header lines; returns the status of its answer.
 fn send(entry: &Entry, id: &str, headers: &str) -> u16 {
     let text = request("GET", "/view/x", id, "");
     let text = text.replacen("\r\n", &format!("\r\n{headers}"), 1);
-    send_raw(entry.callers, &text).expect("it answers").status
+    send_raw(entry.callers, &text)
+        .expect("the instance answers")
+        .status
 }
 
 fn bearer(key: &str) -> String {
     format!("Authorization: Bearer {key}\r\n")
 }
 
+/// Only a known key in a single `Bearer` header is accepted; other requests must be
+/// refused before they reach a target.
 #[rstest]
 #[case::no_key("", 401)]
 #[case::unknown("Authorization: Bearer nobody\r\n", 401)]
@@ -69,8 +78,8 @@
     assert_eq!(harness.runs().len(), usize::from(expected == 200));
 }
 
-/// The target is told the team's name, whatever the caller says, and no key; nor
-/// do lines, metrics, dumps or the answer to another instance name one.
+/// The target must get the team's name, whatever the caller claims, and no key. Log
+/// lines, metrics, the state dump and the status must not contain keys.
 #[test]
 fn keep_key_from_all_others() {
     let harness = start(&[masons(&[KEY], 0.0), office()]);
@@ -81,38 +90,45 @@
     assert!(!runs[0].key);
     assert_eq!(send(&harness.entry, "r2", &bearer("unheard-of-key")), 401);
     let lines = || {
-        let lines = harness.entry.lines.lock().expect("no one panics with it");
+        let lines = harness
+            .entry
+            .lines
+            .lock()
+            .expect("the lock is not poisoned");
         lines.concat()
     };
     wait_until("both requests are logged", || {
         let lines = lines();
         lines.contains("\"team\":\"masons\"") && lines.contains("unknown-key")
     });
-    let told = |path: &str| {
+    let fetch = |path: &str| {
         let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
         send_raw(harness.entry.operators, &text)
-            .expect("it answers")
+            .expect("the instance answers")
             .body
     };
-    let mut all = [told("/dump"), told("/metrics"), told("/status")].concat();
+    let mut all = [fetch("/dump"), fetch("/metrics"), fetch("/status")].concat();
     all.push_str(&lines());
-    for key in [KEY, OTHER, "unheard-of-key"] {
-        assert!(!all.contains(key), "{key} is told");
+    for key in [KEY, OTHER_KEY, "unheard-of-key"] {
+        assert!(!all.contains(key), "{key} is exposed");
     }
 }
 
-/// A second instance learns the teams from the first, and serves by them.
+/// A second instance of the domain normally reads the configuration from the first,
+/// with digests in place of keys, and must accept the same keys.
 #[test]
 fn learn_teams_from_other_instance() {
     let harness = start(&[masons(&[KEY], 0.0), office()]);
     let second = Entry::start("near-2", "near-a", harness.store.addr(), &[]);
     second.await_ready();
-    wait_until("it knows the target", || second.dump().contains("\"t0\""));
+    wait_until("the second instance knows the target", || {
+        second.dump().contains("\"t0\"")
+    });
     assert_eq!(send(&second, "r1", &bearer(KEY)), 200);
     assert_eq!(send(&second, "r2", &bearer("nobody")), 401);
 }
 
-/// A key is taken away while callers go on with it.
+/// Requests with a key that was revoked must be refused.
 #[test]
 fn refuse_key_that_was_taken_away() {
     let harness = start(&[masons(&[KEY, "second"], 0.0)]);
@@ -127,16 +143,17 @@
     assert_eq!(send(&harness.entry, "r3", &bearer("second")), 200);
 }
 
-/// The store falls silent: a key may have been taken away, so requests are turned
-/// away before the bound, and served again when the store answers.
+/// While the store doesn't answer a key may have been revoked unnoticed. Requests with
+/// keys must be rejected within the operator's bound, and served again when the store
+/// answers.
 #[test]
-fn doubt_keys_while_store_is_silent() {
+fn reject_keys_while_store_is_silent() {
     let harness = start(&[masons(&[KEY], 0.0)]);
     assert_eq!(send(&harness.entry, "r0", &bearer(KEY)), 200);
     harness.store.set(Mode::Silent);
     let begun = std::time::Instant::now();
     let mut count = 0;
-    wait_until("keys are in doubt", || {
+    wait_until("requests with keys are rejected", || {
         count += 1;
         send(&harness.entry, &format!("s{count}"), &bearer(KEY)) == 503
     });
@@ -144,32 +161,32 @@
     let ready = "GET /v1/readiness HTTP/1.1\r\nHost: x\r\n\r\n";
     let ready = || {
         send_raw(harness.entry.ready, ready)
-            .expect("it answers")
+            .expect("the instance answers")
             .status
     };
     assert_eq!(ready(), 503);
     harness.store.set(Mode::Up);
-    wait_until("it is sure again", || ready() == 200);
+    wait_until("the instance is ready again", || ready() == 200);
     assert_eq!(send(&harness.entry, "t", &bearer(KEY)), 200);
 }
 
-/// A region that isn't the team's home has no target for it.
+/// A team must not be served in a region other than its home regions.
 #[test]
-fn keep_team_at_home() {
+fn reject_team_outside_home_region() {
     let harness = start(&[masons(&[KEY], 0.0), office()]);
-    assert_eq!(send(&harness.entry, "r1", &bearer(OTHER)), 503);
+    assert_eq!(send(&harness.entry, "r1", &bearer(OTHER_KEY)), 503);
     assert!(harness.runs().is_empty());
 }
 
-/// A flood beyond a quota is turned away at once, with a time to return.
+/// Requests over a team's quota must be rejected with 429 and `Retry-After`.
 #[test]
-fn turn_flood_away() {
+fn reject_requests_over_quota() {
     let harness = start(&[masons(&[KEY], 4.0), office()]);
     let mut statuses = Vec::new();
     for i in 0..60 {
         let text = request("GET", "/view/x", &format!("r{i}"), "");
         let text = text.replacen("\r\n", &format!("\r\n{}", bearer(KEY)), 1);
-        let answer = send_raw(harness.entry.callers, &text).expect("it answers");
+        let answer = send_raw(harness.entry.callers, &text).expect("the instance answers");
         if answer.status == 429 {
             assert!(answer.header("retry-after").is_some(), "{answer:?}");
         }
--- a/crates/auburnrouter/tests/direct/operators.rs
+++ b/crates/auburnrouter/tests/direct/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see and do.
+//! Tests of what operators use: signals, logs, metrics and the check of settings.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +8,14 @@
 
 use super::harness::{Entry, HOST, Harness, ROUTES, send_raw, wait_until};
 
+/// SIGHUP must log whether the settings have changed and must not end the process.
 #[test]
 fn keep_serving_on_hangup() {
     let harness = Harness::start(1);
     harness.entry.signal(Signal::HUP);
     let lines = std::sync::Arc::clone(&harness.entry.lines);
-    wait_until("it says so", || {
-        let lines = lines.lock().expect("no one panics with it");
+    wait_until("the unchanged settings are logged", || {
+        let lines = lines.lock().expect("the lock is not poisoned");
         lines
             .iter()
             .any(|l| l.contains("\"reload\"") && l.contains("\"same\""))
@@ -22,7 +23,7 @@
     assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
 }
 
-/// Nobody reads the log. A full pipe must not hold a request up.
+/// Requests must not be delayed if nothing reads the log and its pipe is full.
 #[test]
 fn serve_while_nobody_reads_the_log() {
     let store = Store::start().expect("a port is free");
@@ -31,7 +32,7 @@
     target.register(&store, "ready", 1);
     let (entry, _unread) = Entry::start_unread("near-1", "near-a", store.addr(), &[]);
     entry.await_ready();
-    // A pipe holds 64 KiB, some two hundred lines.
+    // A pipe holds 64 KiB, about two hundred lines; more requests fill it.
     for i in 0..600 {
         let began = Instant::now();
         let answer = entry.send("GET", "/view/x", &format!("r{i}"), "");
@@ -40,35 +41,36 @@
     }
 }
 
+/// Metrics must count an attempt and show the configuration version.
 #[test]
 fn print_metrics() {
     let harness = Harness::start(1);
     assert_eq!(harness.entry.send("GET", "/view/x", "r1", "").status, 200);
     let text = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
-    let printed = send_raw(harness.entry.operators, text)
-        .expect("it answers")
+    let metrics = send_raw(harness.entry.operators, text)
+        .expect("the instance answers")
         .body;
     let ended = "auburnrouter_attempts_total{ending=\"answered\"} 1";
-    assert!(printed.contains(ended), "{printed}");
-    assert!(printed.contains("auburnrouter_config_version 3"));
+    assert!(metrics.contains(ended), "{metrics}");
+    assert!(metrics.contains("auburnrouter_config_version 3"));
 }
 
-/// Settings are checked without starting anything: every fault, with its place.
+/// `--check` must report faults in the settings with their place and start nothing.
 #[rstest]
 #[case::good("", "", 0, "")]
 #[case::fault("260", "\"much\"", 1, ":1:")]
-fn check_settings(#[case] good: &str, #[case] bad: &str, #[case] code: i32, #[case] said: &str) {
-    let store = "127.0.0.1:1".parse().expect("it is an address");
+fn check_settings(#[case] good: &str, #[case] bad: &str, #[case] code: i32, #[case] message: &str) {
+    let store = "127.0.0.1:1".parse().expect("the address is valid");
     let text = platform_standin::settings("near-1", "near-a", store, &[]).replacen(good, bad, 1);
     let file = format!("auburnrouter-check-{}-{code}.jsonc", std::process::id());
     let file = std::env::temp_dir().join(file);
-    std::fs::write(&file, text).expect("the temporary place is writable");
+    std::fs::write(&file, text).expect("the temporary directory is writable");
     let ran = std::process::Command::new(env!("CARGO_BIN_EXE_auburnrouter"))
         .args(["direct", "--check", "--settings"])
         .arg(&file)
         .output()
-        .expect("the program is built");
-    std::fs::remove_file(&file).expect("it was written");
+        .expect("the program starts");
+    std::fs::remove_file(&file).expect("the file exists");
     assert_eq!(ran.status.code(), Some(code));
-    assert!(String::from_utf8_lossy(&ran.stderr).contains(said));
+    assert!(String::from_utf8_lossy(&ran.stderr).contains(message));
 }
