--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
 use steer::process::direct::target::Word;
-use steer::process::direct::{Ending, Go};
+use steer::process::direct::{Assignment, AttemptOutcome};
 
 use super::Shared;
 use super::server::Response;
@@ -42,7 +42,7 @@
 /// How an attempt ended, and what the target said.
 pub struct Ended {
     /// How.
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     /// The target's whole answer.
     pub answer: Option<Response>,
     /// What the target says of itself, if the answer is its own.
@@ -50,7 +50,7 @@
 }
 
 impl Ended {
-    fn without(ending: Ending) -> Self {
+    fn without(ending: AttemptOutcome) -> Self {
         Self {
             ending,
             answer: None,
@@ -60,9 +60,9 @@
 }
 
 /// Sends a request to a target and reads its whole answer.
-pub async fn run(shared: &Arc<Shared>, go: &Go, whole: &Whole, left: Duration) -> Ended {
+pub async fn run(shared: &Arc<Shared>, go: &Assignment, whole: &Whole, left: Duration) -> Ended {
     let Ok(request) = request(go, whole, left) else {
-        return Ended::without(Ending::Unreached);
+        return Ended::without(AttemptOutcome::NotSent);
     };
     let pool = &shared.targets;
     // What must not run twice goes on a connection of its own: whether it was
@@ -74,18 +74,20 @@
     };
     let exchange = match sent {
         Ok(exchange) => exchange,
-        Err(pool::Error::Unsent | pool::Error::Full) => return Ended::without(Ending::Unreached),
-        Err(pool::Error::Broken) => return Ended::without(Ending::Broken),
-        Err(pool::Error::Garbled) => return Ended::without(Ending::Garbled),
+        Err(pool::Error::Unsent | pool::Error::Full) => {
+            return Ended::without(AttemptOutcome::NotSent);
+        }
+        Err(pool::Error::Broken) => return Ended::without(AttemptOutcome::ConnectionLost),
+        Err(pool::Error::Garbled) => return Ended::without(AttemptOutcome::InvalidResponse),
     };
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
     let Ok(body) = Limited::new(body, ANSWER).collect().await else {
-        return Ended::without(Ending::Broken);
+        return Ended::without(AttemptOutcome::ConnectionLost);
     };
     let said = headers::answer(&head.headers);
     let ending = judge(head.status, &said, whole);
-    if ending != Ending::Garbled && whole.idempotent {
+    if ending != AttemptOutcome::InvalidResponse && whole.idempotent {
         rest.put_back();
     }
     let mut fields = head.headers;
@@ -94,7 +96,10 @@
     let mut answer = Response::new(body.to_bytes());
     *answer.status_mut() = head.status;
     *answer.headers_mut() = fields;
-    let own = !matches!(ending, Ending::Garbled | Ending::Elsewhere);
+    let own = !matches!(
+        ending,
+        AttemptOutcome::InvalidResponse | AttemptOutcome::WrongTarget
+    );
     Ended {
         ending,
         answer: Some(answer),
@@ -106,27 +111,27 @@
 }
 
 /// What a whole answer means.
-fn judge(status: StatusCode, said: &headers::Answer, whole: &Whole) -> Ending {
+fn judge(status: StatusCode, said: &headers::Answer, whole: &Whole) -> AttemptOutcome {
     if whole.id.is_some() && said.id != whole.id {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Ending::Elsewhere;
+        return AttemptOutcome::WrongTarget;
     }
     // No final answer, though it came as one.
     if status.is_informational() {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if said.not_run {
-        return Ending::NotRun;
+        return AttemptOutcome::NotRun;
     }
     if status.is_success() && (!said.sealed || said.encoded) {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if status.is_server_error() || promises(status) {
-        return Ending::Failed;
+        return AttemptOutcome::Failed;
     }
-    Ending::Answered
+    AttemptOutcome::Answered
 }
 
 /// Whether a status says to callers that the request has not run. A target
@@ -141,7 +146,11 @@
     )
 }
 
-fn request(go: &Go, whole: &Whole, left: Duration) -> Result<pool::Request, hyper::http::Error> {
+fn request(
+    go: &Assignment,
+    whole: &Whole,
+    left: Duration,
+) -> Result<pool::Request, hyper::http::Error> {
     let mut request = hyper::Request::builder()
         .method(whole.method.clone())
         .uri(whole.uri.clone())
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -19,7 +19,9 @@
 use smol::net;
 use steer::clock::Time;
 use steer::process::direct::access::{Access, Presented};
-use steer::process::direct::{self, Ask, Ending, Go, Next, Order, Ticket, Why};
+use steer::process::direct::{
+    self, Assignment, AttemptOutcome, Decision, FollowUp, Rejection, Ticket,
+};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Route};
 
@@ -214,7 +216,7 @@
     let patience = caller.patience.unwrap_or(PATIENCE);
     let object = caller.object.as_ref().filter(|_| route.affinity);
     let object = object.map(|o| object_of(&route, o.as_bytes()));
-    let ask = Ask {
+    let ask = direct::Request {
         print: print_of(arrival.caller, &head.method, &head.uri, object, &body),
         object,
         deadline: arrived + patience,
@@ -274,7 +276,7 @@
 }
 
 impl Errand {
-    async fn run(self, ask: Ask) -> Response {
+    async fn run(self, ask: direct::Request) -> Response {
         let (ticket, orders) = match self.shared.arrive(ask) {
             Ok(taken) => taken,
             Err(why) => return self.give_up(why, NOT_YET),
@@ -289,8 +291,8 @@
         loop {
             let order = self.until(limit, orders.recv()).await;
             let go = match order {
-                Some(Ok(Order::Go(go))) => go,
-                Some(Ok(Order::Reject { why, after, .. })) => {
+                Some(Ok(Decision::Send(go))) => go,
+                Some(Ok(Decision::Reject { why, after, .. })) => {
                     drop(seat);
                     return self.give_up(why, after);
                 }
@@ -305,12 +307,12 @@
             };
             let (next, answer) = self.attempt(&go, limit, &mut may_have_run).await;
             match next {
-                Next::Again => {}
-                Next::Settled => {
+                FollowUp::Retry => {}
+                FollowUp::Settled => {
                     drop(seat);
                     return answer.unwrap_or_else(|| self.unknown());
                 }
-                Next::Reject { after } => {
+                FollowUp::Reject { after } => {
                     drop(seat);
                     return self.reject("rejected-by-targets", after);
                 }
@@ -331,24 +333,27 @@
     /// Sends the request to one target; notes whether it may have run there.
     async fn attempt(
         &self,
-        go: &Go,
+        go: &Assignment,
         limit: Time,
         may_have_run: &mut bool,
-    ) -> (Next, Option<Response>) {
+    ) -> (FollowUp, Option<Response>) {
         let began = self.shared.now();
         let left = limit.since(began);
         let (ending, answer, word) = if self.shared.read(|now, d| d.may_go(now, go)) {
             let run = attempt::run(&self.shared, go, &self.whole, left);
             match self.until(limit, run).await {
                 Some(ended) => (ended.ending, ended.answer, ended.word),
-                None => (Ending::Late, None, None),
+                None => (AttemptOutcome::TimedOut, None, None),
             }
         } else {
-            (Ending::Withdrawn, None, None)
+            (AttemptOutcome::Withdrawn, None, None)
         };
         *may_have_run |= !matches!(
             ending,
-            Ending::Unreached | Ending::Withdrawn | Ending::NotRun | Ending::Elsewhere
+            AttemptOutcome::NotSent
+                | AttemptOutcome::Withdrawn
+                | AttemptOutcome::NotRun
+                | AttemptOutcome::WrongTarget
         );
         let (next, named) = self.shared.decide(|now, direct| {
             let next = direct.ended(now, go.ticket, ending);
@@ -378,7 +383,7 @@
                 object: self.object,
             },
         );
-        let usable = matches!(ending, Ending::Answered | Ending::Failed);
+        let usable = matches!(ending, AttemptOutcome::Answered | AttemptOutcome::Failed);
         let answer = answer.filter(|a| usable && !attempt::promises(a.status()));
         (next, answer)
     }
@@ -388,20 +393,20 @@
         id.unwrap_or_default()
     }
 
-    fn give_up(&self, why: Why, after: Duration) -> Response {
+    fn give_up(&self, why: Rejection, after: Duration) -> Response {
         match why {
-            Why::NoTarget => self.reject("no-target", after),
-            Why::NoHome => self.reject("no-home", after),
-            Why::Unsure => self.reject("unsure-of-keys", NOT_YET),
-            Why::Denied => self.own(StatusCode::UNAUTHORIZED, "key-taken-away"),
-            Why::Quota => {
+            Rejection::NoTarget => self.reject("no-target", after),
+            Rejection::NoRegion => self.reject("no-home", after),
+            Rejection::KeysStale => self.reject("unsure-of-keys", NOT_YET),
+            Rejection::Denied => self.own(StatusCode::UNAUTHORIZED, "key-taken-away"),
+            Rejection::Quota => {
                 let mut response = self.own(StatusCode::TOO_MANY_REQUESTS, "over-quota");
                 headers::come_back(response.headers_mut(), after);
                 response
             }
-            Why::Overload => self.reject("overload", after),
-            Why::Poison => self.reject("crashes-targets", POISON),
-            Why::Doubt => self.unknown(),
+            Rejection::Overload => self.reject("overload", after),
+            Rejection::Poison => self.reject("crashes-targets", POISON),
+            Rejection::OutcomeUnknown => self.unknown(),
         }
     }
 
@@ -480,16 +485,16 @@
     u64::try_from(later.since(earlier).as_millis()).unwrap_or(u64::MAX)
 }
 
-const fn name(ending: Ending) -> &'static str {
+const fn name(ending: AttemptOutcome) -> &'static str {
     match ending {
-        Ending::Answered => "answered",
-        Ending::Failed => "failed",
-        Ending::NotRun => "not-run",
-        Ending::Elsewhere => "elsewhere",
-        Ending::Unreached => "unreached",
-        Ending::Withdrawn => "withdrawn",
-        Ending::Broken => "broken",
-        Ending::Garbled => "garbled",
-        Ending::Late => "late",
+        AttemptOutcome::Answered => "answered",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::NotRun => "not-run",
+        AttemptOutcome::WrongTarget => "elsewhere",
+        AttemptOutcome::NotSent => "unreached",
+        AttemptOutcome::Withdrawn => "withdrawn",
+        AttemptOutcome::ConnectionLost => "broken",
+        AttemptOutcome::InvalidResponse => "garbled",
+        AttemptOutcome::TimedOut => "late",
     }
 }
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -77,7 +77,7 @@
     /// What the target says of itself.
     pub word: Word,
     /// What decided it.
-    pub go: &'a steer::process::direct::Go,
+    pub go: &'a steer::process::direct::Assignment,
     /// The object's hash; 0 if it names none.
     pub object: u64,
 }
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -15,7 +15,9 @@
 use steer::process::direct::budget::Rule;
 use steer::process::direct::members::Row;
 use steer::process::direct::replica::Replica;
-use steer::process::direct::{Ask, Bounds, Direct, Home, Order, Ticket, Why, access, limit, quota};
+use steer::process::direct::{
+    Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, access, limit, quota,
+};
 
 use super::{Executor, Failure, events, metrics, peer, server};
 
@@ -30,7 +32,7 @@
 /// A request that waits for its order.
 pub(super) struct Waiter {
     ticket: Ticket,
-    order: async_channel::Sender<Order>,
+    order: async_channel::Sender<Decision>,
 }
 
 /// State that both threads share.
@@ -102,7 +104,7 @@
             warm: 0,
             connect: CONNECT,
         };
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&settings.name),
             region: Arc::clone(&settings.region),
             life: fastrand::u64(1..),
@@ -229,7 +231,10 @@
     }
 
     /// Takes a request in, registered for its orders before any is given.
-    pub(super) fn arrive(&self, ask: Ask) -> Result<(Ticket, async_channel::Receiver<Order>), Why> {
+    pub(super) fn arrive(
+        &self,
+        ask: Request,
+    ) -> Result<(Ticket, async_channel::Receiver<Decision>), Rejection> {
         let (order, orders) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
         let ticket = steering.direct.arrive(self.now(), ask)?;
@@ -263,10 +268,10 @@
 }
 
 impl Steering {
-    fn hand(&mut self, order: Order) {
+    fn hand(&mut self, order: Decision) {
         let ticket = match &order {
-            Order::Go(go) => go.ticket,
-            Order::Reject { ticket, .. } => *ticket,
+            Decision::Send(go) => go.ticket,
+            Decision::Reject { ticket, .. } => *ticket,
         };
         if let Ok(at) = self.waiters.binary_search_by_key(&ticket, |w| w.ticket) {
             // A request waits for one order at a time, so there is room.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -16,7 +16,7 @@
 
 use fastrand::Rng;
 use steer::process::direct::members::Beat;
-use steer::process::direct::{Ending, Ticket};
+use steer::process::direct::{AttemptOutcome, Ticket};
 
 use crate::brain::Brain;
 use crate::plan::{Kind, Plan};
@@ -90,7 +90,7 @@
     },
     Back {
         sent: Sent,
-        ending: Ending,
+        ending: AttemptOutcome,
         load: u32,
     },
     Tick(usize),
--- a/crates/emulator/src/world/central.rs
+++ b/crates/emulator/src/world/central.rs
@@ -6,7 +6,7 @@
 //! it wait where a target that holds its object will be free soon enough; it
 //! rejects what no target can answer in time.
 
-use steer::process::direct::Ending;
+use steer::process::direct::AttemptOutcome;
 
 use super::target::Target;
 use super::{Event, Micros, Sent, WINDOW, World, micros};
@@ -323,7 +323,7 @@
         }
     }
 
-    pub(super) fn central_back(&mut self, sent: &Sent, ending: Ending) {
+    pub(super) fn central_back(&mut self, sent: &Sent, ending: AttemptOutcome) {
         let found = self
             .central
             .flying
@@ -337,10 +337,10 @@
             return;
         }
         let kind = self.kind(sent.request);
-        let not_run = matches!(ending, Ending::NotRun | Ending::Unreached);
+        let not_run = matches!(ending, AttemptOutcome::NotRun | AttemptOutcome::NotSent);
         let again = waiting.attempts < kind.attempts && self.now < waiting.limit;
         match ending {
-            Ending::Answered => {
+            AttemptOutcome::Answered => {
                 let far = self.targets[sent.target].region != sent.region;
                 self.answered(sent.request, far);
             }
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -12,7 +12,10 @@
 
 use steer::clock::Time;
 use steer::process::direct::members::Row;
-use steer::process::direct::{Ask, Direct, Ending, Go, Home, Next, Order, TICK, Ticket, Why, hash};
+use steer::process::direct::{
+    Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Rejection, Request, TICK,
+    Ticket, hash,
+};
 use steer::request::arrival::Fingerprint;
 
 pub(super) use knowledge::LAPSE;
@@ -127,7 +130,7 @@
         let instance = &mut self.instances[number];
         instance.life += 1;
         instance.boot = self.now;
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&instance.name),
             region: Arc::clone(&self.regions[instance.region]),
             life: instance.life,
@@ -211,7 +214,7 @@
             self.rejected(request, 500_000);
             return;
         };
-        let ask = Ask {
+        let ask = Request {
             route,
             pass: None,
             object: Some(object),
@@ -251,8 +254,10 @@
         };
         for order in direct.step(now) {
             match order {
-                Order::Go(go) => self.go(number, &go),
-                Order::Reject { ticket, why, after } => self.turn_away(number, ticket, why, after),
+                Decision::Send(go) => self.go(number, &go),
+                Decision::Reject { ticket, why, after } => {
+                    self.turn_away(number, ticket, why, after)
+                }
             }
         }
         let instance = &mut self.instances[number];
@@ -268,14 +273,14 @@
         self.pump(number);
     }
 
-    fn turn_away(&mut self, number: usize, ticket: Ticket, why: Why, after: Duration) {
+    fn turn_away(&mut self, number: usize, ticket: Ticket, why: Rejection, after: Duration) {
         let Some(held) = self.drop_ask(number, ticket) else {
             return;
         };
         if self.requests[held.request].current != held.current {
             return;
         }
-        if matches!(why, Why::Doubt) || held.may_have_run {
+        if matches!(why, Rejection::OutcomeUnknown) || held.may_have_run {
             self.failed(held.request);
         } else {
             self.rejected(held.request, micros(after));
@@ -288,7 +293,7 @@
         Some(asks.remove(at))
     }
 
-    fn go(&mut self, number: usize, go: &Go) {
+    fn go(&mut self, number: usize, go: &Assignment) {
         let Some(target) = self.targets.iter().position(|t| t.name == go.target) else {
             // It is gone, and nobody has its address.
             self.lost(number, go.ticket);
@@ -327,7 +332,7 @@
             until,
         };
         if self.is_cut(region, there) {
-            let ending = Ending::Unreached;
+            let ending = AttemptOutcome::NotSent;
             self.after(
                 CONNECT,
                 Event::Back {
@@ -352,7 +357,7 @@
             region: self.instances[number].region,
             until: self.now,
         };
-        let ending = Ending::Unreached;
+        let ending = AttemptOutcome::NotSent;
         self.after(
             CONNECT,
             Event::Back {
@@ -364,7 +369,7 @@
     }
 
     /// An attempt has ended.
-    pub(super) fn back(&mut self, sent: &Sent, ending: Ending, load: u32) {
+    pub(super) fn back(&mut self, sent: &Sent, ending: AttemptOutcome, load: u32) {
         let Some((number, life, ticket)) = sent.from else {
             self.central_back(sent, ending);
             return;
@@ -379,7 +384,7 @@
         };
         let not_run = matches!(
             ending,
-            Ending::NotRun | Ending::Unreached | Ending::Elsewhere
+            AttemptOutcome::NotRun | AttemptOutcome::NotSent | AttemptOutcome::WrongTarget
         );
         instance.asks[at].may_have_run |= !not_run;
         instance.asks[at].at = None;
@@ -394,18 +399,20 @@
             target.tell(now, load);
         }
         match next {
-            Next::Again => {}
-            Next::Settled => {
+            FollowUp::Retry => {}
+            FollowUp::Settled => {
                 self.drop_ask(number, ticket);
                 if self.requests[held.request].current == held.current {
                     let far = self.targets[sent.target].region != sent.region;
                     match ending {
-                        Ending::Answered => self.answered(held.request, far),
+                        AttemptOutcome::Answered => self.answered(held.request, far),
                         _ => self.failed(held.request),
                     }
                 }
             }
-            Next::Reject { after } => self.turn_away(number, ticket, Why::Overload, after),
+            FollowUp::Reject { after } => {
+                self.turn_away(number, ticket, Rejection::Overload, after)
+            }
         }
         self.pump(number);
     }
@@ -421,7 +428,7 @@
         let now = self.clock(number);
         if let Some(direct) = &mut self.instances[number].direct {
             if held.at.is_some() {
-                direct.ended(now, ticket, Ending::Late);
+                direct.ended(now, ticket, AttemptOutcome::TimedOut);
             }
             direct.leave(now, ticket);
         }
--- a/crates/emulator/src/world/target.rs
+++ b/crates/emulator/src/world/target.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fastrand::Rng;
-use steer::process::direct::Ending;
+use steer::process::direct::AttemptOutcome;
 
 use super::{Event, Micros, Sent, World, micros};
 use crate::plan::Plan;
@@ -136,19 +136,19 @@
         let place = sent.target;
         let target = &mut self.targets[place];
         if !target.up || target.born != sent.born {
-            self.answer(sent, Ending::Unreached, 0);
+            self.answer(sent, AttemptOutcome::NotSent, 0);
             return;
         }
         let shed = target.shed > 0.0 && target.rng.f64() < target.shed;
         let full = !target.has_slot() && target.waiting.len() >= target.queue;
         if shed || full {
-            self.answer(sent, Ending::NotRun, 0);
+            self.answer(sent, AttemptOutcome::NotRun, 0);
             return;
         }
         self.bear(place);
         let target = &mut self.targets[place];
         if !target.up {
-            self.answer(sent, Ending::Broken, 0);
+            self.answer(sent, AttemptOutcome::ConnectionLost, 0);
             return;
         }
         if target.has_slot() {
@@ -224,11 +224,11 @@
         let failed = target.fail > 0.0 && target.rng.f64() < target.fail;
         let late = self.now >= run.sent.until;
         let ending = if lost {
-            Ending::Broken
+            AttemptOutcome::ConnectionLost
         } else if failed || late {
-            Ending::Failed
+            AttemptOutcome::Failed
         } else {
-            Ending::Answered
+            AttemptOutcome::Answered
         };
         self.answer(run.sent, ending, load);
         self.next_run(place);
@@ -241,7 +241,7 @@
                 break;
             };
             if self.now >= sent.until {
-                self.answer(sent, Ending::NotRun, 0);
+                self.answer(sent, AttemptOutcome::NotRun, 0);
             } else {
                 self.run(place, sent);
             }
@@ -262,7 +262,7 @@
     }
 
     /// Sends an ending back the way the request came.
-    fn answer(&mut self, sent: Sent, ending: Ending, load: u32) {
+    fn answer(&mut self, sent: Sent, ending: AttemptOutcome, load: u32) {
         let target = &self.targets[sent.target];
         let from = sent
             .from
@@ -289,7 +289,7 @@
         let waits: Vec<Sent> = target.waiting.drain(..).collect();
         target.forget();
         for sent in runs.into_iter().chain(waits) {
-            self.answer(sent, Ending::Broken, 0);
+            self.answer(sent, AttemptOutcome::ConnectionLost, 0);
         }
         self.after(span, Event::Revive(place));
         // Its entry lapses by itself, some heartbeats later.
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -14,7 +14,9 @@
 use steer::clock::Time;
 use steer::process::direct::members::Beat;
 use steer::process::direct::target::{Entry, Word};
-use steer::process::direct::{Ask, Direct, Ending, Go, Home, Next, Order, Ticket};
+use steer::process::direct::{
+    Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Request, Ticket,
+};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::Routes;
 
@@ -51,14 +53,14 @@
     Land {
         node: usize,
         life: u64,
-        go: Go,
+        go: Assignment,
         sent: Time,
     },
     End {
         node: usize,
         life: u64,
         ticket: Ticket,
-        ending: Ending,
+        ending: AttemptOutcome,
         target: usize,
         word: Word,
     },
@@ -200,7 +202,7 @@
         node.told.clear();
         node.boot = self.now;
         node.read = Time::ZERO;
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&node.name),
             region: setup::region(node.region),
             life: node.life,
@@ -256,7 +258,7 @@
         self.bodies.push(Some(event));
     }
 
-    fn land(&mut self, node: usize, life: u64, go: &Go, sent: Time) {
+    fn land(&mut self, node: usize, life: u64, go: &Assignment, sent: Time) {
         let found = self.targets.iter().position(|t| t.entry.id == go.target);
         let Some(target) = found else { return };
         let limit = self.limit(target);
@@ -272,11 +274,11 @@
         let work = self.some(WORK.0, WORK.1);
         let draw = self.rng.f64();
         let ending = match draw {
-            _ if !self.plan.failing => Ending::Answered,
-            _ if draw < 0.1 => Ending::NotRun,
-            _ if draw < 0.2 => Ending::Failed,
-            _ if draw < 0.25 => Ending::Broken,
-            _ => Ending::Answered,
+            _ if !self.plan.failing => AttemptOutcome::Answered,
+            _ if draw < 0.1 => AttemptOutcome::NotRun,
+            _ if draw < 0.2 => AttemptOutcome::Failed,
+            _ if draw < 0.25 => AttemptOutcome::ConnectionLost,
+            _ => AttemptOutcome::Answered,
         };
         let ticket = go.ticket;
         let end = Event::End {
@@ -287,10 +289,17 @@
             target,
             word: Word { load: None, limit },
         };
-        self.later(if ending == Ending::NotRun { MS } else { work }, end);
+        self.later(
+            if ending == AttemptOutcome::NotRun {
+                MS
+            } else {
+                work
+            },
+            end,
+        );
     }
 
-    fn end(&mut self, at: usize, life: u64, ticket: Ticket, ending: Ending) {
+    fn end(&mut self, at: usize, life: u64, ticket: Ticket, ending: AttemptOutcome) {
         let node = &mut self.nodes[at];
         let now = node.clock(self.now);
         if node.life != life {
@@ -299,7 +308,7 @@
         let Some(direct) = &mut node.direct else {
             return;
         };
-        if direct.ended(now, ticket, ending) != Next::Again {
+        if direct.ended(now, ticket, ending) != FollowUp::Retry {
             node.asks.retain(|a| a.0 != ticket);
         }
     }
@@ -425,7 +434,7 @@
         let Some(direct) = &mut node.direct else {
             return;
         };
-        let ask = Ask {
+        let ask = Request {
             route: Arc::clone(&self.routes.routes()[0]),
             pass: None,
             object: Some(object),
@@ -452,14 +461,16 @@
             };
             for order in direct.step(now) {
                 match order {
-                    Order::Reject { ticket, .. } => self.nodes[at].asks.retain(|a| a.0 != ticket),
-                    Order::Go(go) => self.send(at, life, home, go),
+                    Decision::Reject { ticket, .. } => {
+                        self.nodes[at].asks.retain(|a| a.0 != ticket)
+                    }
+                    Decision::Send(go) => self.send(at, life, home, go),
                 }
             }
         }
     }
 
-    fn send(&mut self, node: usize, life: u64, home: usize, go: Go) {
+    fn send(&mut self, node: usize, life: u64, home: usize, go: Assignment) {
         let found = self.targets.iter().find(|t| t.entry.id == go.target);
         let elsewhere = found.is_some_and(|t| t.region != home);
         let asks = &self.nodes[node].asks;
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -37,7 +37,10 @@
 use std::sync::Arc;
 
 pub use hash::{hash, mark_of, unit};
-pub use message::{Admission, Ask, Bounds, Ending, Go, Home, Next, Order, Ticket, Why};
+pub use message::{
+    Admission, Assignment, AttemptOutcome, Bounds, Decision, FollowUp, Identity, Rejection,
+    Request, Ticket,
+};
 
 use crate::clock::Time;
 use crate::request::poison::{STRIKES, Suspects};
@@ -60,7 +63,7 @@
 /// Steering of one instance.
 #[derive(Debug)]
 pub struct Direct {
-    home: Home,
+    home: Identity,
     bounds: Bounds,
     levers: Levers,
     routes: Option<Arc<Routes>>,
@@ -101,14 +104,14 @@
 impl Direct {
     /// Nothing known yet.
     #[must_use]
-    pub fn new(home: Home, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
+    pub fn new(home: Identity, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
         Self::with(home, bounds, domains, Levers::ALL)
     }
 
     /// The same with only some mechanisms, to measure the others.
     #[must_use]
     pub fn with(
-        home: Home,
+        home: Identity,
         bounds: Bounds,
         domains: Vec<(Arc<str>, Arc<str>)>,
         levers: Levers,
@@ -201,15 +204,18 @@
     /// # Errors
     /// If its route has no service, no region is home to both its route and its
     /// team, or it has crashed targets before.
-    pub fn arrive(&mut self, now: Time, ask: Ask) -> Result<Ticket, Why> {
+    pub fn arrive(&mut self, now: Time, ask: Request) -> Result<Ticket, Rejection> {
         if self.suspects.strikes(ask.print) >= STRIKES {
-            return Err(Why::Poison);
+            return Err(Rejection::Poison);
         }
         if !self.has_region(&ask) {
-            return Err(Why::NoHome);
+            return Err(Rejection::NoRegion);
         }
         let offset = unit(hash(self.home.name.as_bytes()));
-        let service = self.splits.next(&ask.route, offset).ok_or(Why::NoTarget)?;
+        let service = self
+            .splits
+            .next(&ask.route, offset)
+            .ok_or(Rejection::NoTarget)?;
         let rule = self.bounds.repeats;
         self.budget(&service).request(now, &rule);
         let ticket = Ticket(self.next);
@@ -239,7 +245,7 @@
     }
 
     /// Whether any region may serve a request, by its route and its team.
-    fn has_region(&self, ask: &Ask) -> bool {
+    fn has_region(&self, ask: &Request) -> bool {
         let mut regions = self.roster.regions().peekable();
         regions.peek().is_none() || regions.any(|region| ask.allows(region))
     }
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use super::Direct;
-use super::message::{Ask, Why};
+use super::message::{Rejection, Request};
 use crate::clock::Time;
 use crate::version::routes::{Route, Routes};
 use crate::version::teams::{KeyDigest, Team};
@@ -185,13 +185,13 @@
     }
 
     /// Why a request that was let in may not be sent now.
-    pub(super) fn withheld(&self, now: Time, ask: &Ask) -> Option<Why> {
+    pub(super) fn withheld(&self, now: Time, ask: &Request) -> Option<Rejection> {
         let pass = ask.pass.as_ref().filter(|_| !ask.route.open)?;
         let held = self.routes.as_ref().and_then(|r| r.teams.find(&pass.key));
         if held.is_none_or(|team| team.name != pass.team.name) {
-            return Some(Why::Denied);
+            return Some(Rejection::Denied);
         }
-        (!self.is_sure(now)).then_some(Why::Unsure)
+        (!self.is_sure(now)).then_some(Rejection::KeysStale)
     }
 
     /// The bound on keys taken away, if there are keys, or may be.
--- a/crates/steer/src/process/direct/job.rs
+++ b/crates/steer/src/process/direct/job.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::message::{Admission, Ask, Ticket, Why};
+use super::message::{Admission, Rejection, Request, Ticket};
 use crate::clock::Time;
 
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) ticket: Ticket,
-    pub(super) ask: Ask,
+    pub(super) ask: Request,
     pub(super) service: Arc<str>,
     pub(super) arrived: Time,
     /// End of the time that caller and operator allow.
@@ -43,8 +43,12 @@
 impl Job {
     /// Why it is given up: whatever keeps it from being sent again, a request
     /// that may have run must not be called "not run".
-    pub(super) const fn why(&self, why: Why) -> Why {
-        if self.may_have_run { Why::Doubt } else { why }
+    pub(super) const fn why(&self, why: Rejection) -> Rejection {
+        if self.may_have_run {
+            Rejection::OutcomeUnknown
+        } else {
+            why
+        }
     }
 
     pub(super) fn objective(&self) -> Time {
--- a/crates/steer/src/process/direct/line.rs
+++ b/crates/steer/src/process/direct/line.rs
@@ -9,7 +9,7 @@
 
 use super::job::{Job, State};
 use super::levers::Lever;
-use super::message::{Go, Order, Ticket, Why};
+use super::message::{Assignment, Decision, Rejection, Ticket};
 use super::spillover::Spillover;
 use super::{Direct, SPARE, place, unit};
 use crate::clock::Time;
@@ -38,7 +38,7 @@
 impl Direct {
     /// Decides on everything that waits. To be called after each event, and at
     /// the latest after [`TICK`] while something waits.
-    pub fn step(&mut self, now: Time) -> Vec<Order> {
+    pub fn step(&mut self, now: Time) -> Vec<Decision> {
         let mut order: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
         for job in &self.jobs {
             if matches!(job.state, State::Waiting) {
@@ -68,7 +68,7 @@
         orders
     }
 
-    fn decide(&mut self, now: Time, ticket: Ticket) -> Option<Order> {
+    fn decide(&mut self, now: Time, ticket: Ticket) -> Option<Decision> {
         let at = self.find(ticket).ok()?;
         if let Some(why) = self.withheld(now, &self.jobs[at].ask) {
             return Some(self.reject(now, at, why, None));
@@ -81,14 +81,14 @@
             self.choose_side(now, at);
         }
         if self.is_too_late(now, &self.jobs[at]) {
-            return Some(self.reject(now, at, Why::Overload, None));
+            return Some(self.reject(now, at, Rejection::Overload, None));
         }
         let Some(best) = self.place(now, &self.jobs[at]) else {
             return self.without_place(now, at);
         };
         let job = &self.jobs[at];
         if best.open && !self.outlasts(now, &best) {
-            return Some(Order::Go(self.send(now, at, &best)));
+            return Some(Decision::Send(self.send(now, at, &best)));
         }
         let held = now.since(job.arrived).as_secs_f64();
         let goal = job.ask.route.goal.as_secs_f64();
@@ -98,7 +98,7 @@
         let reject = self.levers.has(Lever::Reject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
             let after = Self::after(&self.jobs[at], best.wait);
-            return Some(self.reject(now, at, Why::Overload, Some(after)));
+            return Some(self.reject(now, at, Rejection::Overload, Some(after)));
         }
         self.roster.all_mut()[best.index].reserved += 1;
         None
@@ -118,7 +118,7 @@
     }
 
     /// No target can be used now.
-    fn without_place(&mut self, now: Time, at: usize) -> Option<Order> {
+    fn without_place(&mut self, now: Time, at: usize) -> Option<Decision> {
         let job = &self.jobs[at];
         let goal = job.ask.route.goal.mul_f64(HOLD);
         // One that was sent already, or has just come, waits for a target that
@@ -126,14 +126,20 @@
         if now < job.arrived + goal && now + SPARE < job.limit {
             return None;
         }
-        Some(self.reject(now, at, Why::NoTarget, None))
+        Some(self.reject(now, at, Rejection::NoTarget, None))
     }
 
     /// Takes a request out; its caller may come back `after`, or soon.
-    fn reject(&mut self, now: Time, at: usize, why: Why, after: Option<Duration>) -> Order {
+    fn reject(
+        &mut self,
+        now: Time,
+        at: usize,
+        why: Rejection,
+        after: Option<Duration>,
+    ) -> Decision {
         let job = self.jobs.remove(at);
         self.give_back(now, &job);
-        Order::Reject {
+        Decision::Reject {
             ticket: job.ticket,
             why: job.why(why),
             after: match after {
@@ -143,7 +149,7 @@
         }
     }
 
-    fn send(&mut self, now: Time, at: usize, best: &place::Place) -> Go {
+    fn send(&mut self, now: Time, at: usize, best: &place::Place) -> Assignment {
         let load = self.load(now, &self.roster.all()[best.index]);
         let span = self.remembered(&self.roster.all()[best.index]);
         let target = &mut self.roster.all_mut()[best.index];
@@ -164,7 +170,7 @@
             warm: best.warm,
             queued,
         };
-        Go {
+        Assignment {
             ticket: job.ticket,
             target: id,
             addr,
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -34,7 +34,7 @@
 
 /// Who this instance is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Identity {
     /// Its name.
     pub name: Arc<str>,
     /// Its region.
@@ -51,7 +51,7 @@
 
 /// A request that asks for a target.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Its route.
     pub route: Arc<Route>,
     /// The team whose it is, where requests need a key.
@@ -64,7 +64,7 @@
     pub print: Fingerprint,
 }
 
-impl Ask {
+impl Request {
     /// Rank among the requests of a service, (0, 0) the most urgent: the team's
     /// goes before the route's, and the route's decides among equals.
     #[must_use]
@@ -100,18 +100,18 @@
     Admitted,
 }
 
-/// Why a request is given up. But for [`Why::Doubt`] it has not run and will
+/// Why a request is given up. But for [`Rejection::OutcomeUnknown`] it has not run and will
 /// not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum Rejection {
     /// No target of its service is known.
     NoTarget,
     /// No region is home to both its route and its team.
-    NoHome,
+    NoRegion,
     /// Its key is no team's, or no longer.
     Denied,
     /// This instance may lie behind a change of keys.
-    Unsure,
+    KeysStale,
     /// Its team is over its quota.
     Quota,
     /// It can't be answered in time.
@@ -119,12 +119,12 @@
     /// It crashes the targets that run it.
     Poison,
     /// It may have run at a target that gave no whole answer.
-    Doubt,
+    OutcomeUnknown,
 }
 
 /// A request is to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Go {
+pub struct Assignment {
     /// The request.
     pub ticket: Ticket,
     /// Name of the target.
@@ -149,15 +149,15 @@
 
 /// What is to be done now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Decision {
     /// Send.
-    Go(Go),
+    Send(Assignment),
     /// Reject; the caller may come back after the given time.
     Reject {
         /// The request.
         ticket: Ticket,
         /// Why.
-        why: Why,
+        why: Rejection,
         /// When to come back.
         after: Duration,
     },
@@ -165,7 +165,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// A whole answer that goes to the caller.
     Answered,
     /// A whole answer that says that the target failed.
@@ -173,27 +173,27 @@
     /// The target says that it didn't run it.
     NotRun,
     /// Another target has the address.
-    Elsewhere,
+    WrongTarget,
     /// Nothing was sent.
-    Unreached,
+    NotSent,
     /// Nothing was sent, as the target had begun to leave before its turn came.
     Withdrawn,
     /// The connection broke after something was sent.
-    Broken,
+    ConnectionLost,
     /// What came back isn't the answer to this request.
-    Garbled,
+    InvalidResponse,
     /// No answer in time.
-    Late,
+    TimedOut,
 }
 
 /// What follows from an ending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum FollowUp {
     /// The request is settled: hand on what the target said, or say that its
     /// fate isn't known.
     Settled,
     /// It waits for another target.
-    Again,
+    Retry,
     /// It has not run and is not tried again.
     Reject {
         /// When the caller may come back.
--- a/crates/steer/src/process/direct/quota.rs
+++ b/crates/steer/src/process/direct/quota.rs
@@ -26,7 +26,7 @@
 pub use rule::Rule;
 
 use super::members::Row;
-use super::message::{Admission, Why};
+use super::message::{Admission, Rejection};
 use super::{Direct, members, parts};
 use crate::clock::Time;
 use crate::version::teams::{Quota, Team};
@@ -401,10 +401,10 @@
 
 impl Held {
     /// What it means for a request, `None` if it stays.
-    pub(super) const fn verdict(self) -> Option<(Why, Duration)> {
+    pub(super) const fn verdict(self) -> Option<(Rejection, Duration)> {
         match self {
             Self::Waits => None,
-            Self::Refused(after) => Some((Why::Quota, after)),
+            Self::Refused(after) => Some((Rejection::Quota, after)),
         }
     }
 }
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/settle.rs
@@ -8,7 +8,7 @@
 
 use super::job::{Job, State};
 use super::levers::Lever;
-use super::message::{Ending, Go, Next, Ticket};
+use super::message::{Assignment, AttemptOutcome, FollowUp, Ticket};
 use super::target::Word;
 use super::{Direct, SPARE, mark_of, members};
 use crate::clock::Time;
@@ -36,16 +36,16 @@
 
     /// The same for a request itself: its key may have been taken away.
     #[must_use]
-    pub fn may_go(&self, now: Time, go: &Go) -> bool {
+    pub fn may_go(&self, now: Time, go: &Assignment) -> bool {
         let job = self.find(go.ticket).map(|at| &self.jobs[at]);
         let kept = job.is_ok_and(|job| self.withheld(now, &job.ask).is_none());
         kept && self.may_send(&go.target)
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, ending: Ending) -> Next {
+    pub fn ended(&mut self, now: Time, ticket: Ticket, ending: AttemptOutcome) -> FollowUp {
         let Ok(at) = self.find(ticket) else {
-            return Next::Settled;
+            return FollowUp::Settled;
         };
         let State::At {
             target,
@@ -55,7 +55,7 @@
             queued,
         } = mem::replace(&mut self.jobs[at].state, State::Waiting)
         else {
-            return Next::Settled;
+            return FollowUp::Settled;
         };
         self.landed(&target);
         self.judge(now, &self.jobs[at].clone(), &target, since, ending);
@@ -63,15 +63,15 @@
         let object = self.jobs[at].ask.object;
         let ratio = (!queued).then_some(took / expected.max(0.001));
         match ending {
-            Ending::Answered if self.work(&self.jobs[at]).sure => {
+            AttemptOutcome::Answered if self.work(&self.jobs[at]).sure => {
                 self.note_slow(&target, ratio);
             }
-            Ending::Answered | Ending::NotRun | Ending::Withdrawn => {}
+            AttemptOutcome::Answered | AttemptOutcome::NotRun | AttemptOutcome::Withdrawn => {}
             _ => self.note_failed(&target),
         }
         if let Some(target) = self.roster.get_mut(&target) {
             match ending {
-                Ending::Answered => {
+                AttemptOutcome::Answered => {
                     target.answered(now, ratio);
                     if let Some(object) = object
                         && target.handled(now, mark_of(object), true)
@@ -80,15 +80,19 @@
                         self.news.push((mark, mark_of(object)));
                     }
                 }
-                Ending::NotRun => target.health.refused(now),
-                Ending::Failed | Ending::Garbled | Ending::Late => {
+                AttemptOutcome::NotRun => target.health.refused(now),
+                AttemptOutcome::Failed
+                | AttemptOutcome::InvalidResponse
+                | AttemptOutcome::TimedOut => {
                     target.health.failed(now);
                 }
-                Ending::Elsewhere | Ending::Unreached | Ending::Broken => target.unreached(now),
-                Ending::Withdrawn => {}
+                AttemptOutcome::WrongTarget
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::ConnectionLost => target.unreached(now),
+                AttemptOutcome::Withdrawn => {}
             }
         }
-        if ending == Ending::Answered {
+        if ending == AttemptOutcome::Answered {
             self.note_punctual(now, at, &target, warm);
             if !queued {
                 let job = &self.jobs[at];
@@ -96,20 +100,27 @@
                     .add(&job.service, &job.ask.route.name, warm, took);
             }
             self.jobs.remove(at);
-            return Next::Settled;
+            return FollowUp::Settled;
         }
         self.after_failure(now, at, ending)
     }
 
     /// What an ending says for or against the request itself: one that crashes
     /// its targets comes again and again, at any instance.
-    fn judge(&mut self, now: Time, job: &Job, target: &Arc<str>, since: Time, ending: Ending) {
+    fn judge(
+        &mut self,
+        now: Time,
+        job: &Job,
+        target: &Arc<str>,
+        since: Time,
+        ending: AttemptOutcome,
+    ) {
         let print = job.ask.print;
         match ending {
-            Ending::Broken => {
+            AttemptOutcome::ConnectionLost => {
                 self.suspects.strike(now, job.strikes, print, target);
             }
-            Ending::Answered if !self.suspects.is_empty() => {
+            AttemptOutcome::Answered if !self.suspects.is_empty() => {
                 self.suspects.clear(print);
                 // What follows is told by the next heartbeats.
                 self.suspects.survived(target, since, &mut Vec::new());
@@ -131,10 +142,13 @@
     }
 
     /// Whether a request whose attempt failed is tried elsewhere.
-    fn after_failure(&mut self, now: Time, at: usize, ending: Ending) -> Next {
+    fn after_failure(&mut self, now: Time, at: usize, ending: AttemptOutcome) -> FollowUp {
         let not_run = matches!(
             ending,
-            Ending::NotRun | Ending::Elsewhere | Ending::Unreached | Ending::Withdrawn
+            AttemptOutcome::NotRun
+                | AttemptOutcome::WrongTarget
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::Withdrawn
         );
         let job = &mut self.jobs[at];
         job.may_have_run |= !not_run;
@@ -145,20 +159,20 @@
         let time = now + SPARE < job.limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
-        let arrived = !matches!(ending, Ending::Unreached | Ending::Withdrawn);
+        let arrived = !matches!(ending, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
         let rule = self.bounds.repeats;
         let instances = self.sharers.len() + 1;
         // What never arrived costs no target anything; the bound is on arrivals.
         let leave = !arrived || self.budget(&service).spend(now, &rule, instances);
         if again && left && time && leave {
-            return Next::Again;
+            return FollowUp::Retry;
         }
         let job = self.jobs.remove(at);
         if may_have_run {
-            return Next::Settled;
+            return FollowUp::Settled;
         }
         self.give_back(now, &job);
-        Next::Reject {
+        FollowUp::Reject {
             after: Self::after(&job, 0.0),
         }
     }
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -7,7 +7,9 @@
 use steer::clock::Time;
 use steer::process::direct::access::{self, Access, Pass, Presented};
 use steer::process::direct::upstream::Upstream;
-use steer::process::direct::{Ask, Bounds, Direct, Ending, Next, Order, Why};
+use steer::process::direct::{
+    AttemptOutcome, Bounds, Decision, Direct, FollowUp, Rejection, Request,
+};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::Route;
 use steer::version::teams::{Clash, KeyDigest, Team, Teams};
@@ -58,10 +60,10 @@
     bench.direct.access(now, routes, &bench.route, presented)
 }
 
-fn ask(bench: &Bench, now: Time, team: &str) -> Ask {
+fn ask(bench: &Bench, now: Time, team: &str) -> Request {
     let routes = bench.direct.routes().expect("one is in force");
     let team = routes.teams.get(team).expect("it is there");
-    Ask {
+    Request {
         route: Arc::clone(&bench.route),
         pass: Some(Pass {
             team: Arc::clone(team),
@@ -156,9 +158,9 @@
 
 /// A request waits here while its key is taken away.
 #[rstest]
-#[case::taken_away(true, Why::Denied)]
-#[case::unsure(false, Why::Unsure)]
-fn withhold_waiting_request(#[case] taken: bool, #[case] expected: Why) {
+#[case::taken_away(true, Rejection::Denied)]
+#[case::unsure(false, Rejection::KeysStale)]
+fn withhold_waiting_request(#[case] taken: bool, #[case] expected: Rejection) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     bench.direct.upstream_failed(at(3_900), &Upstream::Store);
@@ -187,11 +189,11 @@
     };
     let waiting = bench.direct.waiting();
     let orders = bench.direct.step(later);
-    let whys: Vec<Why> = orders
+    let whys: Vec<Rejection> = orders
         .iter()
         .filter_map(|order| match order {
-            Order::Reject { why, .. } => Some(*why),
-            Order::Go(_) => None,
+            Decision::Reject { why, .. } => Some(*why),
+            Decision::Send(_) => None,
         })
         .collect();
     assert_eq!(whys, vec![expected; waiting]);
@@ -205,7 +207,7 @@
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
     bench.direct.arrive(at(10), asked).expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
     assert!(bench.direct.may_go(at(20), &go));
@@ -216,12 +218,14 @@
         vec![team("other", &[], None)],
     );
     assert!(!bench.direct.may_go(at(20), &go));
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Withdrawn);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
+    let next = bench
+        .direct
+        .ended(at(20), go.ticket, AttemptOutcome::Withdrawn);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Why::Denied);
+    assert_eq!(why, Rejection::Denied);
 }
 
 /// It may have run already, so it isn't said to be refused.
@@ -231,7 +235,7 @@
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
     bench.direct.arrive(at(10), asked).expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
     configure(
@@ -240,12 +244,14 @@
         route(),
         vec![team("other", &[], None)],
     );
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Broken);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
+    let next = bench
+        .direct
+        .ended(at(20), go.ticket, AttemptOutcome::ConnectionLost);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Why::Doubt);
+    assert_eq!(why, Rejection::OutcomeUnknown);
 }
 
 /// The homes of route and team both bind.
@@ -264,22 +270,24 @@
     let asked = ask(&bench, at(10), "masons");
     let taken = bench.direct.arrive(at(10), asked);
     let Some(expected) = expected else {
-        assert_eq!(taken, Err(Why::NoHome));
+        assert_eq!(taken, Err(Rejection::NoRegion));
         return;
     };
     taken.expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
     assert_eq!(&*go.target, expected);
     // Sent again, it stays where it may be.
-    let next = bench.direct.ended(at(20), go.ticket, Ending::NotRun);
-    assert_eq!(next, Next::Again);
+    let next = bench
+        .direct
+        .ended(at(20), go.ticket, AttemptOutcome::NotRun);
+    assert_eq!(next, FollowUp::Retry);
     match bench.order(at(20)) {
-        Some(Order::Go(go)) => {
+        Some(Decision::Send(go)) => {
             assert!(of_route.is_empty() && of_team.is_empty(), "{go:?}");
         }
-        Some(Order::Reject { .. }) | None => {}
+        Some(Decision::Reject { .. }) | None => {}
     }
 }
 
@@ -294,7 +302,7 @@
     bench.direct.arrive(at(10), first).expect("it is taken in");
     let urgent = bench.direct.arrive(at(10), second).expect("it is taken in");
     let orders = bench.direct.step(at(10));
-    let Some(Order::Go(go)) = orders.first() else {
+    let Some(Decision::Send(go)) = orders.first() else {
         panic!("a target is free");
     };
     assert_eq!(go.ticket, urgent);
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -8,7 +8,8 @@
 use steer::process::direct::members::{Beat, Row};
 use steer::process::direct::target::Entry;
 use steer::process::direct::{
-    Ask, Bounds, Direct, Ending, Go, Home, Next, Order, Ticket, access, limit, quota,
+    Assignment, AttemptOutcome, Bounds, Decision, Direct, FollowUp, Identity, Request, Ticket,
+    access, limit, quota,
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Part, Route, Routes, Service};
@@ -124,7 +125,7 @@
         targets: &[Entry],
         change: impl FnOnce(Bounds) -> Bounds,
     ) -> Self {
-        let home = Home {
+        let home = Identity {
             name: name.into(),
             region: "near".into(),
             life: 1,
@@ -162,7 +163,7 @@
 
     /// A request arrives whose caller waits until `deadline`.
     pub fn arrive_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
-        let ask = Ask {
+        let ask = Request {
             route: Arc::clone(&self.route),
             pass: None,
             object,
@@ -175,26 +176,28 @@
     }
 
     /// The only order of a step, if there is one.
-    pub fn order(&mut self, now: Time) -> Option<Order> {
+    pub fn order(&mut self, now: Time) -> Option<Decision> {
         let mut orders = self.direct.step(now);
         assert!(orders.len() < 2, "more than one order: {orders:?}");
         orders.pop()
     }
 
     /// A request arrives and is sent at once.
-    pub fn send(&mut self, now: Time, object: Option<u64>) -> Go {
+    pub fn send(&mut self, now: Time, object: Option<u64>) -> Assignment {
         self.arrive(now, object);
         match self.order(now) {
-            Some(Order::Go(go)) => go,
+            Some(Decision::Send(go)) => go,
             other => panic!("not sent: {other:?}"),
         }
     }
 
     /// A request arrives, is sent and answered after `took`.
-    pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Go {
+    pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Assignment {
         let go = self.send(now, Some(object));
-        let next = self.direct.ended(now + took, go.ticket, Ending::Answered);
-        assert_eq!(next, Next::Settled);
+        let next = self
+            .direct
+            .ended(now + took, go.ticket, AttemptOutcome::Answered);
+        assert_eq!(next, FollowUp::Settled);
         go
     }
 
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 
 use rstest::rstest;
-use steer::process::direct::Order;
+use steer::process::direct::Decision;
 use steer::process::direct::members::Beat;
 use steer::process::direct::parts::{self, Sharer};
 use steer::process::direct::target::Entry;
@@ -57,7 +57,10 @@
     for i in 0..10 {
         bench.arrive(at(now + i), None);
         let orders = bench.direct.step(at(now + i));
-        sent += orders.iter().filter(|o| matches!(o, Order::Go(_))).count();
+        sent += orders
+            .iter()
+            .filter(|o| matches!(o, Decision::Send(_)))
+            .count();
     }
     sent
 }
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use steer::process::direct::health::Trouble;
 use steer::process::direct::members::{Beat, mark};
-use steer::process::direct::{Ending, Order};
+use steer::process::direct::{AttemptOutcome, Decision};
 use steer::version::routes::Route;
 
 use super::bench::{Bench, MS, at, beat, entry, route};
@@ -110,10 +110,10 @@
 
 /// What failed is told by one heartbeat: the next would count it twice.
 #[rstest]
-#[case::lost(Ending::Broken)]
-#[case::failed(Ending::Failed)]
-#[case::late(Ending::Late)]
-fn tell_failure_once(#[case] ending: Ending) {
+#[case::lost(AttemptOutcome::ConnectionLost)]
+#[case::failed(AttemptOutcome::Failed)]
+#[case::late(AttemptOutcome::TimedOut)]
+fn tell_failure_once(#[case] ending: AttemptOutcome) {
     let (mut bench, first) = served(unsafe_route());
     let now = at(SELDOM + 2_000);
     let go = bench.send(now, Some(OBJECT));
@@ -132,9 +132,9 @@
     let go = bench.send(now, Some(OBJECT));
     bench
         .direct
-        .ended(now + 100 * MS, go.ticket, Ending::NotRun);
+        .ended(now + 100 * MS, go.ticket, AttemptOutcome::NotRun);
     assert_eq!(bench.direct.beat(now + 200 * MS, false).troubles, []);
-    let Some(Order::Go(_)) = bench.order(now + 200 * MS) else {
+    let Some(Decision::Send(_)) = bench.order(now + 200 * MS) else {
         panic!("what wasn't run is sent again");
     };
     let again = bench.send(now + 500 * MS, Some(OBJECT));
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -7,7 +7,7 @@
 use steer::process::direct::limit::{Named, Rule};
 use steer::process::direct::members::{self, Beat};
 use steer::process::direct::target::{Entry, Word};
-use steer::process::direct::{Bounds, Ending, Order};
+use steer::process::direct::{AttemptOutcome, Bounds, Decision};
 
 use super::bench::{Bench, MS, at, beat, entry, route};
 
@@ -39,9 +39,11 @@
     for now in (from..upto).step_by(100) {
         bench.arrive(at(now), None);
         for order in bench.direct.step(at(now)) {
-            if let Order::Go(go) = order {
+            if let Decision::Send(go) = order {
                 sent += 1;
-                bench.direct.ended(at(now), go.ticket, Ending::Answered);
+                bench
+                    .direct
+                    .ended(at(now), go.ticket, AttemptOutcome::Answered);
             }
         }
     }
@@ -93,9 +95,11 @@
     }
     let mut sent = 0;
     for order in bench.direct.step(at(now)) {
-        if let Order::Go(go) = order {
+        if let Decision::Send(go) = order {
             sent += 1;
-            bench.direct.ended(at(now), go.ticket, Ending::Answered);
+            bench
+                .direct
+                .ended(at(now), go.ticket, AttemptOutcome::Answered);
         }
     }
     sent
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use steer::process::direct::{Ending, Next, Order, Why};
+use steer::process::direct::{AttemptOutcome, Decision, FollowUp, Rejection};
 use steer::version::routes::Route;
 
 use super::bench::{Bench, MS, at, entry, route};
@@ -42,8 +42,8 @@
     assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
     bench
         .direct
-        .ended(at(2_100), held[0].ticket, Ending::Answered);
-    let Some(Order::Go(go)) = bench.order(at(2_100)) else {
+        .ended(at(2_100), held[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(go)) = bench.order(at(2_100)) else {
         panic!("a slot is free");
     };
     assert_eq!(go.target, warm);
@@ -65,7 +65,7 @@
         }
         let mut used = Vec::new();
         for order in bench.direct.step(at(21_000)) {
-            if let Order::Go(go) = order
+            if let Decision::Send(go) = order
                 && !used.contains(&go.target)
             {
                 used.push(go.target);
@@ -103,7 +103,7 @@
         assert_eq!(&*go.target, "t2");
         bench
             .direct
-            .ended(at(1_001 + i), go.ticket, Ending::Answered);
+            .ended(at(1_001 + i), go.ticket, AttemptOutcome::Answered);
     }
 }
 
@@ -118,9 +118,11 @@
     assert_eq!(bench.order(at(10)), None);
     let both = vec!["near-a".into(), "near-b".into()];
     bench.direct.evacuate(at(20), both);
-    bench.direct.ended(at(30), held[0].ticket, Ending::Answered);
+    bench
+        .direct
+        .ended(at(30), held[0].ticket, AttemptOutcome::Answered);
     let order = bench.order(at(30));
-    assert!(!matches!(order, Some(Order::Go(_))), "{order:?}");
+    assert!(!matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
 
 #[test]
@@ -130,10 +132,10 @@
     let mut bench = Bench::new(Route { homes, ..route() }, &only_far);
     bench.arrive(at(0), None);
     assert_eq!(bench.order(at(0)), None);
-    let Some(Order::Reject { why, .. }) = bench.order(at(100)) else {
+    let Some(Decision::Reject { why, .. }) = bench.order(at(100)) else {
         panic!("nothing can serve it");
     };
-    assert_eq!(why, Why::NoTarget);
+    assert_eq!(why, Rejection::NoTarget);
 }
 
 #[test]
@@ -154,8 +156,8 @@
     for _ in 0..20 {
         bench.arrive(at(10_000), Some(1));
         for order in bench.direct.step(at(10_000)) {
-            if let Order::Reject { after, why, .. } = order {
-                assert_eq!(why, Why::Overload);
+            if let Decision::Reject { after, why, .. } = order {
+                assert_eq!(why, Rejection::Overload);
                 assert!(after >= Duration::from_millis(100));
                 rejected += 1;
             }
@@ -178,8 +180,8 @@
     assert!(
         matches!(
             order,
-            Some(Order::Reject {
-                why: Why::Overload,
+            Some(Decision::Reject {
+                why: Rejection::Overload,
                 ..
             })
         ),
@@ -187,7 +189,7 @@
     );
     bench.arrive_until(at(10_000), Some(1), at(10_250));
     let order = bench.order(at(10_000));
-    assert!(matches!(order, Some(Order::Go(_))), "{order:?}");
+    assert!(matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
 
 /// The more urgent of two that wait goes first, whichever came first.
@@ -205,8 +207,10 @@
     });
     let urgent = bench.arrive(at(2), None);
     assert_eq!(bench.order(at(2)), None);
-    bench.direct.ended(at(50), held[0].ticket, Ending::Answered);
-    let Some(Order::Go(go)) = bench.order(at(50)) else {
+    bench
+        .direct
+        .ended(at(50), held[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(go)) = bench.order(at(50)) else {
         panic!("a slot is free");
     };
     assert_eq!(go.ticket, urgent);
@@ -236,9 +240,11 @@
     };
     bench.direct.roster.put(at(1_200), leaving);
     assert!(!bench.direct.may_send(&go.target));
-    let next = bench.direct.ended(at(2_400), go.ticket, Ending::Withdrawn);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Go(again)) = bench.order(at(2_400)) else {
+    let next = bench
+        .direct
+        .ended(at(2_400), go.ticket, AttemptOutcome::Withdrawn);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Send(again)) = bench.order(at(2_400)) else {
         panic!("there is another target");
     };
     assert_ne!(again.target, go.target);
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -8,7 +8,8 @@
 use steer::process::direct::access::{self, Pass};
 use steer::process::direct::members::{Beat, Row};
 use steer::process::direct::{
-    Ask, Bounds, Direct, Ending, Home, Order, Ticket, Why, budget, limit, quota, target,
+    AttemptOutcome, Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, budget, limit,
+    quota, target,
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::teams::{KeyDigest, Quota, Team, Teams};
@@ -139,7 +140,7 @@
 
     fn node(&mut self, at: usize, count: usize) -> Node {
         let life = self.rng.u64(1..);
-        let home = Home {
+        let home = Identity {
             name: name(at).into(),
             region: REGIONS[at % REGIONS.len()].into(),
             life,
@@ -354,7 +355,7 @@
     fn ask(&mut self, at: usize) {
         let now = self.clock(at);
         let came = self.now;
-        let ask = Ask {
+        let ask = Request {
             route: Arc::new(route()),
             pass: Some(self.pass.clone()),
             object: None,
@@ -373,16 +374,20 @@
         self.nodes[at].direct.in_touch(now, 1);
         for order in self.nodes[at].direct.step(now) {
             match order {
-                Order::Go(go) => {
+                Decision::Send(go) => {
                     self.admitted.push(self.now);
                     let came = &self.nodes[at].came;
                     let came = came.iter().find(|(ticket, _)| *ticket == go.ticket);
                     self.held.extend(came.map(|(_, came)| self.now - came));
                     let direct = &mut self.nodes[at].direct;
-                    direct.ended(now + Duration::from_millis(1), go.ticket, Ending::Answered);
+                    direct.ended(
+                        now + Duration::from_millis(1),
+                        go.ticket,
+                        AttemptOutcome::Answered,
+                    );
                 }
-                Order::Reject { why, .. } => {
-                    assert_eq!(why, Why::Quota);
+                Decision::Reject { why, .. } => {
+                    assert_eq!(why, Rejection::Quota);
                     self.refused.push(self.now);
                 }
             }
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -1,12 +1,12 @@
 //! Which requests are sent again after an attempt failed.
 
 use rstest::rstest;
-use steer::process::direct::{Ending, Next, Order, Why};
+use steer::process::direct::{AttemptOutcome, Decision, FollowUp, Rejection};
 use steer::version::routes::Route;
 
 use super::bench::{Bench, at, entry, route};
 
-fn after(idempotent: bool, ending: Ending) -> (Bench, Next) {
+fn after(idempotent: bool, ending: AttemptOutcome) -> (Bench, FollowUp) {
     let targets = ["t1", "t2", "t3"].map(|id| entry(id, "near-a"));
     let route = Route {
         idempotent,
@@ -22,48 +22,50 @@
 /// told that its fate is unknown; only what proves that it wasn't run allows
 /// another target.
 #[rstest]
-#[case::not_run(Ending::NotRun, Next::Again)]
-#[case::elsewhere(Ending::Elsewhere, Next::Again)]
-#[case::unreached(Ending::Unreached, Next::Again)]
-#[case::withdrawn(Ending::Withdrawn, Next::Again)]
-#[case::failed(Ending::Failed, Next::Settled)]
-#[case::broken(Ending::Broken, Next::Settled)]
-#[case::garbled(Ending::Garbled, Next::Settled)]
-#[case::late(Ending::Late, Next::Settled)]
-fn repeat_unsafe(#[case] ending: Ending, #[case] expected: Next) {
+#[case::not_run(AttemptOutcome::NotRun, FollowUp::Retry)]
+#[case::elsewhere(AttemptOutcome::WrongTarget, FollowUp::Retry)]
+#[case::unreached(AttemptOutcome::NotSent, FollowUp::Retry)]
+#[case::withdrawn(AttemptOutcome::Withdrawn, FollowUp::Retry)]
+#[case::failed(AttemptOutcome::Failed, FollowUp::Settled)]
+#[case::broken(AttemptOutcome::ConnectionLost, FollowUp::Settled)]
+#[case::garbled(AttemptOutcome::InvalidResponse, FollowUp::Settled)]
+#[case::late(AttemptOutcome::TimedOut, FollowUp::Settled)]
+fn repeat_unsafe(#[case] ending: AttemptOutcome, #[case] expected: FollowUp) {
     let (mut bench, next) = after(false, ending);
     assert_eq!(next, expected);
-    let sent = matches!(bench.order(at(10)), Some(Order::Go(_)));
-    assert_eq!(sent, expected == Next::Again);
+    let sent = matches!(bench.order(at(10)), Some(Decision::Send(_)));
+    assert_eq!(sent, expected == FollowUp::Retry);
 }
 
 #[rstest]
-#[case::not_run(Ending::NotRun)]
-#[case::failed(Ending::Failed)]
-#[case::broken(Ending::Broken)]
-#[case::garbled(Ending::Garbled)]
-fn repeat_idempotent_elsewhere(#[case] ending: Ending) {
+#[case::not_run(AttemptOutcome::NotRun)]
+#[case::failed(AttemptOutcome::Failed)]
+#[case::broken(AttemptOutcome::ConnectionLost)]
+#[case::garbled(AttemptOutcome::InvalidResponse)]
+fn repeat_idempotent_elsewhere(#[case] ending: AttemptOutcome) {
     let (mut bench, next) = after(true, ending);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("another target is free");
     };
     assert_eq!(go.attempt, 2);
     let last = bench.direct.ended(at(20), go.ticket, ending);
-    assert_ne!(last, Next::Again, "its route allows two targets");
+    assert_ne!(last, FollowUp::Retry, "its route allows two targets");
 }
 
 /// Two rejections by targets, after an attempt that may have run: the answer
 /// must not say "not run".
 #[test]
 fn stay_in_doubt_after_doubt() {
-    let (mut bench, next) = after(true, Ending::Broken);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    let (mut bench, next) = after(true, AttemptOutcome::ConnectionLost);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("another target is free");
     };
-    let last = bench.direct.ended(at(20), go.ticket, Ending::NotRun);
-    assert_eq!(last, Next::Settled);
+    let last = bench
+        .direct
+        .ended(at(20), go.ticket, AttemptOutcome::NotRun);
+    assert_eq!(last, FollowUp::Settled);
 }
 
 /// The caller leaves while its request waits: it is never sent.
@@ -74,7 +76,9 @@
     let ticket = bench.arrive(at(1), None);
     assert_eq!(bench.order(at(1)), None);
     bench.direct.leave(at(20), ticket);
-    bench.direct.ended(at(50), held[0].ticket, Ending::Answered);
+    bench
+        .direct
+        .ended(at(50), held[0].ticket, AttemptOutcome::Answered);
     assert_eq!(bench.order(at(50)), None);
     assert_eq!(bench.direct.count(), 3);
 }
@@ -86,15 +90,17 @@
     let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
     let mut bench = Bench::new(route(), &targets);
     let go = bench.send(at(0), Some(1));
-    let next = bench.direct.ended(at(900), go.ticket, Ending::Garbled);
-    assert_eq!(next, Next::Again);
+    let next = bench
+        .direct
+        .ended(at(900), go.ticket, AttemptOutcome::InvalidResponse);
+    assert_eq!(next, FollowUp::Retry);
     for id in ["t1", "t2"] {
         assert!(bench.direct.unlist(at(900), id));
     }
-    let Some(Order::Reject { why, .. }) = bench.order(at(1_000)) else {
+    let Some(Decision::Reject { why, .. }) = bench.order(at(1_000)) else {
         panic!("no target is left");
     };
-    assert_eq!(why, Why::Doubt);
+    assert_eq!(why, Rejection::OutcomeUnknown);
 }
 
 /// A request crashes each target that begins to run it, and its caller sends it
@@ -105,26 +111,33 @@
     let mut bench = Bench::new(route(), &targets);
     let first = bench.send(at(0), Some(1));
     assert_eq!(
-        bench.direct.ended(at(50), first.ticket, Ending::Broken),
-        Next::Again
+        bench
+            .direct
+            .ended(at(50), first.ticket, AttemptOutcome::ConnectionLost),
+        FollowUp::Retry
     );
-    let Some(Order::Go(second)) = bench.order(at(50)) else {
+    let Some(Decision::Send(second)) = bench.order(at(50)) else {
         panic!("another target is free");
     };
     assert_eq!(
-        bench.direct.ended(at(90), second.ticket, Ending::Broken),
-        Next::Settled
+        bench
+            .direct
+            .ended(at(90), second.ticket, AttemptOutcome::ConnectionLost),
+        FollowUp::Settled
     );
     let told = bench.direct.beat(at(100), false).struck;
     assert_eq!(told, [(1, 2)]);
-    let ask = steer::process::direct::Ask {
+    let ask = steer::process::direct::Request {
         route: std::sync::Arc::clone(&bench.route),
         pass: None,
         object: Some(1),
         deadline: at(5_000),
         print: steer::request::arrival::Fingerprint(1),
     };
-    assert_eq!(bench.direct.arrive(at(200), ask.clone()), Err(Why::Poison));
+    assert_eq!(
+        bench.direct.arrive(at(200), ask.clone()),
+        Err(Rejection::Poison)
+    );
     // Another instance hears of it.
     let mut other = Bench::new(route(), &targets);
     let beat = steer::process::direct::members::Beat {
@@ -132,7 +145,7 @@
         ..super::bench::beat("near-2", 1)
     };
     other.direct.hear(at(0), beat);
-    assert_eq!(other.direct.arrive(at(10), ask), Err(Why::Poison));
+    assert_eq!(other.direct.arrive(at(10), ask), Err(Rejection::Poison));
 }
 
 /// A target loses answers but goes on: requests that were there before are
@@ -143,7 +156,11 @@
     let mut bench = Bench::new(route(), &targets);
     let lost = bench.send(at(0), Some(1));
     let kept = bench.send(at(1), Some(1));
-    bench.direct.ended(at(50), lost.ticket, Ending::Broken);
-    bench.direct.ended(at(60), kept.ticket, Ending::Answered);
+    bench
+        .direct
+        .ended(at(50), lost.ticket, AttemptOutcome::ConnectionLost);
+    bench
+        .direct
+        .ended(at(60), kept.ticket, AttemptOutcome::Answered);
     assert!(bench.direct.beat(at(70), false).struck.is_empty());
 }
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -135,7 +135,7 @@
     bench.direct.ended(
         at(40),
         busy.ticket,
-        steer::process::direct::Ending::Answered,
+        steer::process::direct::AttemptOutcome::Answered,
     );
     bench.direct.sweep(at(50));
     assert!(of(&bench, "sheets").is_empty());
--- a/crates/steer/tests/direct/stop.rs
+++ b/crates/steer/tests/direct/stop.rs
@@ -2,7 +2,7 @@
 
 use core::time::Duration;
 
-use steer::process::direct::{Ending, Order, Why};
+use steer::process::direct::{AttemptOutcome, Decision, Rejection};
 use steer::version::routes::Route;
 
 use super::bench::{Bench, MS, at, entry, route};
@@ -25,8 +25,8 @@
     bench.arrive_until(at(1_100), Some(1), at(21_000));
     let mut rejected = None;
     for millis in (1_100..2_500).step_by(25) {
-        if let Some(Order::Reject { why, .. }) = bench.order(at(millis)) {
-            assert_eq!(why, Why::Overload);
+        if let Some(Decision::Reject { why, .. }) = bench.order(at(millis)) {
+            assert_eq!(why, Rejection::Overload);
             rejected.get_or_insert(millis);
         }
     }
@@ -40,10 +40,12 @@
     bench.serve(at(0), 1, 900 * MS);
     bench.direct.stop(at(2_500));
     let sent = bench.send(at(1_000), Some(1));
-    bench.direct.ended(at(1_900), sent.ticket, Ending::Answered);
+    bench
+        .direct
+        .ended(at(1_900), sent.ticket, AttemptOutcome::Answered);
     bench.arrive(at(2_000), Some(1));
     let order = bench.order(at(2_000));
-    assert!(matches!(order, Some(Order::Reject { .. })), "{order:?}");
+    assert!(matches!(order, Some(Decision::Reject { .. })), "{order:?}");
 }
 
 /// The caller's own limit still holds if it ends first.
