--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -25,7 +25,7 @@
         /// Its name on the wire.
         name: Arc<str>,
         /// Where to.
-        place: dispatch::Place,
+        place: dispatch::Destination,
         /// What to send.
         request: Arc<Inbound>,
     },
@@ -124,7 +124,10 @@
                 let ending = calls
                     .forward(addr, &request, budget, engine.hop(true))
                     .await;
-                engine.report(traffic::Event::Forwarded { id, ending });
+                engine.report(traffic::Event::Forwarded {
+                    id,
+                    outcome: ending,
+                });
             }
             Kind::Ask {
                 ask,
@@ -147,10 +150,10 @@
                 let calls = &engine.means.peers;
                 let lent = calls.borrow(addr, &route, amount, budget).await;
                 if let Some(amount) = lent {
-                    engine.report(traffic::Event::Borrowed {
+                    engine.report(traffic::Event::LoanGranted {
                         route,
                         amount,
-                        asked,
+                        asked_at: asked,
                     });
                 }
             }
@@ -174,13 +177,13 @@
 impl Engine {
     async fn carry(
         &self,
-        place: &dispatch::Place,
+        place: &dispatch::Destination,
         name: &str,
         request: &Inbound,
         budget: Duration,
     ) -> outbound::Ended {
         match place {
-            dispatch::Place::Target { addr, .. } => {
+            dispatch::Destination::Target { addr, .. } => {
                 let attempt = outbound::Attempt {
                     name,
                     addr: *addr,
@@ -189,7 +192,7 @@
                 };
                 self.means.outbound.send(attempt).await
             }
-            dispatch::Place::Member { peer, .. } => {
+            dispatch::Destination::Member { peer, .. } => {
                 let calls = &self.means.peers;
                 let ending = calls.forward(*peer, request, budget, self.hop(false)).await;
                 ending.into()
@@ -201,7 +204,7 @@
         &self,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Place,
+        place: &dispatch::Destination,
         ended: outbound::Ended,
     ) {
         let mut inner = self.lock();
@@ -215,7 +218,7 @@
         let event = traffic::Event::Ended {
             id,
             attempt,
-            ending: ended.ending,
+            outcome: ended.ending,
         };
         self.handle(&mut inner, event);
         drop(inner);
--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -12,7 +12,7 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
-use steer::process::direct::target::Word;
+use steer::process::direct::target::Feedback;
 use steer::process::direct::{Assignment, AttemptOutcome};
 
 use super::Shared;
@@ -46,7 +46,7 @@
     /// The target's whole answer.
     pub answer: Option<Response>,
     /// What the target says of itself, if the answer is its own.
-    pub word: Option<Word>,
+    pub word: Option<Feedback>,
 }
 
 impl Ended {
@@ -64,7 +64,7 @@
     let Ok(request) = request(go, whole, left) else {
         return Ended::without(AttemptOutcome::NotSent);
     };
-    let pool = &shared.targets;
+    let pool = &shared.target_pool;
     // What must not run twice goes on a connection of its own: whether it was
     // sent is then never in doubt because an idle connection was just closing.
     let sent = if whole.idempotent {
@@ -103,7 +103,7 @@
     Ended {
         ending,
         answer: Some(answer),
-        word: own.then_some(Word {
+        word: own.then_some(Feedback {
             load: said.load.map(|l| l.running.saturating_add(l.waiting)),
             limit: said.limit,
         }),
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -4,18 +4,18 @@
 //! will not; everything else that fails is 502 or 504. A caller that leaves
 //! takes its request with it. A caller's key goes no further than here.
 
-mod room;
+mod body_memory;
 
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use body_memory::Reservation;
 use futures_lite::future;
 use hyper::body::Bytes;
 use hyper::header::HOST;
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
-use room::Room;
 use smol::net;
 use steer::clock::Time;
 use steer::process::direct::access::{Access, Presented};
@@ -61,14 +61,14 @@
         smol::Timer::after(START).await;
     };
     future::or(configured(&shared), late).await;
-    let count = shared.count.clone();
+    let count = shared.connections.clone();
     server::accept(Callers(shared), socket, executor, count).await;
 }
 
 /// Ends when a configuration is known.
 async fn configured(shared: &Shared) {
     loop {
-        let told = shared.told.listen();
+        let told = shared.updated.listen();
         if shared.read(|_, d| d.routes().is_some()) {
             return;
         }
@@ -76,20 +76,20 @@
     }
 }
 
-type Request = hyper::Request<Bytes>;
+type HttpRequest = hyper::Request<Bytes>;
 
 #[derive(Clone)]
 struct Callers(Arc<Shared>);
 
 impl Service for Callers {
-    type Room = Room;
+    type Reservation = Reservation;
 
     fn limits(&self) -> server::Limits {
         limits(&self.0)
     }
 
-    fn room(&self, length: Option<u64>) -> Option<Room> {
-        Room::take(&self.0, limits(&self.0).body, length)
+    fn reserve_body(&self, length: Option<u64>) -> Option<Reservation> {
+        Reservation::take(&self.0, limits(&self.0).body, length)
     }
 
     fn refuse(&self, caller: Caller, why: Refusal) -> Response {
@@ -106,7 +106,7 @@
         }
     }
 
-    fn is_idempotent(&self, request: &Request) -> bool {
+    fn is_idempotent(&self, request: &HttpRequest) -> bool {
         let host = host(request);
         let path = request.uri().path();
         // What is on no route is answered here, without a run.
@@ -116,7 +116,10 @@
         })
     }
 
-    fn answer(&self, arrival: Arrival<Room>) -> impl Future<Output = Response> + Send + use<> {
+    fn answer(
+        &self,
+        arrival: Arrival<Reservation>,
+    ) -> impl Future<Output = Response> + Send + use<> {
         answer(Arc::clone(&self.0), arrival)
     }
 
@@ -152,7 +155,7 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.shared.forget(self.ticket);
+        self.shared.release(self.ticket);
     }
 }
 
@@ -169,7 +172,7 @@
     origin: Origin,
 }
 
-async fn answer(shared: Arc<Shared>, arrival: Arrival<Room>) -> Response {
+async fn answer(shared: Arc<Shared>, arrival: Arrival<Reservation>) -> Response {
     let arrived = shared.at(arrival.read);
     let begun = shared.at(arrival.begun);
     let request = arrival.request;
@@ -205,7 +208,7 @@
         Access::Unsure => return asker.reject(&shared, &route.name, "unsure-of-keys"),
     };
     let Asker { caller, origin } = asker;
-    let _room = arrival.room;
+    let _reservation = arrival.reservation;
     let (head, body) = request.into_parts();
     let mut fields = head.headers;
     headers::strip(&mut fields);
@@ -268,7 +271,7 @@
     Fingerprint(head << 64 | u128::from(direct::hash(body)))
 }
 
-fn host(request: &Request) -> String {
+fn host(request: &HttpRequest) -> String {
     let named = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = named.or_else(|| request.uri().host()).unwrap_or_default();
     let host = host.rsplit_once(':').map_or(host, |(host, _)| host);
@@ -277,7 +280,7 @@
 
 impl Errand {
     async fn run(self, ask: direct::Request) -> Response {
-        let (ticket, orders) = match self.shared.arrive(ask) {
+        let (ticket, orders) = match self.shared.submit(ask) {
             Ok(taken) => taken,
             Err(why) => return self.give_up(why, NOT_YET),
         };
@@ -285,7 +288,7 @@
             shared: Arc::clone(&self.shared),
             ticket,
         };
-        let limit = self.shared.read(|_, d| d.limit(ticket));
+        let limit = self.shared.read(|_, d| d.time_limit(ticket));
         let limit = limit.unwrap_or(self.arrived + self.route.timeout);
         let mut may_have_run = false;
         loop {
@@ -339,7 +342,7 @@
     ) -> (FollowUp, Option<Response>) {
         let began = self.shared.now();
         let left = limit.since(began);
-        let (ending, answer, word) = if self.shared.read(|now, d| d.may_go(now, go)) {
+        let (ending, answer, word) = if self.shared.read(|now, d| d.may_send_request(now, go)) {
             let run = attempt::run(&self.shared, go, &self.whole, left);
             match self.until(limit, run).await {
                 Some(ended) => (ended.ending, ended.answer, ended.word),
@@ -356,16 +359,16 @@
                 | AttemptOutcome::WrongTarget
         );
         let (next, named) = self.shared.decide(|now, direct| {
-            let next = direct.ended(now, go.ticket, ending);
-            let named = word.is_some_and(|word| direct.hear_target(now, &go.target, word));
+            let next = direct.finish_attempt(now, go.ticket, ending);
+            let named = word.is_some_and(|word| direct.apply_feedback(now, &go.target, word));
             (next, named)
         });
         let word = word.unwrap_or_default();
         if named {
-            events::limit(&self.shared, &go.target, word.limit, self.id());
+            events::limit_changed(&self.shared, &go.target, word.limit, self.id());
         }
         let status = answer.as_ref().map_or(0, |a| a.status().as_u16());
-        events::attempt(
+        events::attempt_ended(
             &self.shared,
             &events::Attempt {
                 request: self.id(),
@@ -374,12 +377,12 @@
                 origin: self.origin,
                 target: &go.target,
                 number: go.attempt,
-                held: millis(began, self.arrived),
-                took: millis(self.shared.now(), began),
-                ending: name(ending),
+                held_ms: millis(began, self.arrived),
+                took_ms: millis(self.shared.now(), began),
+                outcome: name(ending),
                 status,
-                word,
-                go,
+                feedback: word,
+                assignment: go,
                 object: self.object,
             },
         );
@@ -433,16 +436,16 @@
 
     fn own(&self, status: StatusCode, why: &str) -> Response {
         let held = millis(self.shared.now(), self.arrived);
-        let given = events::Given {
+        let answer = events::OwnAnswer {
             request: self.id(),
             route: &self.route.name,
             team: self.team.as_deref(),
             origin: self.origin,
             status: status.as_u16(),
-            why,
+            reason: why,
             held_ms: held,
         };
-        events::own(&self.shared, &given);
+        events::own_answer(&self.shared, &answer);
         let mut response = server::empty(status);
         headers::name(response.headers_mut(), self.whole.id.as_ref());
         response
@@ -458,16 +461,16 @@
 impl Asker {
     fn own(&self, shared: &Shared, route: &str, status: StatusCode, why: &str) -> Response {
         let id = self.caller.id.as_ref();
-        let given = events::Given {
+        let answer = events::OwnAnswer {
             request: id.and_then(|id| id.to_str().ok()).unwrap_or_default(),
             route,
             team: None,
             origin: self.origin,
             status: status.as_u16(),
-            why,
+            reason: why,
             held_ms: 0,
         };
-        events::own(shared, &given);
+        events::own_answer(shared, &answer);
         let mut response = server::empty(status);
         headers::name(response.headers_mut(), id);
         response
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -13,8 +13,8 @@
 use steer::clock::Time;
 use steer::process::direct::members::Row;
 use steer::process::direct::{
-    Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Rejection, Request, TICK,
-    Ticket, hash,
+    Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Rejection, Request,
+    STEP_INTERVAL_MAX, Ticket, hash,
 };
 use steer::request::arrival::Fingerprint;
 
@@ -123,7 +123,7 @@
     /// A process starts.
     pub(super) fn restart(&mut self, number: usize) {
         self.instances[number].up = true;
-        let Brain::Product(levers) = self.brain else {
+        let Brain::Product(mechanisms) = self.brain else {
             return;
         };
         let row = self.row(number);
@@ -138,7 +138,7 @@
         };
         let domains = self.plan.domains.iter();
         let domains = domains.map(|d| (Arc::clone(&d.name), Arc::clone(&d.region)));
-        let direct = Direct::with(home, self.plan.bounds, domains.collect(), levers);
+        let direct = Direct::with(home, self.plan.bounds, domains.collect(), mechanisms);
         instance.direct = Some(direct);
         instance.asks.clear();
         instance.ticking = false;
@@ -224,7 +224,7 @@
         match direct.arrive(now, ask) {
             Err(_) => self.rejected(request, 500_000),
             Ok(ticket) => {
-                let limit = direct.limit(ticket).unwrap_or(now);
+                let limit = direct.time_limit(ticket).unwrap_or(now);
                 let instance = &mut self.instances[number];
                 instance.asks.push(Held {
                     ticket,
@@ -261,10 +261,13 @@
             }
         }
         let instance = &mut self.instances[number];
-        let waits = instance.direct.as_ref().is_some_and(|d| d.waiting() > 0);
+        let waits = instance
+            .direct
+            .as_ref()
+            .is_some_and(|d| d.waiting_count() > 0);
         if waits && !instance.ticking {
             instance.ticking = true;
-            self.after(micros(TICK), Event::Tick(number));
+            self.after(micros(STEP_INTERVAL_MAX), Event::Tick(number));
         }
     }
 
@@ -306,7 +309,10 @@
             instance.life,
             instance.boot,
         );
-        let limit = instance.direct.as_ref().and_then(|d| d.limit(go.ticket));
+        let limit = instance
+            .direct
+            .as_ref()
+            .and_then(|d| d.time_limit(go.ticket));
         let until = limit.map_or(self.now, |l| boot + l.as_micros());
         let Ok(at) = instance.asks.binary_search_by_key(&go.ticket, |a| a.ticket) else {
             return;
@@ -392,11 +398,11 @@
         let Some(direct) = &mut instance.direct else {
             return;
         };
-        let next = direct.ended(now, ticket, ending);
+        let next = direct.finish_attempt(now, ticket, ending);
         if load > 0
             && let Some(target) = direct.roster.get_mut(&self.targets[sent.target].name)
         {
-            target.tell(now, load);
+            target.record_load(now, load);
         }
         match next {
             FollowUp::Retry => {}
@@ -428,9 +434,9 @@
         let now = self.clock(number);
         if let Some(direct) = &mut self.instances[number].direct {
             if held.at.is_some() {
-                direct.ended(now, ticket, AttemptOutcome::TimedOut);
+                direct.finish_attempt(now, ticket, AttemptOutcome::TimedOut);
             }
-            direct.leave(now, ticket);
+            direct.cancel(now, ticket);
         }
         if let Some(target) = held.at {
             self.cancel(target, held.request, held.current);
@@ -455,7 +461,7 @@
             self.drop_ask(number, held.ticket);
             let now = self.clock(number);
             if let Some(direct) = &mut self.instances[number].direct {
-                direct.leave(now, held.ticket);
+                direct.cancel(now, held.ticket);
             }
             if let Some(target) = held.at {
                 self.cancel(target, held.request, held.current);
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -49,7 +49,7 @@
 
 impl Bench {
     fn new(work: Work) -> Self {
-        let mut gate = gate::Gate::new(scene::home(0), ME, gate::Limits::default());
+        let mut gate = gate::Gate::new(scene::identity(0), ME, gate::Limits::default());
         let view = scene::view(3, &[(0, ME), (1, PEER)]);
         let mut out = Vec::new();
         gate.handle(clock::Time::ZERO, gate::Event::View(view), &mut out);
@@ -124,7 +124,8 @@
                     self.feed(now, gate::Event::Stored { id, result });
                 }
                 gate::Action::Forward { .. } => {
-                    let ending = steer::process::dispatch::Ending::Answered(self.answer.clone());
+                    let ending =
+                        steer::process::dispatch::AttemptOutcome::Answered(self.answer.clone());
                     self.feed(now, gate::Event::Forwarded { id, ending });
                 }
                 gate::Action::Run(_) => self.feed(now, gate::Event::Settled { id, verdict }),
--- a/crates/explorer/src/world/perform.rs
+++ b/crates/explorer/src/world/perform.rs
@@ -21,8 +21,11 @@
         self.acting = index;
         match action {
             traffic::Action::Send {
-                id, attempt, place, ..
-            } => self.send(index, id, attempt, &place),
+                id,
+                attempt,
+                destination,
+                ..
+            } => self.send(index, id, attempt, &destination),
             traffic::Action::Forward { id, peer, .. } => {
                 let to = scene::process_at(peer.addr);
                 self.hop(index, id, message::HopKind::Forward, to);
@@ -54,7 +57,7 @@
                     }
                     sender => self.post(
                         sender,
-                        message::Kind::Ended(dispatch::Ending::PeerRefused(refusal)),
+                        message::Kind::Ended(dispatch::AttemptOutcome::PeerRefused(refusal)),
                     ),
                 }
             }
@@ -95,14 +98,14 @@
         index: usize,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Place,
+        destination: &dispatch::Destination,
     ) {
-        match place {
-            dispatch::Place::Member { peer, .. } => {
+        match destination {
+            dispatch::Destination::Member { peer, .. } => {
                 let to = scene::process_at(*peer);
                 self.hop(index, id, message::HopKind::Serve(attempt), to);
             }
-            dispatch::Place::Target { .. } => {
+            dispatch::Destination::Target { .. } => {
                 let Some((payload, sender)) =
                     self.asker(index, id, message::HopKind::Serve(attempt))
                 else {
@@ -164,7 +167,7 @@
             }
             sender => self.post(
                 sender,
-                message::Kind::Ended(dispatch::Ending::Answered(answer)),
+                message::Kind::Ended(dispatch::AttemptOutcome::Answered(answer)),
             ),
         }
     }
@@ -221,7 +224,7 @@
                 self.keys[payload.key].runs.push(payload.body);
                 self.note(format!("  a target runs {payload}"));
                 if !detached {
-                    let ending = dispatch::Ending::Answered(answer_of(payload));
+                    let ending = dispatch::AttemptOutcome::Answered(answer_of(payload));
                     self.post(sender, message::Kind::Ended(ending));
                 }
             }
@@ -279,7 +282,10 @@
     ) {
         if self.processes[to].traffic.is_none() {
             if !detached {
-                self.post(sender, message::Kind::Ended(dispatch::Ending::Unreachable));
+                self.post(
+                    sender,
+                    message::Kind::Ended(dispatch::AttemptOutcome::Unreachable),
+                );
             }
             return;
         }
@@ -293,7 +299,7 @@
         self.arrive(to, payload, sender, origin);
     }
 
-    fn hand_ending(&mut self, sender: message::Sender, ending: dispatch::Ending) {
+    fn hand_ending(&mut self, sender: message::Sender, ending: dispatch::AttemptOutcome) {
         let message::Sender::Hop {
             process,
             incarnation,
@@ -307,11 +313,14 @@
             return;
         }
         let event = match kind {
-            message::HopKind::Forward => traffic::Event::Forwarded { id, ending },
+            message::HopKind::Forward => traffic::Event::Forwarded {
+                id,
+                outcome: ending,
+            },
             message::HopKind::Serve(attempt) => traffic::Event::Ended {
                 id,
                 attempt,
-                ending,
+                outcome: ending,
             },
         };
         self.feed(process, event);
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -8,7 +8,7 @@
 use entity::EntityRef;
 use steer::clock::Time;
 use steer::connection::pool::Pool;
-use steer::process::dispatch::{self, Dispatch, Ending};
+use steer::process::dispatch::{self, AttemptOutcome, Dispatch};
 use steer::version::view::{
     Class, ClassData, Domain, DomainData, EntryData, Incarnation, Link, MemberData, Region,
     RegionData, Service, ServiceData, Shift, Site, SiteData, State, TargetData, Version, View,
@@ -71,7 +71,7 @@
             .map(|(entry, id, attempt)| Work { entry, id, attempt })
             .collect();
         for work in broken {
-            self.after(FAR, Happening::Back(work, Ending::Broken, None));
+            self.after(FAR, Happening::Back(work, AttemptOutcome::Broken, None));
         }
         let view = self.view();
         self.after(LIST_LAG, Happening::View(view));
@@ -207,18 +207,18 @@
     let bound = Pool::<()>::share(330, layout.entries.len());
     let make = |(at, &domain): (usize, &usize)| {
         let name: Arc<str> = Arc::from(format!("entry-{at:02}"));
-        let home = dispatch::Home {
+        let home = dispatch::Identity {
             name: Arc::clone(&name),
             domain: domain_name(domain),
         };
         let engine: Box<dyn Engine> = match setup.kind {
             Kind::Robin => Box::new(Robin::new(domain_name(domain))),
             Kind::Hedge(tuning, delay) => {
-                let inner = Dispatch::tuned(home, tuning, rng.fork());
+                let inner = Dispatch::with_tuning(home, tuning, rng.fork());
                 let service = Duration::from_secs(setup.deployment.services[3].deadline);
                 Box::new(Hedge::new(inner, service, delay))
             }
-            Kind::Steer(tuning) => Box::new(Dispatch::tuned(home, tuning, rng.fork())),
+            Kind::Steer(tuning) => Box::new(Dispatch::with_tuning(home, tuning, rng.fork())),
         };
         Entry {
             name,
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use steer::clock::Time;
-use steer::process::dispatch::{Ending, Home, TICK};
+use steer::process::dispatch::{AttemptOutcome, Identity, TICK};
 use steer::process::gate;
 use steer::process::share::{Guards, Route};
 use steer::process::traffic::{Event, Traffic};
@@ -109,8 +109,8 @@
 enum Happening {
     Ask(usize, Region),
     Reach(usize, RequestId, Option<Duration>),
-    Ended(usize, RequestId, AttemptId, Ending),
-    Finish(usize, usize, RequestId, AttemptId, Ending),
+    Ended(usize, RequestId, AttemptId, AttemptOutcome),
+    Finish(usize, usize, RequestId, AttemptId, AttemptOutcome),
     Gone(usize, RequestId),
     Wanted(usize, usize, Route, u64, Time),
     Borrowed(usize, Route, u64, Time),
@@ -240,21 +240,21 @@
                 let event = Event::Ended {
                     id,
                     attempt,
-                    ending,
+                    outcome: ending,
                 };
                 self.tell(node, event);
             }
-            Happening::Gone(node, id) => self.tell(node, Event::Gone(id)),
+            Happening::Gone(node, id) => self.tell(node, Event::Disconnected(id)),
             Happening::Wanted(node, from, route, amount, asked) => {
                 let ask = AskId(self.asks.len() as u64);
                 self.asks.push((from, route.clone(), asked));
-                self.tell(node, Event::Wanted { ask, route, amount });
+                self.tell(node, Event::LoanRequested { ask, route, amount });
             }
             Happening::Borrowed(node, route, amount, asked) => {
-                let event = Event::Borrowed {
+                let event = Event::LoanGranted {
                     route,
                     amount,
-                    asked,
+                    asked_at: asked,
                 };
                 self.tell(node, event);
             }
@@ -283,7 +283,7 @@
     fn tick(&mut self, node: usize) {
         if self.now >= self.nodes[node].held {
             self.nodes[node].held = self.now + HOLD;
-            self.tell(node, Event::Hold(true));
+            self.tell(node, Event::SlotHeld(true));
         }
         self.tell(node, Event::Tick);
         let waiting = self.nodes[node].traffic.dispatch_state().waiting();
@@ -316,7 +316,10 @@
             .filter_map(|j| j.hop)
             .collect();
         for (node, id, attempt) in hops {
-            self.after(FAR, Happening::Ended(node, id, attempt, Ending::Broken));
+            self.after(
+                FAR,
+                Happening::Ended(node, id, attempt, AttemptOutcome::Broken),
+            );
         }
     }
 
@@ -437,7 +440,7 @@
 
 fn nodes(view: &View, guards: Guards, rng: &mut fastrand::Rng) -> Vec<Node> {
     let make = |(at, data): (usize, &steer::version::view::MemberData)| {
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&data.name),
             domain: Arc::clone(&view.domains[data.domain].name),
         };
--- a/crates/steer/src/process/direct/settle.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 
 use super::job::{Job, State};
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::message::{Assignment, AttemptOutcome, FollowUp, Ticket};
-use super::target::Word;
-use super::{Direct, SPARE, mark_of, members};
+use super::target::Feedback;
+use super::{ANSWER_RESERVE, Direct, members, short_hash};
 use crate::clock::Time;
 use crate::request::poison::STRIKES;
 
 impl Direct {
     /// The caller has left, or the request's time is over.
-    pub fn leave(&mut self, now: Time, ticket: Ticket) {
+    pub fn cancel(&mut self, now: Time, ticket: Ticket) {
         let Ok(at) = self.find(ticket) else { return };
         let job = self.jobs.remove(at);
         match &job.state {
@@ -31,19 +31,24 @@
     #[must_use]
     pub fn may_send(&self, target: &str) -> bool {
         let target = self.roster.get(target);
-        target.is_some_and(|t| t.is_open() && !self.roster.is_evacuated(&t.entry.domain))
+        target.is_some_and(|t| t.is_available() && !self.roster.is_evacuated(&t.entry.domain))
     }
 
     /// The same for a request itself: its key may have been taken away.
     #[must_use]
-    pub fn may_go(&self, now: Time, go: &Assignment) -> bool {
+    pub fn may_send_request(&self, now: Time, go: &Assignment) -> bool {
         let job = self.find(go.ticket).map(|at| &self.jobs[at]);
         let kept = job.is_ok_and(|job| self.withheld(now, &job.ask).is_none());
         kept && self.may_send(&go.target)
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, ending: AttemptOutcome) -> FollowUp {
+    pub fn finish_attempt(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        ending: AttemptOutcome,
+    ) -> FollowUp {
         let Ok(at) = self.find(ticket) else {
             return FollowUp::Settled;
         };
@@ -63,7 +68,7 @@
         let object = self.jobs[at].ask.object;
         let ratio = (!queued).then_some(took / expected.max(0.001));
         match ending {
-            AttemptOutcome::Answered if self.work(&self.jobs[at]).sure => {
+            AttemptOutcome::Answered if self.estimate(&self.jobs[at]).is_reliable => {
                 self.note_slow(&target, ratio);
             }
             AttemptOutcome::Answered | AttemptOutcome::NotRun | AttemptOutcome::Withdrawn => {}
@@ -72,23 +77,23 @@
         if let Some(target) = self.roster.get_mut(&target) {
             match ending {
                 AttemptOutcome::Answered => {
-                    target.answered(now, ratio);
+                    target.record_answer(now, ratio);
                     if let Some(object) = object
-                        && target.handled(now, mark_of(object), true)
+                        && target.record_object(now, short_hash(object), true)
                     {
                         let mark = members::mark(&target.entry.id);
-                        self.news.push((mark, mark_of(object)));
+                        self.object_updates.push((mark, short_hash(object)));
                     }
                 }
-                AttemptOutcome::NotRun => target.health.refused(now),
+                AttemptOutcome::NotRun => target.health.record_refusal(now),
                 AttemptOutcome::Failed
                 | AttemptOutcome::InvalidResponse
                 | AttemptOutcome::TimedOut => {
-                    target.health.failed(now);
+                    target.health.record_failure(now);
                 }
                 AttemptOutcome::WrongTarget
                 | AttemptOutcome::NotSent
-                | AttemptOutcome::ConnectionLost => target.unreached(now),
+                | AttemptOutcome::ConnectionLost => target.eject(now),
                 AttemptOutcome::Withdrawn => {}
             }
         }
@@ -96,7 +101,7 @@
             self.note_punctual(now, at, &target, warm);
             if !queued {
                 let job = &self.jobs[at];
-                self.learnt
+                self.latency
                     .add(&job.service, &job.ask.route.name, warm, took);
             }
             self.jobs.remove(at);
@@ -131,14 +136,14 @@
 
     /// A target's answer says this of it. Says whether it names another limit than
     /// before.
-    pub fn hear_target(&mut self, now: Time, id: &str, word: Word) -> bool {
+    pub fn apply_feedback(&mut self, now: Time, id: &str, feedback: Feedback) -> bool {
         let Some(target) = self.roster.get_mut(id) else {
             return false;
         };
-        if let Some(load) = word.load {
-            target.tell(now, load);
+        if let Some(load) = feedback.load {
+            target.record_load(now, load);
         }
-        target.name_limit(now, word.limit)
+        target.update_limit(now, feedback.limit)
     }
 
     /// Whether a request whose attempt failed is tried elsewhere.
@@ -152,11 +157,11 @@
         );
         let job = &mut self.jobs[at];
         job.may_have_run |= !not_run;
-        let allowed = self.levers.has(Lever::Again);
+        let allowed = self.mechanisms.has(Mechanism::Again);
         let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
         let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
         let left = job.tried.len() < job.ask.route.attempts.max(1);
-        let time = now + SPARE < job.limit;
+        let time = now + ANSWER_RESERVE < job.limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
         let arrived = !matches!(ending, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
@@ -197,7 +202,7 @@
 
     fn landed(&mut self, target: &str) {
         if let Some(target) = self.roster.get_mut(target) {
-            target.flying = target.flying.saturating_sub(1);
+            target.in_flight = target.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/steer/src/process/direct/hash.rs
+++ b/crates/steer/src/process/direct/hash.rs
@@ -16,13 +16,13 @@
     clippy::cast_possible_truncation,
     reason = "a mark is a part of the hash"
 )]
-pub const fn mark_of(object: u64) -> u32 {
+pub const fn short_hash(object: u64) -> u32 {
     (object >> 32) as u32
 }
 
 /// A hash as a number from 0 to 1.
 #[must_use]
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     #[allow(clippy::cast_precision_loss, reason = "53 bits are kept")]
     let top = (hash >> 11) as f64;
     top / 9_007_199_254_740_992.0
--- a/crates/steer/src/process/direct/line.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 
 use super::job::{Job, State};
-use super::levers::Lever;
+use super::mechanisms::Mechanism;
 use super::message::{Assignment, Decision, Rejection, Ticket};
 use super::spillover::Spillover;
-use super::{Direct, SPARE, place, unit};
+use super::{ANSWER_RESERVE, Direct, place, unit_interval};
 use crate::clock::Time;
 
 /// Share of a request's latency objective for which it may be held before it is
@@ -37,13 +37,13 @@
 
 impl Direct {
     /// Decides on everything that waits. To be called after each event, and at
-    /// the latest after [`TICK`] while something waits.
+    /// the latest after [`STEP_INTERVAL_MAX`] while something waits.
     pub fn step(&mut self, now: Time) -> Vec<Decision> {
         let mut order: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
         for job in &self.jobs {
             if matches!(job.state, State::Waiting) {
                 let late = now > job.objective();
-                let priority = if self.levers.has(Lever::Priority) {
+                let priority = if self.mechanisms.has(Mechanism::Priority) {
                     job.ask.priority()
                 } else {
                     (0, 0)
@@ -93,9 +93,9 @@
         let held = now.since(job.arrived).as_secs_f64();
         let goal = job.ask.route.goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
-        let hopeless = finish + SPARE > job.limit || self.outlasts(now, &best);
+        let hopeless = finish + ANSWER_RESERVE > job.limit || self.outlasts(now, &best);
         let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.limit;
-        let reject = self.levers.has(Lever::Reject);
+        let reject = self.mechanisms.has(Mechanism::Reject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
             let after = Self::after(&self.jobs[at], best.wait);
             return Some(self.reject(now, at, Rejection::Overload, Some(after)));
@@ -108,12 +108,13 @@
     /// its caller would get none. Another instance can still take the request.
     fn outlasts(&self, now: Time, best: &place::Place) -> bool {
         let finish = now + Duration::from_secs_f64(best.cost * DOUBT);
-        self.end.is_some_and(|end| finish + SPARE > end)
+        self.stops_at
+            .is_some_and(|end| finish + ANSWER_RESERVE > end)
     }
 
     /// Whether even a free target that holds the object would answer too late.
     fn is_too_late(&self, now: Time, job: &Job) -> bool {
-        let work = self.work(job);
+        let work = self.estimate(job);
         now + Duration::from_secs_f64(work.warm * LEAST) > job.limit
     }
 
@@ -123,7 +124,7 @@
         let goal = job.ask.route.goal.mul_f64(HOLD);
         // One that was sent already, or has just come, waits for a target that
         // is only set aside for a moment.
-        if now < job.arrived + goal && now + SPARE < job.limit {
+        if now < job.arrived + goal && now + ANSWER_RESERVE < job.limit {
             return None;
         }
         Some(self.reject(now, at, Rejection::NoTarget, None))
@@ -155,7 +156,7 @@
         let target = &mut self.roster.all_mut()[best.index];
         let age = target.age(now);
         let queued = load >= f64::from(target.entry.slots);
-        target.sent(now, span);
+        target.record_sent(now, span);
         let id = Arc::clone(&target.entry.id);
         let addr = target.entry.addr;
         let limit = target.limit();
@@ -187,7 +188,7 @@
     /// When a rejected caller may come back: once the queue ahead of it is
     /// done. The spread keeps callers rejected together from returning so.
     pub(super) fn after(job: &Job, wait: f64) -> Duration {
-        let spread = unit(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+        let spread = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let goal = job.ask.route.goal.as_secs_f64();
         let seconds = wait.max(goal * 0.2) * (0.75 + spread * 0.75);
         Duration::from_secs_f64(seconds).clamp(AFTER_LEAST, AFTER_MOST)
@@ -197,9 +198,9 @@
     fn choose_side(&mut self, now: Time, at: usize) {
         let (pressure, position) = self.pressure(now, &self.jobs[at]);
         let service = Arc::clone(&self.jobs[at].service);
-        let has = |lever| self.levers.has(lever);
-        let pressure = pressure.filter(|_| has(Lever::Elsewhere));
-        let start = has(Lever::Start);
+        let has = |mechanism| self.mechanisms.has(mechanism);
+        let pressure = pressure.filter(|_| has(Mechanism::Elsewhere));
+        let start = has(Mechanism::Start);
         let used = self.used(now, &service);
         let side = pressure.is_some_and(|pressure| {
             let share = if start { self.lacking(&service) } else { 0.0 };
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -173,7 +173,7 @@
             ticket
         })
         .collect();
-    assert!(bench.direct.waiting() > 0, "the targets are full");
+    assert!(bench.direct.waiting_count() > 0, "the targets are full");
     let later = if taken {
         configure(&mut bench.direct, 3, route(), Vec::new());
         configure(
@@ -187,7 +187,7 @@
     } else {
         at(4_900)
     };
-    let waiting = bench.direct.waiting();
+    let waiting = bench.direct.waiting_count();
     let orders = bench.direct.step(later);
     let whys: Vec<Rejection> = orders
         .iter()
@@ -210,17 +210,17 @@
     let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
-    assert!(bench.direct.may_go(at(20), &go));
+    assert!(bench.direct.may_send_request(at(20), &go));
     configure(
         &mut bench.direct,
         3,
         route(),
         vec![team("other", &[], None)],
     );
-    assert!(!bench.direct.may_go(at(20), &go));
+    assert!(!bench.direct.may_send_request(at(20), &go));
     let next = bench
         .direct
-        .ended(at(20), go.ticket, AttemptOutcome::Withdrawn);
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::Withdrawn);
     assert_eq!(next, FollowUp::Retry);
     let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
@@ -246,7 +246,7 @@
     );
     let next = bench
         .direct
-        .ended(at(20), go.ticket, AttemptOutcome::ConnectionLost);
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::ConnectionLost);
     assert_eq!(next, FollowUp::Retry);
     let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
@@ -281,7 +281,7 @@
     // Sent again, it stays where it may be.
     let next = bench
         .direct
-        .ended(at(20), go.ticket, AttemptOutcome::NotRun);
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
     assert_eq!(next, FollowUp::Retry);
     match bench.order(at(20)) {
         Some(Decision::Send(go)) => {
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -44,7 +44,7 @@
         flying: Vec::new(),
         held: Vec::new(),
         struck: Vec::new(),
-        troubles: Vec::new(),
+        observations: Vec::new(),
         limits: Vec::new(),
     }
 }
@@ -96,7 +96,7 @@
         draining: false,
         seq: 1,
         cold: Duration::ZERO,
-        born: 1,
+        incarnation: 1,
     }
 }
 
@@ -196,7 +196,7 @@
         let go = self.send(now, Some(object));
         let next = self
             .direct
-            .ended(now + took, go.ticket, AttemptOutcome::Answered);
+            .finish_attempt(now + took, go.ticket, AttemptOutcome::Answered);
         assert_eq!(next, FollowUp::Settled);
         go
     }
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -42,7 +42,7 @@
     assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
     bench
         .direct
-        .ended(at(2_100), held[0].ticket, AttemptOutcome::Answered);
+        .finish_attempt(at(2_100), held[0].ticket, AttemptOutcome::Answered);
     let Some(Decision::Send(go)) = bench.order(at(2_100)) else {
         panic!("a slot is free");
     };
@@ -103,7 +103,7 @@
         assert_eq!(&*go.target, "t2");
         bench
             .direct
-            .ended(at(1_001 + i), go.ticket, AttemptOutcome::Answered);
+            .finish_attempt(at(1_001 + i), go.ticket, AttemptOutcome::Answered);
     }
 }
 
@@ -120,7 +120,7 @@
     bench.direct.evacuate(at(20), both);
     bench
         .direct
-        .ended(at(30), held[0].ticket, AttemptOutcome::Answered);
+        .finish_attempt(at(30), held[0].ticket, AttemptOutcome::Answered);
     let order = bench.order(at(30));
     assert!(!matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
@@ -209,7 +209,7 @@
     assert_eq!(bench.order(at(2)), None);
     bench
         .direct
-        .ended(at(50), held[0].ticket, AttemptOutcome::Answered);
+        .finish_attempt(at(50), held[0].ticket, AttemptOutcome::Answered);
     let Some(Decision::Send(go)) = bench.order(at(50)) else {
         panic!("a slot is free");
     };
@@ -242,7 +242,7 @@
     assert!(!bench.direct.may_send(&go.target));
     let next = bench
         .direct
-        .ended(at(2_400), go.ticket, AttemptOutcome::Withdrawn);
+        .finish_attempt(at(2_400), go.ticket, AttemptOutcome::Withdrawn);
     assert_eq!(next, FollowUp::Retry);
     let Some(Decision::Send(again)) = bench.order(at(2_400)) else {
         panic!("there is another target");
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -380,7 +380,7 @@
                     let came = came.iter().find(|(ticket, _)| *ticket == go.ticket);
                     self.held.extend(came.map(|(_, came)| self.now - came));
                     let direct = &mut self.nodes[at].direct;
-                    direct.ended(
+                    direct.finish_attempt(
                         now + Duration::from_millis(1),
                         go.ticket,
                         AttemptOutcome::Answered,
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -14,7 +14,7 @@
     };
     let mut bench = Bench::new(route, &targets);
     let go = bench.send(at(0), Some(1));
-    let next = bench.direct.ended(at(10), go.ticket, ending);
+    let next = bench.direct.finish_attempt(at(10), go.ticket, ending);
     (bench, next)
 }
 
@@ -49,7 +49,7 @@
         panic!("another target is free");
     };
     assert_eq!(go.attempt, 2);
-    let last = bench.direct.ended(at(20), go.ticket, ending);
+    let last = bench.direct.finish_attempt(at(20), go.ticket, ending);
     assert_ne!(last, FollowUp::Retry, "its route allows two targets");
 }
 
@@ -64,7 +64,7 @@
     };
     let last = bench
         .direct
-        .ended(at(20), go.ticket, AttemptOutcome::NotRun);
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
     assert_eq!(last, FollowUp::Settled);
 }
 
@@ -75,12 +75,12 @@
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
     let ticket = bench.arrive(at(1), None);
     assert_eq!(bench.order(at(1)), None);
-    bench.direct.leave(at(20), ticket);
+    bench.direct.cancel(at(20), ticket);
     bench
         .direct
-        .ended(at(50), held[0].ticket, AttemptOutcome::Answered);
+        .finish_attempt(at(50), held[0].ticket, AttemptOutcome::Answered);
     assert_eq!(bench.order(at(50)), None);
-    assert_eq!(bench.direct.count(), 3);
+    assert_eq!(bench.direct.request_count(), 3);
 }
 
 /// A look-up's target gives no answer, and then no other is left that could take
@@ -92,7 +92,7 @@
     let go = bench.send(at(0), Some(1));
     let next = bench
         .direct
-        .ended(at(900), go.ticket, AttemptOutcome::InvalidResponse);
+        .finish_attempt(at(900), go.ticket, AttemptOutcome::InvalidResponse);
     assert_eq!(next, FollowUp::Retry);
     for id in ["t1", "t2"] {
         assert!(bench.direct.unlist(at(900), id));
@@ -113,7 +113,7 @@
     assert_eq!(
         bench
             .direct
-            .ended(at(50), first.ticket, AttemptOutcome::ConnectionLost),
+            .finish_attempt(at(50), first.ticket, AttemptOutcome::ConnectionLost),
         FollowUp::Retry
     );
     let Some(Decision::Send(second)) = bench.order(at(50)) else {
@@ -122,7 +122,7 @@
     assert_eq!(
         bench
             .direct
-            .ended(at(90), second.ticket, AttemptOutcome::ConnectionLost),
+            .finish_attempt(at(90), second.ticket, AttemptOutcome::ConnectionLost),
         FollowUp::Settled
     );
     let told = bench.direct.beat(at(100), false).struck;
@@ -158,9 +158,9 @@
     let kept = bench.send(at(1), Some(1));
     bench
         .direct
-        .ended(at(50), lost.ticket, AttemptOutcome::ConnectionLost);
+        .finish_attempt(at(50), lost.ticket, AttemptOutcome::ConnectionLost);
     bench
         .direct
-        .ended(at(60), kept.ticket, AttemptOutcome::Answered);
+        .finish_attempt(at(60), kept.ticket, AttemptOutcome::Answered);
     assert!(bench.direct.beat(at(70), false).struck.is_empty());
 }
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -31,7 +31,7 @@
 
 impl Bench {
     fn new(limits: gate::Limits) -> Self {
-        let home = dispatch::Home {
+        let home = dispatch::Identity {
             name: "entry0".into(),
             domain: "domain0".into(),
         };
@@ -53,7 +53,7 @@
         let mut out = Vec::new();
         // Control is well here, and the caps are wide: neither bears on keys.
         self.traffic
-            .handle(self.now, traffic::Event::Hold(true), &mut out);
+            .handle(self.now, traffic::Event::SlotHeld(true), &mut out);
         self.traffic.handle(self.now, event, &mut out);
         // Probes of targets and gossip about them are not what is tested here.
         out.retain(|a| {
@@ -86,11 +86,11 @@
                 attempt: arrival::AttemptId(
                     line.number("attempt").expect("the line names an attempt"),
                 ),
-                ending: line.ending(),
+                outcome: line.ending(),
             }),
             "forwarded" => self.feed(traffic::Event::Forwarded {
                 id: id(),
-                ending: line.ending(),
+                outcome: line.ending(),
             }),
             "told" => self.feed(traffic::Event::Told {
                 ask: ask(),
@@ -104,7 +104,7 @@
                 id: id(),
                 result: line.stored(),
             }),
-            "gone" => self.feed(traffic::Event::Gone(id())),
+            "gone" => self.feed(traffic::Event::Disconnected(id())),
             "leave" => self.feed(traffic::Event::Leave),
             "clock" | "sleep" => {
                 let ms = line.number("ms").expect("the line gives a span");
@@ -189,13 +189,16 @@
     fn show(&self, action: &traffic::Action) -> String {
         match action {
             traffic::Action::Send {
-                id, attempt, place, ..
+                id,
+                attempt,
+                destination,
+                ..
             } => {
-                let kind = match place {
-                    dispatch::Place::Target { .. } => "target",
-                    dispatch::Place::Member { .. } => "peer",
+                let kind = match destination {
+                    dispatch::Destination::Target { .. } => "target",
+                    dispatch::Destination::Member { .. } => "peer",
                 };
-                format!("send {id} as {attempt} to {kind} {}", place.name())
+                format!("send {id} as {attempt} to {kind} {}", destination.name())
             }
             traffic::Action::Cancel { id, attempt } => format!("cancel {id} {attempt}"),
             traffic::Action::Reply { id, answer } => {
