--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -21,7 +21,9 @@
 use smol::net;
 use steer::clock::Time;
 use steer::process::direct::access::{Access, Presented};
-use steer::process::direct::{self, Ask, Ending, Go, Next, Order, Ticket, Why};
+use steer::process::direct::{
+    self, Assignment, AttemptOutcome, Decision, FollowUp, Rejection, Ticket,
+};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Route};
 
@@ -221,7 +223,7 @@
     let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
     let object = caller.object.as_ref().filter(|_| route.affinity);
     let object = object.map(|o| object_hash(&route, o.as_bytes()));
-    let ask = Ask {
+    let ask = direct::Request {
         print: fingerprint(incoming.caller, &head.method, &head.uri, object, &body),
         object,
         deadline: arrived + max_wait,
@@ -285,7 +287,7 @@
 impl RoutedRequest {
     /// Sends the request to targets as decided by steering until it is answered,
     /// rejected or out of time.
-    async fn run(self, ask: Ask) -> Response {
+    async fn run(self, ask: direct::Request) -> Response {
         let (ticket, decisions) = match self.shared.submit(ask) {
             Ok(taken) => taken,
             Err(why) => return self.rejection_response(why, DEFAULT_RETRY_AFTER),
@@ -300,8 +302,8 @@
         loop {
             let decision = self.run_until(limit, decisions.recv()).await;
             let assignment = match decision {
-                Some(Ok(Order::Go(assignment))) => assignment,
-                Some(Ok(Order::Reject { why, after, .. })) => {
+                Some(Ok(Decision::Send(assignment))) => assignment,
+                Some(Ok(Decision::Reject { why, after, .. })) => {
                     drop(guard);
                     return self.rejection_response(why, after);
                 }
@@ -316,12 +318,12 @@
             };
             let (follow_up, answer) = self.attempt(&assignment, limit, &mut may_have_run).await;
             match follow_up {
-                Next::Again => {}
-                Next::Settled => {
+                FollowUp::Retry => {}
+                FollowUp::Settled => {
                     drop(guard);
                     return answer.unwrap_or_else(|| self.outcome_unknown());
                 }
-                Next::Reject { after } => {
+                FollowUp::Reject { after } => {
                     drop(guard);
                     return self.reject("rejected-by-targets", after);
                 }
@@ -344,10 +346,10 @@
     /// to do next, and the target's answer if it may be passed on.
     async fn attempt(
         &self,
-        assignment: &Go,
+        assignment: &Assignment,
         limit: Time,
         may_have_run: &mut bool,
-    ) -> (Next, Option<Response>) {
+    ) -> (FollowUp, Option<Response>) {
         let start = self.shared.now();
         let remaining = limit.since(start);
         let (outcome, answer, feedback) = if self
@@ -357,14 +359,17 @@
             let run = attempt::run(&self.shared, assignment, &self.forwarded, remaining);
             match self.run_until(limit, run).await {
                 Some(completion) => (completion.outcome, completion.answer, completion.feedback),
-                None => (Ending::Late, None, None),
+                None => (AttemptOutcome::TimedOut, None, None),
             }
         } else {
-            (Ending::Withdrawn, None, None)
+            (AttemptOutcome::Withdrawn, None, None)
         };
         *may_have_run |= !matches!(
             outcome,
-            Ending::Unreached | Ending::Withdrawn | Ending::NotRun | Ending::Elsewhere
+            AttemptOutcome::NotSent
+                | AttemptOutcome::Withdrawn
+                | AttemptOutcome::NotRun
+                | AttemptOutcome::WrongTarget
         );
         let (follow_up, limit_changed) = self.shared.decide(|now, direct| {
             let follow_up = direct.finish_attempt(now, assignment.ticket, outcome);
@@ -395,7 +400,7 @@
                 object: self.object,
             },
         );
-        let usable = matches!(outcome, Ending::Answered | Ending::Failed);
+        let usable = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Failed);
         let answer = answer.filter(|a| usable && !attempt::implies_not_run(a.status()));
         (follow_up, answer)
     }
@@ -407,20 +412,20 @@
     }
 
     /// Maps a rejection by steering to the caller's response.
-    fn rejection_response(&self, why: Why, after: Duration) -> Response {
+    fn rejection_response(&self, why: Rejection, after: Duration) -> Response {
         match why {
-            Why::NoTarget => self.reject("no-target", after),
-            Why::NoHome => self.reject("no-home", after),
-            Why::Unsure => self.reject("unsure-of-keys", DEFAULT_RETRY_AFTER),
-            Why::Denied => self.own_answer(StatusCode::UNAUTHORIZED, "key-taken-away"),
-            Why::Quota => {
+            Rejection::NoTarget => self.reject("no-target", after),
+            Rejection::NoRegion => self.reject("no-home", after),
+            Rejection::KeysStale => self.reject("unsure-of-keys", DEFAULT_RETRY_AFTER),
+            Rejection::Denied => self.own_answer(StatusCode::UNAUTHORIZED, "key-taken-away"),
+            Rejection::Quota => {
                 let mut response = self.own_answer(StatusCode::TOO_MANY_REQUESTS, "over-quota");
                 headers::come_back(response.headers_mut(), after);
                 response
             }
-            Why::Overload => self.reject("overload", after),
-            Why::Poison => self.reject("crashes-targets", POISON_RETRY_AFTER),
-            Why::Doubt => self.outcome_unknown(),
+            Rejection::Overload => self.reject("overload", after),
+            Rejection::Poison => self.reject("crashes-targets", POISON_RETRY_AFTER),
+            Rejection::OutcomeUnknown => self.outcome_unknown(),
         }
     }
 
@@ -510,16 +515,16 @@
 }
 
 /// Label of an outcome in metrics and the log.
-const fn outcome_name(outcome: Ending) -> &'static str {
+const fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Ending::Answered => "answered",
-        Ending::Failed => "failed",
-        Ending::NotRun => "not-run",
-        Ending::Elsewhere => "elsewhere",
-        Ending::Unreached => "unreached",
-        Ending::Withdrawn => "withdrawn",
-        Ending::Broken => "broken",
-        Ending::Garbled => "garbled",
-        Ending::Late => "late",
+        AttemptOutcome::Answered => "answered",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::NotRun => "not-run",
+        AttemptOutcome::WrongTarget => "elsewhere",
+        AttemptOutcome::NotSent => "unreached",
+        AttemptOutcome::Withdrawn => "withdrawn",
+        AttemptOutcome::ConnectionLost => "broken",
+        AttemptOutcome::InvalidResponse => "garbled",
+        AttemptOutcome::TimedOut => "late",
     }
 }
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -15,7 +15,9 @@
 use steer::process::direct::budget::Rule;
 use steer::process::direct::members::Row;
 use steer::process::direct::replica::Replica;
-use steer::process::direct::{Ask, Bounds, Direct, Home, Order, Ticket, Why, access, limit, quota};
+use steer::process::direct::{
+    Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, access, limit, quota,
+};
 
 use super::{Executor, Failure, events, metrics, peer, server};
 
@@ -30,7 +32,7 @@
 /// A request in steering, with the channel that delivers its decisions.
 pub(super) struct Waiter {
     ticket: Ticket,
-    decisions: async_channel::Sender<Order>,
+    decisions: async_channel::Sender<Decision>,
 }
 
 /// State of one instance, used by both threads.
@@ -102,7 +104,7 @@
             warm: 0,
             connect: CONNECT_TIMEOUT,
         };
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&settings.name),
             region: Arc::clone(&settings.region),
             life: fastrand::u64(1..),
@@ -235,7 +237,10 @@
     ///
     /// # Errors
     /// If steering rejects it on arrival.
-    pub(super) fn submit(&self, ask: Ask) -> Result<(Ticket, async_channel::Receiver<Order>), Why> {
+    pub(super) fn submit(
+        &self,
+        ask: Request,
+    ) -> Result<(Ticket, async_channel::Receiver<Decision>), Rejection> {
         let (decisions, receiver) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
         let ticket = steering.direct.arrive(self.now(), ask)?;
@@ -271,10 +276,10 @@
 
 impl Steering {
     /// Sends a decision to its request; drops it if the request is gone.
-    fn deliver(&mut self, decision: Order) {
+    fn deliver(&mut self, decision: Decision) {
         let ticket = match &decision {
-            Order::Go(go) => go.ticket,
-            Order::Reject { ticket, .. } => *ticket,
+            Decision::Send(go) => go.ticket,
+            Decision::Reject { ticket, .. } => *ticket,
         };
         if let Ok(at) = self.waiters.binary_search_by_key(&ticket, |w| w.ticket) {
             // A request has at most one decision pending, so the channel has room.
