--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, StatusCode, Uri};
 use platform::headers;
 use steer::process::direct::target::Feedback;
-use steer::process::direct::{Ending, Go};
+use steer::process::direct::{Assignment, AttemptOutcome};
 
 use super::Shared;
 use super::server::Response;
@@ -42,7 +42,7 @@
 /// Result of an attempt.
 pub struct Completion {
     /// Classification of the attempt.
-    pub outcome: Ending,
+    pub outcome: AttemptOutcome,
     /// The complete answer, whatever the outcome; `None` if none was received.
     pub answer: Option<Response>,
     /// Load and limit that the target reports, if it is the one that answered.
@@ -50,7 +50,7 @@
 }
 
 impl Completion {
-    fn without_answer(outcome: Ending) -> Self {
+    fn without_answer(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
             answer: None,
@@ -64,12 +64,12 @@
 /// function enforces it.
 pub async fn run(
     shared: &Arc<Shared>,
-    assignment: &Go,
+    assignment: &Assignment,
     forwarded: &ForwardedRequest,
     remaining: Duration,
 ) -> Completion {
     let Ok(request) = request(assignment, forwarded, remaining) else {
-        return Completion::without_answer(Ending::Unreached);
+        return Completion::without_answer(AttemptOutcome::NotSent);
     };
     let pool = &shared.target_pool;
     // A request that must not run twice gets a new connection: on a reused one that
@@ -82,19 +82,23 @@
     let exchange = match sent {
         Ok(exchange) => exchange,
         Err(pool::Error::Unsent | pool::Error::Full) => {
-            return Completion::without_answer(Ending::Unreached);
+            return Completion::without_answer(AttemptOutcome::NotSent);
+        }
+        Err(pool::Error::Broken) => {
+            return Completion::without_answer(AttemptOutcome::ConnectionLost);
+        }
+        Err(pool::Error::Garbled) => {
+            return Completion::without_answer(AttemptOutcome::InvalidResponse);
         }
-        Err(pool::Error::Broken) => return Completion::without_answer(Ending::Broken),
-        Err(pool::Error::Garbled) => return Completion::without_answer(Ending::Garbled),
     };
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
     let Ok(body) = Limited::new(body, ANSWER_MAX_BYTES).collect().await else {
-        return Completion::without_answer(Ending::Broken);
+        return Completion::without_answer(AttemptOutcome::ConnectionLost);
     };
     let info = headers::answer(&head.headers);
     let outcome = classify(head.status, &info, forwarded);
-    if outcome != Ending::Garbled && forwarded.idempotent {
+    if outcome != AttemptOutcome::InvalidResponse && forwarded.idempotent {
         rest.put_back();
     }
     let mut fields = head.headers;
@@ -103,7 +107,10 @@
     let mut answer = Response::new(body.to_bytes());
     *answer.status_mut() = head.status;
     *answer.headers_mut() = fields;
-    let is_own = !matches!(outcome, Ending::Garbled | Ending::Elsewhere);
+    let is_own = !matches!(
+        outcome,
+        AttemptOutcome::InvalidResponse | AttemptOutcome::WrongTarget
+    );
     Completion {
         outcome,
         answer: Some(answer),
@@ -115,27 +122,31 @@
 }
 
 /// Classifies a complete answer by its status and headers.
-fn classify(status: StatusCode, info: &headers::Answer, forwarded: &ForwardedRequest) -> Ending {
+fn classify(
+    status: StatusCode,
+    info: &headers::Answer,
+    forwarded: &ForwardedRequest,
+) -> AttemptOutcome {
     if forwarded.id.is_some() && info.id != forwarded.id {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Ending::Elsewhere;
+        return AttemptOutcome::WrongTarget;
     }
     // A final answer never has an interim status.
     if status.is_informational() {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if info.not_run {
-        return Ending::NotRun;
+        return AttemptOutcome::NotRun;
     }
     if status.is_success() && (!info.sealed || info.encoded) {
-        return Ending::Garbled;
+        return AttemptOutcome::InvalidResponse;
     }
     if status.is_server_error() || implies_not_run(status) {
-        return Ending::Failed;
+        return AttemptOutcome::Failed;
     }
-    Ending::Answered
+    AttemptOutcome::Answered
 }
 
 /// Whether callers take a status to mean that the request did not run. A target that
@@ -152,7 +163,7 @@
 }
 
 fn request(
-    assignment: &Go,
+    assignment: &Assignment,
     forwarded: &ForwardedRequest,
     remaining: Duration,
 ) -> Result<pool::Request, hyper::http::Error> {
--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -79,7 +79,7 @@
     /// Load and limit that the target reported.
     pub feedback: Feedback,
     /// The decision to send it there, with the estimates it was based on.
-    pub assignment: &'a steer::process::direct::Go,
+    pub assignment: &'a steer::process::direct::Assignment,
     /// Hash of the object that the request concerns; 0 if it names none.
     pub object: u64,
 }
