--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -22,7 +22,7 @@
 use steer::clock::Time;
 use steer::process::direct::access::{Access, Presented};
 use steer::process::direct::{
-    self, Assignment, AttemptOutcome, Decision, FollowUp, Rejection, Ticket,
+    self, Assignment, AttemptOutcome, Decision, FollowUp, Rejection, Request, Ticket,
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Route};
@@ -70,11 +70,11 @@
 /// Waits until a configuration is known.
 async fn wait_for_config(shared: &Shared) {
     loop {
-        let update = shared.updated.listen();
+        let next_update = shared.updated.listen();
         if shared.read(|_, d| d.routes().is_some()) {
             return;
         }
-        update.await;
+        next_update.await;
     }
 }
 
@@ -166,7 +166,7 @@
     shared: Arc<Shared>,
     forwarded: ForwardedRequest,
     route: Arc<Route>,
-    /// Name of the team that owns the request, if it bears a key.
+    /// Name of the team whose key authorized the request.
     team: Option<Arc<str>>,
     /// Hash of the object that the request concerns; 0 if it names none.
     object: u64,
@@ -223,7 +223,7 @@
     let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
     let object = caller.object.as_ref().filter(|_| route.affinity);
     let object = object.map(|o| object_hash(&route, o.as_bytes()));
-    let ask = direct::Request {
+    let steer_request = Request {
         print: fingerprint(incoming.caller, &head.method, &head.uri, object, &body),
         object,
         deadline: arrived + max_wait,
@@ -246,7 +246,7 @@
         arrived,
         origin,
     };
-    outgoing.run(ask).await
+    outgoing.run(steer_request).await
 }
 
 /// Reason for a 401, as counted and logged.
@@ -287,10 +287,10 @@
 impl RoutedRequest {
     /// Sends the request to targets as decided by steering until it is answered,
     /// rejected or out of time.
-    async fn run(self, ask: direct::Request) -> Response {
-        let (ticket, decisions) = match self.shared.submit(ask) {
-            Ok(taken) => taken,
-            Err(why) => return self.rejection_response(why, DEFAULT_RETRY_AFTER),
+    async fn run(self, request: Request) -> Response {
+        let (ticket, decisions) = match self.shared.submit(request) {
+            Ok(submitted) => submitted,
+            Err(rejection) => return self.rejection_response(rejection, DEFAULT_RETRY_AFTER),
         };
         let guard = TicketGuard {
             shared: Arc::clone(&self.shared),
@@ -405,15 +405,15 @@
         (follow_up, answer)
     }
 
-    /// Request id as text; empty if there is none or it is no ASCII text.
+    /// Request id as text; empty if there is none or it is not visible ASCII.
     fn id(&self) -> &str {
         let id = self.forwarded.id.as_ref().and_then(|id| id.to_str().ok());
         id.unwrap_or_default()
     }
 
     /// Maps a rejection by steering to the caller's response.
-    fn rejection_response(&self, why: Rejection, after: Duration) -> Response {
-        match why {
+    fn rejection_response(&self, rejection: Rejection, after: Duration) -> Response {
+        match rejection {
             Rejection::NoTarget => self.reject("no-target", after),
             Rejection::NoRegion => self.reject("no-home", after),
             Rejection::KeysStale => self.reject("unsure-of-keys", DEFAULT_RETRY_AFTER),
--- a/crates/auburnrouter/src/direct/connection.rs
+++ b/crates/auburnrouter/src/direct/connection.rs
@@ -134,7 +134,7 @@
 }
 
 /// State of the connection after a step.
-enum Advance {
+enum StepResult {
     /// Progress was made; step again.
     Again,
     /// Waiting; the task's waker is registered.
@@ -202,11 +202,11 @@
     fn poll(&mut self, cx: &mut Context<'_>, is_closing: bool) -> Poll<bool> {
         for _ in 0..STEPS_PER_POLL {
             // An I/O error means that the caller is gone or takes no output.
-            match self.advance(cx, is_closing).unwrap_or(Advance::Closed) {
-                Advance::Again => {}
-                Advance::Pending => return Poll::Pending,
-                Advance::Finished => return Poll::Ready(true),
-                Advance::Closed => return Poll::Ready(false),
+            match self.poll_step(cx, is_closing).unwrap_or(StepResult::Closed) {
+                StepResult::Again => {}
+                StepResult::Pending => return Poll::Pending,
+                StepResult::Finished => return Poll::Ready(true),
+                StepResult::Closed => return Poll::Ready(false),
             }
         }
         cx.waker().wake_by_ref();
@@ -215,7 +215,7 @@
 
     /// Reads, starts requests, collects answers and writes, each as far as possible
     /// without waiting.
-    fn advance(&mut self, cx: &mut Context<'_>, is_closing: bool) -> io::Result<Advance> {
+    fn poll_step(&mut self, cx: &mut Context<'_>, is_closing: bool) -> io::Result<StepResult> {
         if is_closing || self.service.is_leaving() {
             self.pipeline.stop();
         }
@@ -237,14 +237,14 @@
         progressed |= self.poll_write(cx)?;
         let is_flushed = self.out.is_empty() && self.body_tail.is_empty();
         if is_flushed && self.pipeline.is_closed() {
-            return Ok(Advance::Finished);
+            return Ok(StepResult::Finished);
         }
         let is_empty = self.pipeline.is_empty() && !self.reader.is_partial();
         if is_flushed && is_closing && is_empty {
-            return Ok(Advance::Closed);
+            return Ok(StepResult::Closed);
         }
         if progressed {
-            return Ok(Advance::Again);
+            return Ok(StepResult::Again);
         }
         self.poll_timeouts(cx)
     }
@@ -422,12 +422,12 @@
     }
 
     /// Handles the next timeout if it is due, else registers a wake-up for it.
-    fn poll_timeouts(&mut self, cx: &mut Context<'_>) -> io::Result<Advance> {
+    fn poll_timeouts(&mut self, cx: &mut Context<'_>) -> io::Result<StepResult> {
         loop {
             let Some(due) = self.deadline() else {
                 self.timeouts.timer_at = None;
                 self.timeouts.timer = None;
-                return Ok(Advance::Pending);
+                return Ok(StepResult::Pending);
             };
             // A timer that expires before `due` is left to fire and is then set again:
             // resetting it with each request would cost more.
@@ -437,7 +437,7 @@
             }
             let timer = self.timeouts.timer.as_mut().map(Pin::new);
             if timer.is_none_or(|timer| timer.poll(cx).is_pending()) {
-                return Ok(Advance::Pending);
+                return Ok(StepResult::Pending);
             }
             self.timeouts.timer_at = None;
             if Instant::now() < due {
@@ -483,7 +483,7 @@
 
     /// Handles an expired timeout: blocked output or an idle connection ends the
     /// connection, a request that is too slow is answered with an error.
-    fn expire(&mut self) -> io::Result<Advance> {
+    fn expire(&mut self) -> io::Result<StepResult> {
         let now = Instant::now();
         let request_timeout = self.limits.request_timeout;
         let timed_out = |since: Instant| now.saturating_duration_since(since) >= request_timeout;
@@ -492,9 +492,9 @@
         }
         if self.reading_since().is_some_and(timed_out) {
             self.fail_read(ReadError::TimedOut);
-            return Ok(Advance::Again);
+            return Ok(StepResult::Again);
         }
-        Ok(Advance::Closed)
+        Ok(StepResult::Closed)
     }
 
     /// Shuts down the write side and discards input until the caller closes, for
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -82,13 +82,13 @@
     async fn changes(self, _: context::Context, known: u64, wait_ms: u32) -> Changes {
         let shared = &self.0;
         let asked = shared.now();
-        let update = shared.updated.listen();
+        let next_update = shared.updated.listen();
         if lock(&shared.replica).revision() <= known {
             let wait = Duration::from_millis(wait_ms.into()).min(WAIT_MAX);
             let timeout = async {
                 smol::Timer::after(wait).await;
             };
-            future::or(update, timeout).await;
+            future::or(next_update, timeout).await;
         }
         changes(shared, known, asked)
     }
--- a/crates/auburnrouter/tests/direct/stop.rs
+++ b/crates/auburnrouter/tests/direct/stop.rs
@@ -71,24 +71,24 @@
         target.set(Manner::Well, 1_200 * MS);
     }
     harness.entry.signal(Signal::TERM);
-    let mut callers = Vec::new();
+    let mut threads = Vec::new();
     while let Ok(mut stream) = TcpStream::connect(harness.entry.callers) {
-        let id = format!("r{}", callers.len());
+        let id = format!("r{}", threads.len());
         let text = request("GET", &format!("/view/{id}"), &id, "");
-        let caller = std::thread::spawn(move || {
+        let thread = std::thread::spawn(move || {
             // A connection that ends before its request was read does not count.
             if stream.write_all(text.as_bytes()).is_err() {
                 return None;
             }
             read_answer(&mut stream).map(|answer| (id, answer))
         });
-        callers.push(caller);
+        threads.push(thread);
         // Callers arrive one after the other, no faster than the targets can serve.
         std::thread::sleep(200 * MS);
     }
-    let answers: Vec<_> = callers
+    let answers: Vec<_> = threads
         .into_iter()
-        .filter_map(|caller| caller.join().expect("the thread does not panic"))
+        .filter_map(|thread| thread.join().expect("the thread does not panic"))
         .collect();
     assert!(answers.len() >= 5, "only {} were taken", answers.len());
     for (id, answer) in &answers {
