--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -20,7 +20,7 @@
 use platform::headers;
 use smol::net;
 use steer::clock::Time;
-use steer::process::direct::access::{Access, Presented};
+use steer::process::direct::access::{Access, Credential};
 use steer::process::direct::{
     self, Assignment, AttemptOutcome, Decision, FollowUp, Rejection, Ticket,
 };
@@ -209,7 +209,7 @@
             let reason = denial_reason(presented);
             return meta.own_answer(&shared, &route.name, StatusCode::UNAUTHORIZED, reason);
         }
-        Access::Unsure => return meta.reject(&shared, &route.name, "unsure-of-keys"),
+        Access::KeysStale => return meta.reject(&shared, &route.name, "unsure-of-keys"),
     };
     let RequestMeta { caller, origin } = meta;
     let _reservation = incoming.reservation;
@@ -250,11 +250,11 @@
 }
 
 /// Reason for a 401, as counted and logged.
-const fn denial_reason(presented: Presented) -> &'static str {
+const fn denial_reason(presented: Credential) -> &'static str {
     match presented {
-        Presented::Nothing => "no-key",
-        Presented::Malformed => "malformed-key",
-        Presented::Key(_) => "unknown-key",
+        Credential::Missing => "no-key",
+        Credential::Malformed => "malformed-key",
+        Credential::Key(_) => "unknown-key",
     }
 }
 
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -56,11 +56,11 @@
         let mut steering = lock(&shared.steering);
         let now = shared.now();
         let beat = steering.direct.beat(now, row);
-        (beat, steering.direct.audience(now))
+        (beat, steering.direct.recipients(now))
     };
     // The state of this region's targets is of no use in other regions, and
     // traffic between regions costs most.
-    let reduced = members::Beat {
+    let reduced = members::Heartbeat {
         flying: Vec::new(),
         held: Vec::new(),
         observations: Vec::new(),
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, StatusCode, Uri};
 use platform::directory::{self, Call, Where};
 use smol::net;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
 
 use super::connection::{Caller, IncomingRequest};
 use super::server::{self, Limits, ReadError, Response, Service};
@@ -112,7 +112,7 @@
             domain: settings.domain.as_ref().to_owned(),
             version: Some(version),
         };
-        let other = |(name, row, version): (&Arc<str>, &Row, _)| StatusEntry {
+        let other = |(name, row, version): (&Arc<str>, &Registration, _)| StatusEntry {
             name: name.as_ref().to_owned(),
             domain: row.domain.as_ref().to_owned(),
             version,
@@ -151,7 +151,7 @@
     let ready = shared.is_ready().then(|| shared.registration());
     let (mut rows, homes) = shared.read(|now, direct| {
         let serving = direct.serving(now).map(|(_, row)| row.clone());
-        let rows: Vec<Row> = ready.into_iter().chain(serving).collect();
+        let rows: Vec<Registration> = ready.into_iter().chain(serving).collect();
         let routes = direct.routes();
         (rows, routes.map_or_else(Vec::new, |r| r.homes(&from.host)))
     });
@@ -161,7 +161,7 @@
             others.chain([shared.registration()]).collect()
         });
     }
-    let select = |matches: &dyn Fn(&Row) -> bool| -> Vec<SocketAddr> {
+    let select = |matches: &dyn Fn(&Registration) -> bool| -> Vec<SocketAddr> {
         let rows = rows.iter().filter(|row| matches(row));
         rows.map(|row| row.callers).collect()
     };
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -13,7 +13,7 @@
 use settings::direct::Settings;
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
 use steer::process::direct::replica::Replica;
 use steer::process::direct::{
     Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, access, limit, quota,
@@ -203,7 +203,7 @@
     }
 
     /// Addresses and location of this instance.
-    pub(super) fn registration(&self) -> Row {
+    pub(super) fn registration(&self) -> Registration {
         row(&self.settings)
     }
 
@@ -302,8 +302,8 @@
     Duration::new(seconds, nanos)
 }
 
-fn row(settings: &Settings) -> Row {
-    Row {
+fn row(settings: &Settings) -> Registration {
+    Registration {
         region: Arc::clone(&settings.region),
         domain: Arc::clone(&settings.domain),
         callers: settings.listen.callers,
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -18,7 +18,7 @@
 use steer::clock::Time;
 use steer::process::direct::replica::{Item, Update};
 use steer::process::direct::upstream::{STALE, Upstream, weight};
-use steer::process::direct::{Contact, Direct};
+use steer::process::direct::{Direct, StoreContact};
 use wire::near;
 
 use super::peer::Connection;
@@ -264,7 +264,7 @@
             whole: true,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
-        apply_update(&self.shared, update, Contact::NOW, Some(sent_at));
+        apply_update(&self.shared, update, StoreContact::NOW, Some(sent_at));
         true
     }
 
@@ -297,7 +297,7 @@
             whole: false,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
-        apply_update(&self.shared, update, Contact::NOW, Some(confirmed));
+        apply_update(&self.shared, update, StoreContact::NOW, Some(confirmed));
         true
     }
 
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -8,7 +8,7 @@
 
 use platform::{document, entry};
 use steer::clock::Time;
-use steer::process::direct::Contact;
+use steer::process::direct::StoreContact;
 use steer::process::direct::replica::Update;
 use wire::near;
 
@@ -38,7 +38,7 @@
 pub(super) fn apply_update(
     shared: &Shared,
     update: Update,
-    contact: Contact,
+    contact: StoreContact,
     confirmed: Option<Time>,
 ) {
     let revision = update.revision;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 use fastrand::Rng;
-use steer::process::direct::members::Beat;
+use steer::process::direct::members::Heartbeat;
 use steer::process::direct::{AttemptOutcome, Ticket};
 
 use crate::brain::Brain;
@@ -98,7 +98,7 @@
     Hear {
         instance: usize,
         life: u64,
-        beat: Box<Beat>,
+        beat: Box<Heartbeat>,
     },
     Learn {
         instance: usize,
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
 use steer::process::direct::{
     Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Rejection, Request,
     STEP_INTERVAL_MAX, Ticket, hash,
@@ -105,9 +105,9 @@
 }
 
 impl World<'_> {
-    fn row(&self, number: usize) -> Row {
+    fn row(&self, number: usize) -> Registration {
         let instance = &self.instances[number];
-        Row {
+        Registration {
             region: Arc::clone(&self.regions[instance.region]),
             domain: Arc::clone(&self.plan.domains[instance.domain].name),
             callers: anywhere(),
--- a/crates/emulator/src/world/instance/knowledge.rs
+++ b/crates/emulator/src/world/instance/knowledge.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::direct::Contact;
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::StoreContact;
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::target::Entry;
 use steer::version::routes::{Limits, Part, Route, Routes, Service};
 
@@ -89,7 +89,7 @@
         let entries = self.entries();
         let evacuated = self.evacuated();
         let routes = Arc::new(routes(self.plan));
-        let rows: Vec<(Arc<str>, Row)> = (0..self.instances.len())
+        let rows: Vec<(Arc<str>, Registration)> = (0..self.instances.len())
             .filter(|n| *n != number && self.is_listed(*n))
             .map(|n| (Arc::clone(&self.instances[n].name), self.row(n)))
             .collect();
@@ -117,7 +117,7 @@
             direct.member(now, &name, Some(row));
         }
         if away {
-            direct.told(now, Contact::default(), 1);
+            direct.told(now, StoreContact::default(), 1);
         } else {
             direct.in_touch(now, 1);
         }
@@ -188,13 +188,13 @@
         }
         let beat = direct.beat(now, instance.beats.is_multiple_of(6));
         let afar = instance.beats.is_multiple_of(AFAR);
-        let far = Beat {
+        let far = Heartbeat {
             flying: Vec::new(),
             held: Vec::new(),
             observations: Vec::new(),
             ..beat.clone()
         };
-        let to = direct.audience(now);
+        let to = direct.recipients(now);
         let region = to.region.into_iter().filter(|_| afar);
         let near = to.near.into_iter().chain(region);
         for other in near.filter_map(super::number) {
@@ -210,7 +210,7 @@
         }
     }
 
-    fn send_beat(&mut self, from: usize, to: usize, beat: &Beat) {
+    fn send_beat(&mut self, from: usize, to: usize, beat: &Heartbeat) {
         let (own, other) = (&self.instances[from], &self.instances[to]);
         if self.is_cut(own.region, other.region) || self.rng.f64() < LOST {
             return;
@@ -225,7 +225,7 @@
         self.after(way, event);
     }
 
-    pub(in crate::world) fn hear(&mut self, number: usize, life: u64, beat: Beat) {
+    pub(in crate::world) fn hear(&mut self, number: usize, life: u64, beat: Heartbeat) {
         let now = self.clock_or_zero(number);
         let instance = &mut self.instances[number];
         if instance.life == life
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -12,7 +12,7 @@
 
 use fastrand::Rng;
 use steer::clock::Time;
-use steer::process::direct::members::Beat;
+use steer::process::direct::members::Heartbeat;
 use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{
     Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Request, Ticket,
@@ -66,7 +66,7 @@
     },
     Beat {
         node: usize,
-        beat: Beat,
+        beat: Heartbeat,
     },
 }
 
--- a/crates/measure/src/sums/setup.rs
+++ b/crates/measure/src/sums/setup.rs
@@ -7,7 +7,7 @@
 
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
 use steer::process::direct::target::Entry;
 use steer::process::direct::{Bounds, access, limit, quota};
 use steer::version::routes::{Limits, Part, Route, Routes, Service};
@@ -70,9 +70,9 @@
 }
 
 /// Where an instance of a region stands.
-pub fn row(at: usize) -> Row {
+pub fn row(at: usize) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
-    Row {
+    Registration {
         region: region(at),
         domain: region(at),
         callers: addr,
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -10,7 +10,7 @@
 //! allows, nor to a target that leaves or whose domain is evacuated.
 
 pub mod access;
-pub mod audience;
+pub mod allotment;
 pub mod budget;
 mod completion;
 mod contact;
@@ -22,10 +22,10 @@
 pub mod mechanisms;
 pub mod members;
 mod message;
-pub mod parts;
 pub mod place;
 mod queue;
 pub mod quota;
+pub mod recipients;
 pub mod replica;
 pub mod roster;
 pub mod spillover;
@@ -46,15 +46,15 @@
 use crate::request::poison::{STRIKES, Suspects};
 use crate::version::routes::Routes;
 
+use allotment::Participant;
 use budget::Budget;
-pub use contact::Contact;
-use contact::Touch;
+pub use contact::StoreContact;
+use contact::StoreLink;
 use health::Observation;
 use job::{Job, State};
 use latency::LatencyEstimates;
 use mechanisms::{Mechanism, Mechanisms};
 use members::Members;
-use parts::Sharer;
 use roster::Roster;
 use spillover::Spillover;
 use split::Splits;
@@ -74,7 +74,7 @@
     budgets: Vec<(Arc<str>, Budget)>,
     spillovers: Vec<(Arc<str>, Spillover)>,
     members: Members,
-    store: Touch,
+    store: StoreLink,
     /// Up to when the store's content is known.
     confirmed: access::Confirmed,
     quotas: quota::Quotas,
@@ -93,7 +93,7 @@
     limit_cursor: usize,
     heartbeat_seq: u64,
     /// Other instances that sums are shared with.
-    sharers: Vec<Sharer>,
+    participants: Vec<Participant>,
     jobs: Vec<Job>,
     next_ticket: u64,
 }
@@ -127,7 +127,7 @@
             budgets: Vec::new(),
             spillovers: Vec::new(),
             members: Members::default(),
-            store: Touch::default(),
+            store: StoreLink::default(),
             confirmed: access::Confirmed::default(),
             quotas: quota::Quotas::default(),
             failed_upstreams: Failed::default(),
@@ -138,7 +138,7 @@
             object_cursor: 0,
             limit_cursor: 0,
             heartbeat_seq: 0,
-            sharers: Vec::new(),
+            participants: Vec::new(),
             jobs: Vec::new(),
             next_ticket: 1,
         }
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -30,9 +30,9 @@
 
 /// What a caller shows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presented {
+pub enum Credential {
     /// No key.
-    Nothing,
+    Missing,
     /// Something that is no key, or more than one.
     Malformed,
     /// A key.
@@ -41,7 +41,7 @@
 
 /// A team's request, and the key that made it one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pass {
+pub struct Authorized {
     /// Whose it is.
     pub team: Arc<Team>,
     /// The key.
@@ -54,11 +54,11 @@
     /// It needs no key.
     Open,
     /// It is a team's.
-    Granted(Pass),
+    Granted(Authorized),
     /// It bears no key of any team.
     Denied,
     /// Not known: this instance may lie behind the configuration.
-    Unsure,
+    KeysStale,
 }
 
 /// Kept free of the bound on keys taken away, for clocks that don't run alike.
@@ -164,23 +164,23 @@
         now: Time,
         routes: &Routes,
         route: &Route,
-        presented: Presented,
+        presented: Credential,
     ) -> Access {
         if routes.teams.is_empty() {
             return Access::Open;
         }
         let held = match presented {
-            Presented::Key(key) => routes.teams.find(&key).map(|team| (key, team)),
-            Presented::Nothing | Presented::Malformed => None,
+            Credential::Key(key) => routes.teams.find(&key).map(|team| (key, team)),
+            Credential::Missing | Credential::Malformed => None,
         };
         match held {
-            Some((key, team)) if route.open || self.is_sure(now) => Access::Granted(Pass {
+            Some((key, team)) if route.open || self.is_sure(now) => Access::Granted(Authorized {
                 team: Arc::clone(team),
                 key,
             }),
             None if route.open => Access::Open,
             None if self.is_fresh(now) => Access::Denied,
-            _ => Access::Unsure,
+            _ => Access::KeysStale,
         }
     }
 
--- a/crates/steer/src/process/direct/parts.rs
+++ b/crates/steer/src/process/direct/allotment.rs
@@ -14,7 +14,7 @@
 
 /// An instance that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sharer {
+pub struct Participant {
     /// Its region.
     pub region: Arc<str>,
     /// Hash of its name.
@@ -29,15 +29,21 @@
 /// The part of `own` in `total` requests to the target of mark `target`, which
 /// stands in `region`. `others` are all other instances.
 #[must_use]
-pub fn part(total: usize, own: &Sharer, others: &[Sharer], region: &str, target: u32) -> usize {
-    let is_near = |s: &Sharer| *s.region == *region;
+pub fn allotment(
+    total: usize,
+    own: &Participant,
+    others: &[Participant],
+    region: &str,
+    target: u32,
+) -> usize {
+    let is_near = |s: &Participant| *s.region == *region;
     let near = others.iter().filter(|s| is_near(s)).count() + usize::from(is_near(own));
     let far = others.len() + 1 - near;
     let (count, tokens) = match (is_near(own), near, far) {
         (true, _, 0) => (near, total),
-        (true, ..) => (near, near_part(total)),
+        (true, ..) => (near, local_part(total)),
         (false, 0, _) => (far, total),
-        (false, ..) => (far, total - near_part(total)),
+        (false, ..) => (far, total - local_part(total)),
     };
     let side = others.iter().filter(|s| is_near(s) == is_near(own));
     slice(tokens, count, own, side, target)
@@ -46,7 +52,12 @@
 /// The part of `own` in `total` requests that concern no region more than another;
 /// `mark` is that of what is divided.
 #[must_use]
-pub fn even(total: usize, own: &Sharer, others: &[Sharer], mark: u32) -> usize {
+pub fn equal_allotment(
+    total: usize,
+    own: &Participant,
+    others: &[Participant],
+    mark: u32,
+) -> usize {
     slice(total, others.len() + 1, own, others.iter(), mark)
 }
 
@@ -54,11 +65,11 @@
 fn slice<'a>(
     tokens: usize,
     count: usize,
-    own: &Sharer,
-    others: impl Iterator<Item = &'a Sharer>,
+    own: &Participant,
+    others: impl Iterator<Item = &'a Participant>,
     mark: u32,
 ) -> usize {
-    let order = |s: &Sharer| (s.mark ^ mark).wrapping_mul(SPREAD);
+    let order = |s: &Participant| (s.mark ^ mark).wrapping_mul(SPREAD);
     // Two of the same hash would both stand first: both stand last instead.
     let before = others.filter(|s| order(s) <= order(own)).count();
     tokens / count + usize::from(before < tokens % count)
@@ -73,6 +84,6 @@
     clippy::cast_sign_loss,
     reason = "a small count"
 )]
-fn near_part(total: usize) -> usize {
+fn local_part(total: usize) -> usize {
     ((total as f64 * NEAR) as usize).max(1).min(total)
 }
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -81,7 +81,7 @@
                     if let Some(object) = object
                         && target.record_object(now, short_hash(object), true)
                     {
-                        let mark = members::mark(&target.entry.id);
+                        let mark = members::name_hash(&target.entry.id);
                         self.object_updates.push((mark, short_hash(object)));
                     }
                 }
@@ -166,7 +166,7 @@
         let may_have_run = job.may_have_run;
         let arrived = !matches!(ending, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
         let rule = self.bounds.repeats;
-        let instances = self.sharers.len() + 1;
+        let instances = self.participants.len() + 1;
         // What never arrived costs no target anything; the bound is on arrivals.
         let leave = !arrived || self.budget(&service).spend(now, &rule, instances);
         if again && left && time && leave {
--- a/crates/steer/src/process/direct/contact.rs
+++ b/crates/steer/src/process/direct/contact.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 use super::Direct;
-use super::members::{self, Beat, Row};
-use super::parts::Sharer;
+use super::allotment::Participant;
+use super::members::{self, Heartbeat, Registration};
 use crate::clock::Time;
 use crate::request::arrival::Fingerprint;
 
 /// How this instance stands to the platform's store.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Touch {
+pub(super) struct StoreLink {
     /// Revision up to which everything is known.
     revision: u64,
     /// Last answer.
@@ -29,7 +29,7 @@
 
 /// How another instance stands to the platform's store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Contact {
+pub struct StoreContact {
     /// Time since the store's last answer, if there was one.
     pub age: Option<Duration>,
     /// Time since which it has answered without a gap in which entries may have
@@ -37,7 +37,7 @@
     pub span: Option<Duration>,
 }
 
-impl Contact {
+impl StoreContact {
     /// The store has just answered; nothing is known of the time before.
     pub const NOW: Self = Self {
         age: Some(Duration::ZERO),
@@ -84,7 +84,7 @@
 
     /// Another instance has told everything up to `revision`; `contact` is its own, or
     /// that of the one that told it.
-    pub fn told(&mut self, now: Time, contact: Contact, revision: u64) {
+    pub fn told(&mut self, now: Time, contact: StoreContact, revision: u64) {
         let since = contact.span.map(|span| now - span);
         match contact.age {
             Some(age) => self.confirmed(now, now - age, since, revision),
@@ -129,8 +129,8 @@
 
     /// How this instance stands to the store, for another that it tells.
     #[must_use]
-    pub fn contact(&self, now: Time) -> Contact {
-        Contact {
+    pub fn contact(&self, now: Time) -> StoreContact {
+        StoreContact {
             age: self.store_age(now),
             span: self.store.since.map(|at| now.since(at)),
         }
@@ -144,7 +144,7 @@
 
     /// Whether nobody tells this instance anything, though others are there.
     pub(super) fn is_isolated(&self, now: Time) -> bool {
-        !self.sharers.is_empty() && !self.is_in_touch(now) && !self.members.is_any_heard(now)
+        !self.participants.is_empty() && !self.is_in_touch(now) && !self.members.is_any_heard(now)
     }
 
     /// A target is no longer listed. Says whether it is dropped at once.
@@ -159,7 +159,7 @@
     }
 
     /// Another instance is listed in the store, or no longer.
-    pub fn member(&mut self, now: Time, name: &str, row: Option<Row>) {
+    pub fn member(&mut self, now: Time, name: &str, row: Option<Registration>) {
         if *name == *self.home.name {
             return;
         }
@@ -177,7 +177,7 @@
     }
 
     /// Takes another instance's heartbeat.
-    pub fn hear(&mut self, now: Time, beat: Beat) {
+    pub fn hear(&mut self, now: Time, beat: Heartbeat) {
         for (print, strikes) in &beat.struck {
             self.suspects.told(now, Fingerprint(*print), *strikes);
         }
@@ -200,13 +200,13 @@
     }
 
     /// This instance's heartbeat; with its row for those who may not know it.
-    pub fn beat(&mut self, now: Time, row: bool) -> Beat {
+    pub fn beat(&mut self, now: Time, row: bool) -> Heartbeat {
         self.heartbeat_seq += 1;
         let held = self.held(now);
         let observations = self.take_observations(now);
         let limits = self.named_limits(now);
         let struck = self.suspects.lately(now, TOLD);
-        Beat {
+        Heartbeat {
             name: Arc::clone(&self.home.name),
             life: self.home.life,
             seq: self.heartbeat_seq,
@@ -243,12 +243,12 @@
     }
 
     /// Other instances that are there, with where they are reached.
-    pub fn others(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Row)> {
+    pub fn others(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         self.members.present(now, self.is_in_touch(now))
     }
 
     /// Those of them that callers with keys may be sent to.
-    pub fn serving(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Row)> {
+    pub fn serving(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         self.members.serving(now, self.is_in_touch(now))
     }
 
@@ -264,7 +264,10 @@
 
     /// Other instances with the version that each has in force, if it was heard
     /// lately.
-    pub fn versions(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Row, Option<u64>)> {
+    pub fn versions(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = (&Arc<str>, &Registration, Option<u64>)> {
         self.members.versions(now)
     }
 
@@ -285,11 +288,12 @@
 
     /// Finds the instances that share what is bounded as a sum.
     fn recount(&mut self, now: Time) {
-        self.sharers.clear();
-        let sharer = |(name, row): (&Arc<str>, &Row)| Sharer {
+        self.participants.clear();
+        let sharer = |(name, row): (&Arc<str>, &Registration)| Participant {
             region: Arc::clone(&row.region),
-            mark: members::mark(name),
+            mark: members::name_hash(name),
         };
-        self.sharers.extend(self.members.sharing(now).map(sharer));
+        self.participants
+            .extend(self.members.sharing(now).map(sharer));
     }
 }
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -14,7 +14,7 @@
 use super::Direct;
 use super::job::State;
 use super::mechanisms::Mechanism;
-use super::members::mark;
+use super::members::name_hash;
 use crate::clock::Time;
 
 /// Weight of a new sample.
@@ -256,13 +256,14 @@
     /// Notes a slow answer for the next heartbeat.
     pub(super) fn note_slow(&mut self, id: &str, ratio: Option<f64>) {
         if let Some(ratio) = ratio.filter(|r| *r >= TOLD_RATIO) {
-            self.observations.push(Observation::slow(mark(id), ratio));
+            self.observations
+                .push(Observation::slow(name_hash(id), ratio));
         }
     }
 
     /// Notes a failed request for the next heartbeat.
     pub(super) fn note_failed(&mut self, id: &str) {
-        self.observations.push(Observation::failed(mark(id)));
+        self.observations.push(Observation::failed(name_hash(id)));
     }
 
     /// What the next heartbeat tells: what was noted, and requests that are at
@@ -287,7 +288,7 @@
             }
         }
         for (id, ratio) in overdue {
-            seen.push(Observation::slow(mark(&id), ratio));
+            seen.push(Observation::slow(name_hash(&id), ratio));
             if let Some(target) = self.roster.get_mut(&id) {
                 target.health.record_slowness(now, ratio);
             }
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -1,7 +1,7 @@
 //! Limits that targets in need name: requests a second that one takes from all
 //! instances together, for as long as its answers say so.
 //!
-//! Each instance sends its part ([`parts`](super::parts)) of what the operator's
+//! Each instance sends its part ([`allotment`](super::parts)) of what the operator's
 //! [`Rule`] allows for the limit. Those that send nothing hear no answers, so
 //! whoever has an answer of a target tells the others; and who hears nothing of a
 //! limit for long asks by a single request whether it still holds.
@@ -12,7 +12,7 @@
 use core::time::Duration;
 
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, members, parts, unit_interval};
+use super::{Direct, allotment, members, unit_interval};
 use crate::clock::Time;
 
 /// What the operator allows beyond a limit.
@@ -157,7 +157,7 @@
         let Some(rate) = limit.rate else { return true };
         let rule = &self.bounds.limit;
         let (total, _) = rule.allowance(rate);
-        if target.sent_within(now, rule.counted(rate)) < self.part(total, target) {
+        if target.sent_within(now, rule.counted(rate)) < self.allotment(total, target) {
             return true;
         }
         let last = target.last_sent().map_or(limit.at, |at| at.max(limit.at));
@@ -167,8 +167,8 @@
     /// Time without news of a target's limit after which this instance asks. The
     /// more instances, the wider they are spread.
     fn patience(&self, target: &Target) -> Duration {
-        let count = u32::try_from(self.sharers.len() + 1).unwrap_or(u32::MAX);
-        let own = members::mark(&self.home.name) ^ target.short_hash();
+        let count = u32::try_from(self.participants.len() + 1).unwrap_or(u32::MAX);
+        let own = members::name_hash(&self.home.name) ^ target.short_hash();
         let own = u64::from(own).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let window = self.bounds.limit.window;
         QUIET + window.saturating_mul(count).mul_f64(unit_interval(own))
@@ -207,12 +207,12 @@
     }
 
     /// This instance's part of `total` requests to a target.
-    pub(super) fn part(&self, total: usize, target: &Target) -> usize {
-        let own = parts::Sharer {
+    pub(super) fn allotment(&self, total: usize, target: &Target) -> usize {
+        let own = allotment::Participant {
             region: self.home.region.clone(),
-            mark: members::mark(&self.home.name),
+            mark: members::name_hash(&self.home.name),
         };
         let region = &target.region;
-        parts::part(total, &own, &self.sharers, region, target.short_hash())
+        allotment::allotment(total, &own, &self.participants, region, target.short_hash())
     }
 }
--- a/crates/steer/src/process/direct/members.rs
+++ b/crates/steer/src/process/direct/members.rs
@@ -41,7 +41,7 @@
 
 /// Where an instance is reached, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct Registration {
     /// Its region.
     pub region: Arc<str>,
     /// Its failure domain.
@@ -56,7 +56,7 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who sends it.
     pub name: Arc<str>,
     /// Tells its incarnations apart.
@@ -73,7 +73,7 @@
     /// Version of the configuration that it has in force.
     pub version: u64,
     /// Where it is, now and then.
-    pub row: Option<Row>,
+    pub row: Option<Registration>,
     /// Requests that it has at targets: the target's mark, and how many.
     pub flying: Vec<(u32, u8)>,
     /// Objects that targets of its region hold: the target's mark, and the
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug)]
 struct Member {
     name: Arc<str>,
-    row: Option<Row>,
+    row: Option<Registration>,
     listed: bool,
     /// When its row came, if it wasn't there before.
     appeared: Option<Time>,
@@ -114,7 +114,7 @@
 
 impl Members {
     /// A row in the store.
-    pub fn list(&mut self, now: Time, name: &str, row: Row) {
+    pub fn list(&mut self, now: Time, name: &str, row: Registration) {
         let member = self.ensure(name);
         if !member.listed && now >= Time::ZERO + ACQUAINTED {
             member.appeared = Some(now);
@@ -143,7 +143,7 @@
 
     /// Takes a heartbeat; an older one of the same life is passed over. Says
     /// whether its sender has come to share sums by it, or no longer does.
-    pub fn hear(&mut self, now: Time, beat: Beat) -> bool {
+    pub fn hear(&mut self, now: Time, beat: Heartbeat) -> bool {
         let member = self.ensure(&beat.name);
         if member.life == beat.life && beat.seq <= member.seq && member.heard.is_some() {
             return false;
@@ -166,7 +166,11 @@
 
     /// Names and rows of those that are there; `store`: whether the store is in
     /// touch, so that its rows are true.
-    pub fn present(&self, now: Time, store: bool) -> impl Iterator<Item = (&Arc<str>, &Row)> {
+    pub fn present(
+        &self,
+        now: Time,
+        store: bool,
+    ) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         let there = move |m: &&Member| is_there(m, now, store);
         let members = self.members.iter().filter(there);
         members.filter_map(|m| m.row.as_ref().map(|row| (&m.name, row)))
@@ -174,7 +178,11 @@
 
     /// The same without those that have said lately that callers with keys are
     /// better served elsewhere.
-    pub fn serving(&self, now: Time, store: bool) -> impl Iterator<Item = (&Arc<str>, &Row)> {
+    pub fn serving(
+        &self,
+        now: Time,
+        store: bool,
+    ) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         let there = move |m: &&Member| is_there(m, now, store) && !m.is_doubtful(now);
         let members = self.members.iter().filter(there);
         members.filter_map(|m| m.row.as_ref().map(|row| (&m.name, row)))
@@ -192,7 +200,10 @@
 
     /// The same, with the version of the configuration that each has said lately
     /// it has in force.
-    pub fn versions(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Row, Option<u64>)> {
+    pub fn versions(
+        &self,
+        now: Time,
+    ) -> impl Iterator<Item = (&Arc<str>, &Registration, Option<u64>)> {
         let may_send = move |m: &&Member| m.may_send(now);
         let members = self.members.iter().filter(may_send);
         members.filter_map(move |m| {
@@ -219,14 +230,14 @@
 
     /// Where an instance is reached, whether it is there or not.
     #[must_use]
-    pub fn row(&self, name: &str) -> Option<&Row> {
+    pub fn row(&self, name: &str) -> Option<&Registration> {
         let at = self.find(name).ok()?;
         self.members[at].row.as_ref()
     }
 
     /// Names and rows of those that may be sending requests, whether callers
     /// should still be sent to them or not.
-    pub fn sharing(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Row)> {
+    pub fn sharing(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         let may_send = move |m: &&Member| m.may_send(now);
         let members = self.members.iter().filter(may_send);
         members.filter_map(|m| m.row.as_ref().map(|row| (&m.name, row)))
@@ -335,6 +346,6 @@
     clippy::cast_possible_truncation,
     reason = "a mark is a part of the hash"
 )]
-pub fn mark(id: &str) -> u32 {
+pub fn name_hash(id: &str) -> u32 {
     (super::hash(id.as_bytes()) >> 32) as u32
 }
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -4,10 +4,10 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::access::{self, Pass};
+use super::access::{self, Authorized};
 use super::budget::Rule;
 use super::limit;
-use super::members::Row;
+use super::members::Registration;
 use super::quota;
 use crate::clock::Time;
 use crate::request::arrival::Fingerprint;
@@ -42,7 +42,7 @@
     /// Tells this process from earlier ones of its name.
     pub life: u64,
     /// Where it is reached.
-    pub row: Row,
+    pub row: Registration,
 }
 
 /// Names a request for as long as it is here.
@@ -55,7 +55,7 @@
     /// Its route.
     pub route: Arc<Route>,
     /// The team whose it is, where requests need a key.
-    pub pass: Option<Pass>,
+    pub pass: Option<Authorized>,
     /// The object it concerns, if it says so.
     pub object: Option<u64>,
     /// When its caller stops waiting.
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -321,7 +321,7 @@
             reason = "a small count"
         )]
         let total = (total * COLD_USED).max(0.0) as usize;
-        target.sent_within(now, COLD_SPAN) < self.part(total, target)
+        target.sent_within(now, COLD_SPAN) < self.allotment(total, target)
     }
 
     /// The targets of a region that an object belongs to, the first one first:
--- a/crates/steer/src/process/direct/quota.rs
+++ b/crates/steer/src/process/direct/quota.rs
@@ -22,12 +22,12 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-pub use message::{Due, Given, Grant, Level, Need, Report, mark};
+pub use message::{Due, Given, Grant, Level, Need, Report, team_hash};
 pub use rule::Rule;
 
-use super::members::Row;
+use super::members::Registration;
 use super::message::{Admission, Rejection};
-use super::{Direct, members, parts};
+use super::{Direct, allotment, members};
 use crate::clock::Time;
 use crate::version::teams::{Quota, Team};
 
@@ -50,7 +50,7 @@
             rate: rule.rate(&quota),
             capacity: rule.capacity(&quota),
         };
-        Some((mark(&team.name), bucket))
+        Some((team_hash(&team.name), bucket))
     };
     let mut all: Vec<_> = teams.iter().filter_map(of).collect();
     all.sort_unstable_by_key(|(team, _)| *team);
@@ -140,17 +140,17 @@
 
     /// This instance's part of a team's bucket while it is alone with it.
     fn share(&self, team: &Team, quota: &Quota) -> stock::Share {
-        let count = self.sharers.len() + 1;
+        let count = self.participants.len() + 1;
         let capacity = self.bounds.quota.capacity(quota);
         #[allow(clippy::cast_precision_loss, reason = "instances are few")]
         let equal = capacity / count as f64;
         let part = if equal < 1.0 {
             // Whole tokens for some of the instances.
-            let own = parts::Sharer {
+            let own = allotment::Participant {
                 region: Arc::clone(&self.home.region),
-                mark: members::mark(&self.home.name),
+                mark: members::name_hash(&self.home.name),
             };
-            let mark = members::mark(&team.name);
+            let mark = members::name_hash(&team.name);
             #[allow(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
@@ -158,7 +158,7 @@
             )]
             let whole = capacity as usize;
             #[allow(clippy::cast_precision_loss, reason = "instances are few")]
-            let part = parts::even(whole, &own, &self.sharers, mark) as f64;
+            let part = allotment::equal_allotment(whole, &own, &self.participants, mark) as f64;
             part
         } else {
             equal
@@ -203,7 +203,7 @@
             .jobs
             .iter()
             .filter(|j| j.admission == Admission::Waiting)
-            .filter_map(|j| j.ask.pass.as_ref().map(|p| mark(&p.team.name)))
+            .filter_map(|j| j.ask.pass.as_ref().map(|p| team_hash(&p.team.name)))
             .collect();
         self.settle_links(now);
         let (name, life) = (Arc::clone(&self.home.name), self.home.life);
@@ -284,7 +284,7 @@
     }
 
     fn give(&mut self, now: Time, report: Report) -> Vec<Given> {
-        let count = self.sharers.len() + 1;
+        let count = self.participants.len() + 1;
         let level = report.level;
         let fleet = level == Level::Fleet;
         let Quotas {
@@ -363,7 +363,7 @@
         let others: Vec<(Arc<str>, bool)> = self
             .others(now)
             .filter(|(name, _)| !self.members.is_new(now, name))
-            .map(|(name, row): (_, &Row)| (Arc::clone(name), row.region == *home))
+            .map(|(name, row): (_, &Registration)| (Arc::clone(name), row.region == *home))
             .chain([(Arc::clone(own), true)])
             .collect();
         let near = others.iter().filter(|o| o.1).map(|o| &o.0);
@@ -383,7 +383,7 @@
     pub fn quota_stocks(&self) -> impl Iterator<Item = (&Arc<str>, f64, f64)> {
         let teams = self.routes.iter().flat_map(|r| r.teams.all());
         teams.filter_map(|team| {
-            let account = self.quotas.stock.get(mark(&team.name))?;
+            let account = self.quotas.stock.get(team_hash(&team.name))?;
             team.quota?;
             Some((&team.name, account.0, account.1))
         })
--- a/crates/steer/src/process/direct/quota/message.rs
+++ b/crates/steer/src/process/direct/quota/message.rs
@@ -7,7 +7,7 @@
 
 /// By which messages name a team.
 #[must_use]
-pub fn mark(team: &str) -> u64 {
+pub fn team_hash(team: &str) -> u64 {
     hash(team.as_bytes())
 }
 
--- a/crates/steer/src/process/direct/quota/stock.rs
+++ b/crates/steer/src/process/direct/quota/stock.rs
@@ -10,7 +10,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::message::{Grant, Level, Need, PARTS, Report, mark, whole};
+use super::message::{Grant, Level, Need, PARTS, Report, team_hash, whole};
 use super::pool;
 use crate::clock::Time;
 
@@ -139,7 +139,7 @@
         arrived: Time,
         share: Option<Share>,
     ) -> Verdict {
-        let account = self.account(mark(team));
+        let account = self.account(team_hash(team));
         account.arrived += u32::from(first);
         match share {
             Some(share) => account.fill(now, share),
@@ -165,13 +165,13 @@
     /// A token of a request that arrived `since` ago and hasn't run.
     pub fn give_back(&mut self, team: &str, since: Duration) {
         if since < RETURN {
-            self.account(mark(team)).tokens += 1.0;
+            self.account(team_hash(team)).tokens += 1.0;
         }
     }
 
     /// Keeps this part of a team's tokens: its quota was lowered.
     pub fn shrink(&mut self, team: &str, part: f64) {
-        self.account(mark(team)).tokens *= part;
+        self.account(team_hash(team)).tokens *= part;
     }
 
     /// Keeps accounts of these teams, which are sorted, and no others.
--- a/crates/steer/src/process/direct/audience.rs
+++ b/crates/steer/src/process/direct/recipients.rs
@@ -31,7 +31,7 @@
 
 /// Who gets heartbeats, by how often.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Audience {
+pub struct Recipients {
     /// Each one.
     pub near: Vec<SocketAddr>,
     /// Every few.
@@ -46,7 +46,7 @@
     /// again, nor would one that has just started and knows the others by the
     /// word of one of them.
     #[must_use]
-    pub fn audience(&self, now: Time) -> Audience {
+    pub fn recipients(&self, now: Time) -> Recipients {
         let own = &self.home.row;
         let (mut domain, mut region, mut far) = (Vec::new(), Vec::new(), Vec::new());
         for (name, row) in self.members.sharing(now) {
@@ -63,7 +63,7 @@
         let fill = NEAR_LEAST.saturating_sub(near.len());
         let mut region = nearest(region, fill + REGION_MOST);
         near.extend(region.drain(..fill.min(region.len())));
-        Audience {
+        Recipients {
             near,
             region,
             far: nearest(far, FAR_MOST),
@@ -79,5 +79,5 @@
 
 /// Spreads who tells whom, the same both ways.
 fn distance(one: &str, other: &str) -> u32 {
-    members::mark(one) ^ members::mark(other)
+    members::name_hash(one) ^ members::name_hash(other)
 }
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -111,7 +111,7 @@
     pub(super) fn new(now: Time, entry: Entry, region: Arc<str>) -> Self {
         let cold_until = now + entry.cold;
         Self {
-            short_hash: members::mark(&entry.id),
+            short_hash: members::name_hash(&entry.id),
             hash: hash(entry.id.as_bytes()),
             entry,
             region,
--- a/crates/steer/src/process/direct/upstream.rs
+++ b/crates/steer/src/process/direct/upstream.rs
@@ -16,7 +16,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::members::Row;
+use super::members::Registration;
 use super::{Direct, hash};
 use crate::clock::Time;
 
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn upstream(&self, now: Time) -> Upstream {
         let (near, region) = self.candidates(now);
-        let fit = |(name, row): &(&Arc<str>, &Row)| {
+        let fit = |(name, row): &(&Arc<str>, &Registration)| {
             (!self.failed_upstreams.has(now, name)).then(|| Upstream::Peer {
                 name: Arc::clone(name),
                 addr: row.peers,
@@ -151,7 +151,7 @@
     }
 }
 
-type Candidates<'a> = Vec<(&'a Arc<str>, &'a Row)>;
+type Candidates<'a> = Vec<(&'a Arc<str>, &'a Registration)>;
 
 /// The order in which instances of a region read the store, the same for all:
 /// the greatest first.
--- a/crates/steer/tests/direct.rs
+++ b/crates/steer/tests/direct.rs
@@ -2,10 +2,10 @@
 
 #[path = "direct/access.rs"]
 mod access;
-#[path = "direct/audience.rs"]
-mod audience;
 #[path = "direct/bench.rs"]
 mod bench;
+#[path = "direct/recipients.rs"]
+mod recipients;
 
 #[path = "direct/budget.rs"]
 mod budget;
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::direct::access::{self, Access, Pass, Presented};
+use steer::process::direct::access::{self, Access, Authorized, Credential};
 use steer::process::direct::upstream::Upstream;
 use steer::process::direct::{
     AttemptOutcome, Bounds, Decision, Direct, FollowUp, Rejection, Request,
@@ -55,7 +55,7 @@
     bench
 }
 
-fn access(bench: &Bench, now: Time, presented: Presented) -> Access {
+fn access(bench: &Bench, now: Time, presented: Credential) -> Access {
     let routes = bench.direct.routes().expect("one is in force");
     bench.direct.access(now, routes, &bench.route, presented)
 }
@@ -65,7 +65,7 @@
     let team = routes.teams.get(team).expect("it is there");
     Request {
         route: Arc::clone(&bench.route),
-        pass: Some(Pass {
+        pass: Some(Authorized {
             team: Arc::clone(team),
             key: key(&team.name),
         }),
@@ -76,11 +76,11 @@
 }
 
 #[rstest]
-#[case::key(Presented::Key(key("masons")), "granted")]
-#[case::unknown_key(Presented::Key(key("nobody")), "denied")]
-#[case::no_key(Presented::Nothing, "denied")]
-#[case::malformed(Presented::Malformed, "denied")]
-fn judge_key(#[case] presented: Presented, #[case] expected: &str) {
+#[case::key(Credential::Key(key("masons")), "granted")]
+#[case::unknown_key(Credential::Key(key("nobody")), "denied")]
+#[case::no_key(Credential::Missing, "denied")]
+#[case::malformed(Credential::Malformed, "denied")]
+fn judge_key(#[case] presented: Credential, #[case] expected: &str) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(1_000));
     let name = |access| match access {
@@ -88,7 +88,7 @@
         Access::Granted(pass) if &*pass.team.name == "masons" => "granted",
         Access::Granted(_) => "another team's",
         Access::Denied => "denied",
-        Access::Unsure => "unsure",
+        Access::KeysStale => "unsure",
     };
     assert_eq!(name(access(&bench, at(1_500), presented)), expected);
     // Too old to say that a key is unknown, but not that one is known: the store
@@ -110,15 +110,18 @@
         ..route()
     };
     let bench = bench(open, vec![team("masons", &[], None)]);
-    assert_eq!(access(&bench, at(1_000), Presented::Nothing), Access::Open);
-    let unknown = Presented::Key(key("nobody"));
+    assert_eq!(access(&bench, at(1_000), Credential::Missing), Access::Open);
+    let unknown = Credential::Key(key("nobody"));
     assert_eq!(access(&bench, at(1_000), unknown), Access::Open);
 }
 
 #[test]
 fn need_no_key_without_teams() {
     let bench = bench(route(), Vec::new());
-    assert_eq!(access(&bench, at(60_000), Presented::Nothing), Access::Open);
+    assert_eq!(
+        access(&bench, at(60_000), Credential::Missing),
+        Access::Open
+    );
     assert!(bench.direct.is_sound(at(60_000)));
 }
 
@@ -324,7 +327,7 @@
 #[test]
 fn key_prints_as_digest() {
     let digest = key("dqiqrh4jcda9rgy35iei");
-    let printed = format!("{digest} {digest:?} {:?}", Presented::Key(digest));
+    let printed = format!("{digest} {digest:?} {:?}", Credential::Key(digest));
     assert!(!printed.contains("dqiqrh4jcda9rgy35iei"), "{printed}");
     assert_eq!(KeyDigest::parse(&digest.hex()), Some(digest));
     assert_eq!(KeyDigest::parse("dqiq"), None);
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -5,7 +5,7 @@
 
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::target::Entry;
 use steer::process::direct::{
     Assignment, AttemptOutcome, Bounds, Decision, Direct, FollowUp, Identity, Request, Ticket,
@@ -20,9 +20,9 @@
     Time::from_micros(millis * 1000)
 }
 
-pub fn row(region: &str) -> Row {
+pub fn row(region: &str) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
-    Row {
+    Registration {
         region: region.into(),
         domain: format!("{region}-a").into(),
         callers: addr,
@@ -31,8 +31,8 @@
     }
 }
 
-pub fn beat(name: &str, seq: u64) -> Beat {
-    Beat {
+pub fn beat(name: &str, seq: u64) -> Heartbeat {
+    Heartbeat {
         name: name.into(),
         life: 7,
         seq,
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -4,14 +4,14 @@
 
 use rstest::rstest;
 use steer::process::direct::Decision;
-use steer::process::direct::members::Beat;
-use steer::process::direct::parts::{self, Sharer};
+use steer::process::direct::allotment::{self, Participant};
+use steer::process::direct::members::Heartbeat;
 use steer::process::direct::target::Entry;
 
 use super::bench::{Bench, at, beat, entry, route};
 
-fn sharer(number: u32, near: bool) -> Sharer {
-    Sharer {
+fn sharer(number: u32, near: bool) -> Participant {
+    Participant {
         region: if near { "near".into() } else { "far".into() },
         mark: number.wrapping_mul(0x0101_0163),
     }
@@ -28,15 +28,15 @@
 #[case::fleet(9, 18)]
 #[case::target(70, 1_430)]
 fn share_whole_sum(#[case] near: u32, #[case] far: u32) {
-    let all: Vec<Sharer> = (0..near + far).map(|i| sharer(i, i < near)).collect();
+    let all: Vec<Participant> = (0..near + far).map(|i| sharer(i, i < near)).collect();
     for target in [3, 0x7777_1234, u32::MAX] {
         for total in [1, 8, 9, 40] {
             let (mut sum, mut even) = (0, 0);
             for (i, own) in all.iter().enumerate() {
                 let mut others = all.clone();
                 others.remove(i);
-                sum += parts::part(total, own, &others, "near", target);
-                even += parts::even(total, own, &others, target);
+                sum += allotment::allotment(total, own, &others, "near", target);
+                even += allotment::equal_allotment(total, own, &others, target);
             }
             assert_eq!((sum, even), (total, total), "of {total} at {target}");
         }
@@ -97,7 +97,7 @@
 #[test]
 fn leave_part_to_leaving_instance() {
     let mut bench = Bench::new(route(), &[cold_target()]);
-    let leaving = |seq| Beat {
+    let leaving = |seq| Heartbeat {
         leaving: true,
         ..beat("near-2", seq)
     };
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steer::process::direct::health::Observation;
-use steer::process::direct::members::{Beat, mark};
+use steer::process::direct::members::{Heartbeat, name_hash};
 use steer::process::direct::{AttemptOutcome, Decision};
 use steer::version::routes::Route;
 
@@ -24,7 +24,7 @@
 }
 
 fn tell(bench: &mut Bench, millis: u64, seq: u64, observations: &[Observation]) {
-    let told = Beat {
+    let told = Heartbeat {
         observations: observations.to_vec(),
         ..beat("near-2", seq)
     };
@@ -45,7 +45,7 @@
 fn avoid_target_that_fails_others() {
     let (mut bench, first) = served(unsafe_route());
     for seq in 1..=4 {
-        let seen = [Observation::failed(mark(&first))];
+        let seen = [Observation::failed(name_hash(&first))];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(24_200), Some(OBJECT));
@@ -60,7 +60,7 @@
 fn avoid_target_slow_to_others(#[case] ratio: f64) {
     let (mut bench, first) = served(route());
     for seq in 1..=12 {
-        let seen = [Observation::slow(mark(&first), ratio)];
+        let seen = [Observation::slow(name_hash(&first), ratio)];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(24_200), Some(OBJECT));
@@ -72,7 +72,12 @@
 #[test]
 fn stay_after_single_failure() {
     let (mut bench, first) = served(route());
-    tell(&mut bench, 21_000, 1, &[Observation::failed(mark(&first))]);
+    tell(
+        &mut bench,
+        21_000,
+        1,
+        &[Observation::failed(name_hash(&first))],
+    );
     let go = bench.send(at(21_100), Some(OBJECT));
     assert_eq!(*go.target, *first);
 }
@@ -83,7 +88,7 @@
 fn come_back_when_told_no_more() {
     let (mut bench, first) = served(route());
     for seq in 1..=12 {
-        let seen = [Observation::slow(mark(&first), 12.0)];
+        let seen = [Observation::slow(name_hash(&first), 12.0)];
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
     let go = bench.send(at(45_000), Some(OBJECT));
@@ -104,7 +109,7 @@
         .beat(now + Duration::from_secs(3), false)
         .observations;
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].target_hash, mark(&first));
+    assert_eq!(seen[0].target_hash, name_hash(&first));
     assert!(seen[0].ratio_eighths > 16, "{seen:?}");
 }
 
@@ -121,7 +126,7 @@
         .direct
         .finish_attempt(now + 100 * MS, go.ticket, ending);
     let seen = bench.direct.beat(now + 200 * MS, false).observations;
-    assert_eq!(seen, [Observation::failed(mark(&first))]);
+    assert_eq!(seen, [Observation::failed(name_hash(&first))]);
     assert_eq!(bench.direct.beat(now + 450 * MS, false).observations, []);
 }
 
@@ -150,7 +155,7 @@
     let (mut bench, first) = served(route());
     let ids = ["t1", "t2", "t3", "t4", "t5", "t6"];
     for seq in 1..=4 {
-        let mut seen = ids.map(|id| Observation::failed(mark(id)));
+        let mut seen = ids.map(|id| Observation::failed(name_hash(id)));
         seen.sort_unstable();
         tell(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use steer::clock::Time;
 use steer::process::direct::limit::{Named, Rule};
-use steer::process::direct::members::{self, Beat};
+use steer::process::direct::members::{self, Heartbeat};
 use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{AttemptOutcome, Bounds, Decision};
 
@@ -138,12 +138,12 @@
 }
 
 fn named(rate: Option<f64>, age: Duration) -> Named {
-    let mark = members::mark("t1");
+    let mark = members::name_hash("t1");
     Named { mark, rate, age }
 }
 
-fn told(rate: Option<f64>, age: Duration, seq: u64) -> Beat {
-    Beat {
+fn told(rate: Option<f64>, age: Duration, seq: u64) -> Heartbeat {
+    Heartbeat {
         limits: vec![named(rate, age)],
         ..beat("near-2", seq)
     }
--- a/crates/steer/tests/direct/members.rs
+++ b/crates/steer/tests/direct/members.rs
@@ -1,8 +1,8 @@
 //! Which other instances count as there.
 
 use rstest::rstest;
-use steer::process::direct::Contact;
-use steer::process::direct::members::{Beat, Members, mark};
+use steer::process::direct::StoreContact;
+use steer::process::direct::members::{Heartbeat, Members, name_hash};
 
 use super::bench::{Bench, MS, at, beat, entry, route, row};
 
@@ -44,14 +44,14 @@
     let mut members = Members::default();
     members.list(at(0), "a", row("near"));
     members.hear(at(0), beat("a", 1));
-    let leaving = Beat {
+    let leaving = Heartbeat {
         leaving: true,
         ..beat("a", 3)
     };
     members.hear(at(10), leaving);
     members.hear(at(20), beat("a", 2));
     assert!(names(&members, 30, true).is_empty());
-    let anew = Beat {
+    let anew = Heartbeat {
         life: 8,
         ..beat("a", 1)
     };
@@ -63,10 +63,10 @@
 #[test]
 fn ask_who_knows_more() {
     let mut bench = Bench::new(route(), &[]);
-    bench.direct.told(at(0), Contact::default(), 5);
+    bench.direct.told(at(0), StoreContact::default(), 5);
     bench.direct.hear(
         at(0),
-        Beat {
+        Heartbeat {
             revision: 5,
             ..beat("a", 1)
         },
@@ -74,7 +74,7 @@
     assert_eq!(bench.direct.ahead(at(10)), None);
     bench.direct.hear(
         at(20),
-        Beat {
+        Heartbeat {
             revision: 9,
             ..beat("b", 1)
         },
@@ -89,10 +89,10 @@
 #[test]
 fn tell_who_is_silent() {
     let mut bench = Bench::new(route(), &[]);
-    bench.direct.told(at(0), Contact::default(), 5);
+    bench.direct.told(at(0), StoreContact::default(), 5);
     bench.direct.member(at(0), "near-2", Some(row("near")));
     let told = |now| {
-        let to = bench.direct.audience(at(now));
+        let to = bench.direct.recipients(at(now));
         to.near.len() + to.region.len() + to.far.len()
     };
     assert_eq!(told(0), 1);
@@ -124,8 +124,8 @@
 fn count_requests_of_others() {
     let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
     let mut bench = Bench::new(route(), &targets);
-    let busy = Beat {
-        flying: vec![(mark("t1"), 4)],
+    let busy = Heartbeat {
+        flying: vec![(name_hash("t1"), 4)],
         ..beat("near-2", 1)
     };
     bench.direct.hear(at(0), busy);
@@ -148,7 +148,7 @@
     assert_eq!(told.held.len(), 1);
     other.direct.hear(
         at(1_000),
-        Beat {
+        Heartbeat {
             held: told.held,
             ..beat("near-2", 1)
         },
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::direct::access::{self, Pass};
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::access::{self, Authorized};
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::{
     AttemptOutcome, Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, budget, limit,
     quota, target,
@@ -54,7 +54,7 @@
 }
 
 enum Message {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     Report(usize, quota::Report),
     Grant(quota::Grant),
 }
@@ -74,7 +74,7 @@
 
 pub struct Fleet {
     nodes: Vec<Node>,
-    pass: Pass,
+    pass: Authorized,
     pub quota: Quota,
     faults: Faults,
     mail: Vec<(u64, usize, Message)>,
@@ -97,9 +97,9 @@
 const REGIONS: [&str; 3] = ["near", "far", "west"];
 
 /// Each instance takes heartbeats on a port of its number.
-fn place(at: usize) -> Row {
+fn place(at: usize) -> Registration {
     let port = u16::try_from(at).expect("few") + 1;
-    Row {
+    Registration {
         beats: ([127, 0, 0, 1], port).into(),
         ..row(REGIONS[at % REGIONS.len()])
     }
@@ -115,7 +115,7 @@
         };
         let mut fleet = Self {
             nodes: Vec::new(),
-            pass: Pass {
+            pass: Authorized {
                 team: Arc::new(team),
                 key: KeyDigest::of(b"k"),
             },
--- a/crates/steer/tests/direct/audience.rs
+++ b/crates/steer/tests/direct/recipients.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use rstest::rstest;
-use steer::process::direct::audience::Audience;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
+use steer::process::direct::recipients::Recipients;
 
 use super::bench::{Bench, at, route};
 
@@ -31,7 +31,7 @@
                 port += 1;
                 let domain = format!("{region}-{domain}");
                 let addr: SocketAddr = ([127, 0, 0, 1], port).into();
-                let row = Row {
+                let row = Registration {
                     region: region.into(),
                     domain: domain.as_str().into(),
                     callers: addr,
@@ -62,7 +62,7 @@
 fn tell_bounded_number(#[case] each: u16) {
     const MOST: usize = 24;
     let (bench, stands) = fleet(each);
-    let Audience { near, region, far } = bench.direct.audience(at(10));
+    let Recipients { near, region, far } = bench.direct.recipients(at(10));
     let all: Vec<&SocketAddr> = near.iter().chain(&region).chain(&far).collect();
     let told = all.len();
     assert!(told <= MOST, "{told} are told each time");
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -140,7 +140,7 @@
     );
     // Another instance hears of it.
     let mut other = Bench::new(route(), &targets);
-    let beat = steer::process::direct::members::Beat {
+    let beat = steer::process::direct::members::Heartbeat {
         struck: told,
         ..super::bench::beat("near-2", 1)
     };
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 
 use rstest::rstest;
-use steer::process::direct::Contact;
+use steer::process::direct::StoreContact;
 use steer::process::direct::target::Entry;
 
 use super::bench::{Bench, MS, at, entry, route};
@@ -39,7 +39,7 @@
 fn drop_at_once_if_only_upstream_was_away(#[case] span: u64, #[case] dropped: bool) {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     bench.direct.in_touch(at(1_000), 10);
-    let contact = Contact {
+    let contact = StoreContact {
         age: Some(MS * 300),
         span: Some(Duration::from_millis(span)),
     };
@@ -52,7 +52,7 @@
 fn tell_of_contact_through_own_gap() {
     let mut bench = Bench::new(route(), &[]);
     bench.direct.in_touch(at(1_000), 10);
-    let contact = Contact {
+    let contact = StoreContact {
         age: Some(MS * 300),
         span: Some(Duration::from_secs(10)),
     };
--- a/crates/steer/tests/direct/upstream.rs
+++ b/crates/steer/tests/direct/upstream.rs
@@ -4,8 +4,8 @@
 use core::time::Duration;
 
 use rstest::rstest;
-use steer::process::direct::Contact;
-use steer::process::direct::members::Row;
+use steer::process::direct::StoreContact;
+use steer::process::direct::members::Registration;
 use steer::process::direct::upstream::{Upstream, weight};
 
 use super::bench::{Bench, at, beat, route, row};
@@ -25,7 +25,7 @@
     for domain in ["near-a", "near-b", "near-c"] {
         for i in 0..each {
             let name = format!("{domain}-{i}");
-            let row = Row {
+            let row = Registration {
                 domain: domain.into(),
                 ..row("near")
             };
@@ -154,7 +154,7 @@
     let mut bench = Bench::new(route(), &[]);
     bench.direct.in_touch(at(1_000), 5);
     let told = |bench: &mut Bench, millis, age| {
-        let contact = Contact {
+        let contact = StoreContact {
             age: Some(Duration::from_millis(age)),
             span: None,
         };
--- a/crates/wire/src/near.rs
+++ b/crates/wire/src/near.rs
@@ -8,7 +8,7 @@
 
 use bincode::{DefaultOptions, Options};
 use serde::{Deserialize, Serialize};
-use steer::process::direct::{Contact, health, limit, members, quota, replica};
+use steer::process::direct::{StoreContact, health, limit, members, quota, replica};
 use thiserror::Error;
 
 /// Bytes of a datagram that crosses any network unbroken.
@@ -127,7 +127,7 @@
 impl Changes {
     /// For another instance.
     #[must_use]
-    pub fn new(update: &replica::Update, contact: Contact) -> Self {
+    pub fn new(update: &replica::Update, contact: StoreContact) -> Self {
         let item = |item: &replica::Item| Item {
             key: item.key.as_ref().to_owned(),
             revision: item.revision,
@@ -149,7 +149,7 @@
 
     /// The same by a sender that now stands so to the store.
     #[must_use]
-    pub fn confirmed(self, contact: Contact) -> Self {
+    pub fn confirmed(self, contact: StoreContact) -> Self {
         Self {
             age_ms: millis(contact.age),
             span_ms: millis(contact.span),
@@ -187,9 +187,9 @@
 
     /// How the sender stands to the store.
     #[must_use]
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> StoreContact {
         let span = |ms: u32| Duration::from_millis(ms.into());
-        Contact {
+        StoreContact {
             age: self.age_ms.map(span),
             span: self.span_ms.map(span),
         }
@@ -360,8 +360,8 @@
     }
 }
 
-impl From<members::Row> for Row {
-    fn from(row: members::Row) -> Self {
+impl From<members::Registration> for Row {
+    fn from(row: members::Registration) -> Self {
         Self {
             region: row.region.as_ref().to_owned(),
             domain: row.domain.as_ref().to_owned(),
@@ -372,7 +372,7 @@
     }
 }
 
-impl From<Row> for members::Row {
+impl From<Row> for members::Registration {
     fn from(row: Row) -> Self {
         Self {
             region: Arc::from(row.region),
@@ -384,8 +384,8 @@
     }
 }
 
-impl From<members::Beat> for Beat {
-    fn from(beat: members::Beat) -> Self {
+impl From<members::Heartbeat> for Beat {
+    fn from(beat: members::Heartbeat) -> Self {
         let mut flying = beat.flying;
         flying.truncate(FLYING_MOST);
         let mut struck = beat.struck;
@@ -422,7 +422,7 @@
     }
 }
 
-impl From<Beat> for members::Beat {
+impl From<Beat> for members::Heartbeat {
     fn from(beat: Beat) -> Self {
         let count = |(target, count)| (u32::from_le_bytes(target), count);
         let mut flying: Vec<(u32, u8)> = beat.flying.into_iter().map(count).collect();
--- a/crates/wire/tests/near.rs
+++ b/crates/wire/tests/near.rs
@@ -5,12 +5,12 @@
 use rstest::rstest;
 use steer::process::direct::health::Observation;
 use steer::process::direct::limit::Named;
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::members::{Heartbeat, Registration};
 use wire::near::Message;
 
-fn row() -> Row {
+fn row() -> Registration {
     let addr = |port| ([10, 1, 0, 15], port).into();
-    Row {
+    Registration {
         region: "seq".into(),
         domain: "seq-a".into(),
         callers: addr(8641),
@@ -19,8 +19,8 @@
     }
 }
 
-fn beat() -> Beat {
-    Beat {
+fn beat() -> Heartbeat {
+    Heartbeat {
         name: "edge-seq-a-1".into(),
         life: u64::MAX - 3,
         seq: 240,
@@ -53,13 +53,13 @@
 
 #[rstest]
 #[case::without_row(beat())]
-#[case::with_row(Beat { row: Some(row()), ..beat() })]
-fn beat_there_and_back(#[case] beat: Beat) {
+#[case::with_row(Heartbeat { row: Some(row()), ..beat() })]
+fn beat_there_and_back(#[case] beat: Heartbeat) {
     let bytes = Message::Beat(Box::new(beat.clone().into())).encode();
     let Message::Beat(read) = Message::decode(&bytes).expect("it is whole") else {
         panic!("it is a heartbeat");
     };
-    assert_eq!(Beat::from(*read), beat);
+    assert_eq!(Heartbeat::from(*read), beat);
     for end in 0..bytes.len() {
         assert!(Message::decode(&bytes[..end]).is_err(), "cut at {end}");
     }
@@ -72,8 +72,8 @@
 #[rstest]
 #[case::usual(None, 50)]
 #[case::with_row(Some(row()), 90)]
-fn far_beat_size(#[case] row: Option<Row>, #[case] most: usize) {
-    let far = Beat {
+fn far_beat_size(#[case] row: Option<Registration>, #[case] most: usize) {
+    let far = Heartbeat {
         row,
         flying: Vec::new(),
         held: Vec::new(),
