--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -217,7 +217,7 @@
             .next(&ask.route, offset)
             .ok_or(Rejection::NoTarget)?;
         let rule = self.bounds.repeats;
-        self.budget(&service).request(now, &rule);
+        self.budget(&service).record_request(now, &rule);
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let limit = (ask.deadline - ANSWER_RESERVE).min(now + ask.route.timeout);
