--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -50,13 +50,13 @@
 }
 
 /// Sends one heartbeat to the nearest instances, and with `all` to remote ones;
-/// `row` adds this instance's registration.
-async fn send(shared: &Shared, socket: &net::UdpSocket, all: bool, row: bool) {
-    let (beat, to) = {
+/// `with_registration` adds this instance's registration.
+async fn send(shared: &Shared, socket: &net::UdpSocket, all: bool, with_registration: bool) {
+    let (heartbeat, recipients) = {
         let mut steering = lock(&shared.steering);
         let now = shared.now();
-        let beat = steering.direct.beat(now, row);
-        (beat, steering.direct.recipients(now))
+        let heartbeat = steering.direct.beat(now, with_registration);
+        (heartbeat, steering.direct.recipients(now))
     };
     // The state of this region's targets is of no use in other regions, and
     // traffic between regions costs most.
@@ -64,16 +64,16 @@
         flying: Vec::new(),
         held: Vec::new(),
         observations: Vec::new(),
-        ..beat.clone()
+        ..heartbeat.clone()
     };
-    let complete = Message::Beat(Box::new(Beat::from(beat))).encode();
+    let complete = Message::Beat(Box::new(Beat::from(heartbeat))).encode();
     let reduced = Message::Beat(Box::new(Beat::from(reduced))).encode();
-    let region = to.region.into_iter().filter(|_| all);
-    for addr in to.near.into_iter().chain(region) {
+    let region = recipients.region.into_iter().filter(|_| all);
+    for addr in recipients.near.into_iter().chain(region) {
         // A failed send counts as a lost datagram: the next heartbeat follows soon.
         let _ = socket.send_to(&complete, addr).await;
     }
-    for addr in to.far.into_iter().filter(|_| all) {
+    for addr in recipients.far.into_iter().filter(|_| all) {
         let _ = socket.send_to(&reduced, addr).await;
     }
 }
@@ -118,8 +118,8 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(beat)) => {
-                shared.update(|now, direct| direct.hear(now, (*beat).into()))
+            Ok(Message::Beat(heartbeat)) => {
+                shared.update(|now, direct| direct.hear(now, (*heartbeat).into()))
             }
             Ok(Message::Report(report)) => {
                 let grant = {
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -52,6 +52,7 @@
     pub(super) quota_wait: Event,
     /// Whether one has begun to wait since the last quota reports.
     is_quota_urgent: AtomicBool,
+    /// Encoded snapshot of the replica, for instances that start.
     pub(super) snapshot_cache: peer::SnapshotCache,
     /// Whether the store has deleted this instance's registration.
     pub(super) is_unlisted: AtomicBool,
@@ -59,9 +60,11 @@
     pub(super) ticker: async_channel::Sender<()>,
     /// Connections to targets.
     pub(super) target_pool: Arc<pool::Pool>,
+    /// Whether the process serves, leaves or closes connections.
     pub(super) phase: Mutex<Phase>,
     /// Its sender is closed when the process begins to close callers' connections.
     pub(super) closing: async_channel::Receiver<()>,
+    /// Closed to announce that connections are being closed.
     pub(super) close: async_channel::Sender<()>,
     /// The platform's store.
     pub(super) store: platform::store::Store,
@@ -104,13 +107,13 @@
             warm: 0,
             connect: CONNECT_TIMEOUT,
         };
-        let home = Identity {
+        let identity = Identity {
             name: Arc::clone(&settings.name),
             region: Arc::clone(&settings.region),
             life: fastrand::u64(1..),
-            row: row(&settings),
+            row: registration(&settings),
         };
-        let direct = Direct::new(home, bounds(&settings), settings.domains.clone());
+        let direct = Direct::new(identity, bounds(&settings), settings.domains.clone());
         let store = pool::Pool::new(Arc::clone(control), limits);
         let (close, closing) = async_channel::bounded(1);
         Ok(Self {
@@ -204,7 +207,7 @@
 
     /// Addresses and location of this instance.
     pub(super) fn registration(&self) -> Registration {
-        row(&self.settings)
+        registration(&self.settings)
     }
 
     /// Records whether the store lists this instance.
@@ -302,7 +305,7 @@
     Duration::new(seconds, nanos)
 }
 
-fn row(settings: &Settings) -> Registration {
+fn registration(settings: &Settings) -> Registration {
     Registration {
         region: Arc::clone(&settings.region),
         domain: Arc::clone(&settings.domain),
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -158,13 +158,15 @@
         let Ok(listing) = future::or(list, late).await else {
             return Vec::new();
         };
-        let row = |item: &platform::store::Item| {
+        let peer = |item: &platform::store::Item| {
             let name = item.key.strip_prefix(member::KEY_PREFIX)?;
-            let row: near::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
-            let is_local = *row.domain == *shared.settings.domain && *name != *shared.settings.name;
-            is_local.then(|| (Arc::from(name), row.peers))
+            let registration: near::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
+            let is_local =
+                *registration.domain == *shared.settings.domain && *name != *shared.settings.name;
+            is_local.then(|| (Arc::from(name), registration.peers))
         };
-        let mut found: Vec<(Arc<str>, SocketAddr)> = listing.items.iter().filter_map(row).collect();
+        let mut found: Vec<(Arc<str>, SocketAddr)> =
+            listing.items.iter().filter_map(peer).collect();
         found.sort_by_key(|(name, _)| core::cmp::Reverse(weight(name)));
         found.truncate(START_PEERS_MAX);
         found
@@ -352,7 +354,7 @@
 fn is_useful(shared: &Shared, (changes, sent_at): (&near::Changes, Time)) -> bool {
     let useful = |now: Time, direct: &Direct| {
         let stale = changes.staleness(now.since(sent_at));
-        // A cached snapshot has no staleness; the changes since are read at once.
+        // A cached snapshot that lacks changes has no staleness; they are read at once.
         stale.is_none() && direct.revision() == 0 || direct.is_useful(stale)
     };
     is_fresh(changes) && shared.read(useful)
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -148,8 +148,8 @@
 /// Adds, updates or removes the registration of an instance. One that can't be read
 /// counts as removed.
 fn put_member(shared: &Shared, name: &str, value: Option<&[u8]>) {
-    let row = match value.map(serde_json::from_slice::<near::Row>) {
-        Some(Ok(row)) => Some(row.into()),
+    let registration = match value.map(serde_json::from_slice::<near::Row>) {
+        Some(Ok(registration)) => Some(registration.into()),
         Some(Err(error)) => {
             events::input_rejected(shared, name, &error.to_string());
             None
@@ -157,9 +157,9 @@
         None => None,
     };
     if *name == *shared.settings.name {
-        shared.set_listed(row.is_some());
+        shared.set_listed(registration.is_some());
     }
-    let listed = row.is_some();
-    shared.update(|now, direct| direct.member(now, name, row));
+    let listed = registration.is_some();
+    shared.update(|now, direct| direct.member(now, name, registration));
     events::member_changed(shared, name, listed);
 }
