--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -7,12 +7,12 @@
 
 mod caps;
 pub mod dump;
-mod group;
 mod job;
 mod message;
 mod place;
 mod queue;
 mod renew;
+mod service;
 mod settle;
 pub mod stats;
 pub mod tuning;
@@ -30,8 +30,8 @@
 use crate::request::outcome::{Reason, Refusal};
 use crate::request::{poison, retry};
 use crate::version::view::{Region, View};
-use group::Group;
-use job::{Flight, Job, Running};
+use job::{Job, Running, RunningRequests};
+use service::ServiceState;
 use tuning::Tuning;
 
 /// The dispatcher's state.
@@ -41,12 +41,12 @@
     view: Arc<View>,
     /// Region of this instance's failure domain in the view in force.
     region: Option<Region>,
-    tracks: target::Table,
+    endpoints: target::EndpointTable,
     /// Services, sorted by name.
-    groups: Vec<Group>,
-    /// Indices of `groups`, the class served first in front.
+    services: Vec<ServiceState>,
+    /// Indices of `services`, the class served first in front.
     order: Vec<usize>,
-    flight: Flight,
+    running: RunningRequests,
     callers: admission::Counts,
     budget: retry::Budget,
     suspects: poison::Suspects,
@@ -74,10 +74,10 @@
             tuning,
             view: Arc::default(),
             region: None,
-            tracks: target::Table::default(),
-            groups: Vec::new(),
+            endpoints: target::EndpointTable::default(),
+            services: Vec::new(),
             order: Vec::new(),
-            flight: Flight::default(),
+            running: RunningRequests::default(),
             callers: admission::Counts::default(),
             budget: retry::Budget::default(),
             suspects: poison::Suspects::default(),
@@ -125,13 +125,13 @@
     /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.flight.len()
+        self.running.len()
     }
 
     /// Number of requests that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.groups.iter().map(|g| g.queue.len()).sum()
+        self.services.iter().map(|s| s.queue.len()).sum()
     }
 
     /// Counters since the start.
@@ -150,8 +150,8 @@
     }
 
     fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Action>) {
-        let group = match self.admit(&arrival) {
-            Ok(group) => group,
+        let service = match self.admit(&arrival) {
+            Ok(service) => service,
             Err(refusal) => {
                 let id = arrival.id;
                 return self.refuse(id, refusal, out);
@@ -162,7 +162,7 @@
             let refusal = Refusal::not_run(Reason::Cap, after);
             return self.refuse(arrival.id, refusal, out);
         }
-        let allowed = arrival.deadline.unwrap_or(self.groups[group].deadline);
+        let allowed = arrival.deadline.unwrap_or(self.services[service].deadline);
         self.callers.add(&arrival.caller);
         self.budget.earn();
         let job = Job {
@@ -173,7 +173,7 @@
             failed: None,
             arrival,
         };
-        self.place(now, group, job, out);
+        self.place(now, service, job, out);
     }
 
     /// Checks that don't depend on time left; returns the service's group.
@@ -182,7 +182,7 @@
             let after = Some(self.soon());
             return Err(Refusal::not_run(Reason::NotReady, after));
         }
-        let Some(group) = self.group(&arrival.service) else {
+        let Some(service) = self.find_service(&arrival.service) else {
             return Err(Refusal::not_run(Reason::UnknownService, None));
         };
         let on = self.tuning.safeguards;
@@ -192,67 +192,67 @@
             return Err(Refusal::unknown(Reason::Poison, None));
         }
         let limits = self.tuning.limits;
-        let caller = self.callers.get(&arrival.caller) >= limits.per_caller();
-        if on.has(Safeguard::CallerLimit) && caller {
+        let caller_full = self.callers.get(&arrival.caller) >= limits.per_caller();
+        if on.has(Safeguard::CallerLimit) && caller_full {
             let after = Some(self.soon());
             return Err(Refusal::not_run(Reason::CallerLimit, after));
         }
-        let service = self.groups[group].total() >= limits.per_service();
-        if on.has(Safeguard::ServiceLimit) && service {
+        let service_full = self.services[service].total() >= limits.per_service();
+        if on.has(Safeguard::ServiceLimit) && service_full {
             let after = Some(self.soon());
             return Err(Refusal::not_run(Reason::Overloaded, after));
         }
-        Ok(group)
+        Ok(service)
     }
 
     /// Sends a job, lets it wait, or refuses it at once.
-    fn place(&mut self, now: Time, group: usize, job: Job, out: &mut Vec<Action>) {
+    fn place(&mut self, now: Time, service: usize, job: Job, out: &mut Vec<Action>) {
         let left = job.until.since(now);
         let on = self.tuning.safeguards;
-        if self.too_late(group, left) {
-            let wait = self.groups[group].outlook().wait();
+        if self.too_late(service, left) {
+            let wait = self.services[service].outlook().wait();
             let reason = job.failed.unwrap_or(Reason::Deadline);
             return self.give_up(&job, reason, wait, out);
         }
-        let first = self.groups[group].queue.is_empty() || !job.tried.is_empty();
-        let room = self.room(group);
+        let first = self.services[service].queue.is_empty() || !job.tried.is_empty();
+        let room = self.room(service);
         let suspect = self.suspect(&job);
         if (first || suspect)
             && room
-            && let Some(pick) = self.local(now, group, &job, suspect)
+            && let Some(pick) = self.local(now, service, &job, suspect)
         {
-            return self.send(now, group, job, pick, out);
+            return self.send(now, service, job, pick, out);
         }
-        let outlook = self.groups[group].outlook();
+        let outlook = self.services[service].outlook();
         if job.arrival.origin == Origin::Peer {
             // Only the instance that callers asked lets requests wait: a
             // request that waits here could have been placed elsewhere.
             return self.give_up(&job, Reason::Overloaded, outlook.wait(), out);
         }
-        let short = outlook.wait() <= self.patience(now, group);
+        let short = outlook.wait() <= self.patience(now, service);
         let hope = !on.has(Safeguard::Admission) || (short && outlook.hopeful(left));
-        let stay = hope && self.has_open(now, group, &job) && self.fits(group);
+        let stay = hope && self.has_open(now, service, &job) && self.fits(service);
         let patience = if stay { outlook.wait() } else { left };
         // What a cap allows counts as used, so it is asked only where the
         // request would then go.
         let remote = if room {
-            self.remote(now, group, &job, patience, left)
+            self.remote(now, service, &job, patience, left)
         } else {
             Ok(None)
         };
         let capped = match remote {
-            Ok(Some(pick)) => return self.send(now, group, job, pick, out),
+            Ok(Some(pick)) => return self.send(now, service, job, pick, out),
             Ok(None) => None,
             Err(after) => Some(after),
         };
-        if stay && self.make_room(group, out) {
-            return self.wait(now, group, job);
+        if stay && self.make_room(service, out) {
+            return self.wait(now, service, job);
         }
         if outlook.limit == 0
             && room
-            && let Some(pick) = self.last_resort(now, group, &job)
+            && let Some(pick) = self.last_resort(now, service, &job)
         {
-            return self.send(now, group, job, pick, out);
+            return self.send(now, service, job, pick, out);
         }
         let reason = match job.failed {
             _ if capped.is_some() => Reason::Cap,
@@ -275,31 +275,31 @@
     /// nevertheless takes a slot and is thrown away. While nothing runs one may
     /// try: the time known may be of a brownout that is over, and without
     /// answers it would never be known better.
-    fn too_late(&self, group: usize, left: core::time::Duration) -> bool {
-        let least = core::time::Duration::from_micros(self.groups[group].best / 2);
+    fn too_late(&self, service: usize, left: core::time::Duration) -> bool {
+        let least = core::time::Duration::from_micros(self.services[service].best / 2);
         let on = self.tuning.safeguards.has(Safeguard::Admission);
-        let busy = self.groups[group].flight > 0;
+        let busy = self.services[service].local_running > 0;
         left.is_zero() || (on && busy && left < least)
     }
 
     fn send(
         &mut self,
         now: Time,
-        group: usize,
+        service: usize,
         mut job: Job,
         pick: place::Pick,
         out: &mut Vec<Action>,
     ) {
         let left = job.until.since(now);
-        let budget = self.attempt_budget(group, &pick, &job, left);
+        let budget = self.attempt_budget(service, &pick, &job, left);
         self.attempts += 1;
         let attempt = AttemptId(self.attempts);
-        let track = &mut self.tracks.slice_mut()[pick.track];
-        track.flight += 1;
-        track.held |= pick.alone;
-        let entry = &mut self.groups[group];
-        entry.running += 1;
-        entry.flight += u32::from(pick.is_local());
+        let endpoint = &mut self.endpoints.as_mut_slice()[pick.endpoint];
+        endpoint.in_flight += 1;
+        endpoint.is_reserved |= pick.alone;
+        let state = &mut self.services[service];
+        state.in_flight += 1;
+        state.local_running += u32::from(pick.is_local());
         job.tried
             .push((pick.destination.kind(), Arc::clone(pick.destination.name())));
         self.stats.sent(&pick.destination, job.tried.len());
@@ -309,7 +309,7 @@
             destination: pick.destination.clone(),
             budget,
         });
-        self.flight.add(Running {
+        self.running.add(Running {
             strikes: self.suspects.strikes(job.arrival.fingerprint),
             job,
             attempt,
@@ -345,9 +345,7 @@
         out.push(Action::Refuse { id, refusal });
     }
 
-    fn group(&self, service: &str) -> Option<usize> {
-        self.groups
-            .binary_search_by(|g| (*g.name).cmp(service))
-            .ok()
+    fn find_service(&self, name: &str) -> Option<usize> {
+        self.services.binary_search_by(|s| (*s.name).cmp(name)).ok()
     }
 }
--- a/crates/steer/src/process/dispatch/dump.rs
+++ b/crates/steer/src/process/dispatch/dump.rs
@@ -3,9 +3,9 @@
 use core::fmt;
 
 use crate::process::dispatch::Dispatch;
-use crate::process::dispatch::group::Group;
+use crate::process::dispatch::service::ServiceState;
 use crate::process::safeguard::Safeguards;
-use crate::process::target::{Fit, Track};
+use crate::process::target::{Availability, Endpoint};
 
 /// A dispatcher's state at a point in time; one line per service and place.
 pub struct Dump<'a> {
@@ -24,50 +24,50 @@
             dispatch.suspects.len(),
             dispatch.view.version,
         )?;
-        for group in &dispatch.groups {
-            self.group(f, group)?;
+        for service in &dispatch.services {
+            self.service(f, service)?;
         }
         writeln!(f, "{}", dispatch.stats)
     }
 }
 
 impl Dump<'_> {
-    fn group(&self, f: &mut fmt::Formatter<'_>, group: &Group) -> fmt::Result {
-        let tracks = self.dispatch.tracks.as_slice();
-        let mean = group.latency.mean().unwrap_or_default().as_millis();
-        let (name, queue) = (&group.name, group.queue.len());
-        let (running, limit) = (group.running, group.limit);
+    fn service(&self, f: &mut fmt::Formatter<'_>, service: &ServiceState) -> fmt::Result {
+        let endpoints = self.dispatch.endpoints.as_slice();
+        let mean = service.latency.mean().unwrap_or_default().as_millis();
+        let (name, queue) = (&service.name, service.queue.len());
+        let (in_flight, limit) = (service.in_flight, service.limit);
         writeln!(
             f,
-            "{name}: {running} in flight, {queue} waiting, {limit} at home, mean {mean} ms"
+            "{name}: {in_flight} in flight, {queue} waiting, {limit} at home, mean {mean} ms"
         )?;
-        for local in &group.locals {
-            self.place(f, "target", &tracks[local.track])?;
+        for local in &service.locals {
+            self.place(f, "target", &endpoints[local.endpoint])?;
         }
         // Peers without a part in it would fill pages.
-        let busy = |track: &&Track| track.flight > 0;
-        let peers = group.remotes.iter().map(|r| &tracks[r.track]);
-        for track in peers.filter(busy) {
-            self.place(f, "peer", track)?;
+        let busy = |endpoint: &&Endpoint| endpoint.in_flight > 0;
+        let peers = service.remotes.iter().map(|r| &endpoints[r.endpoint]);
+        for endpoint in peers.filter(busy) {
+            self.place(f, "peer", endpoint)?;
         }
         Ok(())
     }
 
-    fn place(&self, f: &mut fmt::Formatter<'_>, kind: &str, track: &Track) -> fmt::Result {
+    fn place(&self, f: &mut fmt::Formatter<'_>, kind: &str, endpoint: &Endpoint) -> fmt::Result {
         let on: Safeguards = self.dispatch.tuning.safeguards;
-        let word = match track.fit(self.now, on) {
-            Fit::Free => "free",
-            Fit::Trial => "due for a trial",
-            Fit::Busy => "busy",
-            Fit::Ejected => "ejected",
-            Fit::Out => "leaving",
+        let word = match endpoint.availability(self.now, on) {
+            Availability::Free => "free",
+            Availability::Trial => "due for a trial",
+            Availability::Busy => "busy",
+            Availability::Ejected => "ejected",
+            Availability::Leaving => "leaving",
         };
-        let mean = track.latency.mean().unwrap_or_default().as_millis();
-        let (flight, limit) = (track.flight, track.limit(self.now, on));
-        let name = &track.name;
+        let mean = endpoint.latency.mean().unwrap_or_default().as_millis();
+        let (in_flight, limit) = (endpoint.in_flight, endpoint.limit(self.now, on));
+        let name = &endpoint.name;
         writeln!(
             f,
-            "  {kind} {name}: {word}, {flight} of {limit}, mean {mean} ms"
+            "  {kind} {name}: {word}, {in_flight} of {limit}, mean {mean} ms"
         )
     }
 }
--- a/crates/steer/src/process/dispatch/job.rs
+++ b/crates/steer/src/process/dispatch/job.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Time;
 use crate::process::dispatch::message::Destination;
-use crate::process::target::{Kind, Track};
+use crate::process::target::{Endpoint, Kind};
 use crate::request::arrival::{Arrival, AttemptId, RequestId};
 use crate::request::outcome::{Reason, Refusal};
 use core::time::Duration;
@@ -30,8 +30,8 @@
 impl Job {
     /// Whether it was sent to a place before.
     #[must_use]
-    pub fn was_at(&self, track: &Track) -> bool {
-        let same = |t: &(Kind, Arc<str>)| t.0 == track.kind && t.1 == track.name;
+    pub fn was_at(&self, endpoint: &Endpoint) -> bool {
+        let same = |t: &(Kind, Arc<str>)| t.0 == endpoint.kind && t.1 == endpoint.name;
         self.tried.iter().any(same)
     }
 
@@ -66,11 +66,11 @@
 /// Requests in flight, sorted by their number. Boxed, so that taking one out
 /// moves words and not requests.
 #[derive(Clone, Debug, Default)]
-pub struct Flight {
+pub struct RunningRequests {
     running: Vec<(RequestId, Box<Running>)>,
 }
 
-impl Flight {
+impl RunningRequests {
     /// Number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
--- a/crates/steer/src/process/dispatch/place.rs
+++ b/crates/steer/src/process/dispatch/place.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 
 use crate::clock::Time;
-use crate::process::dispatch::group::{Group, Remote};
 use crate::process::dispatch::job::Job;
 use crate::process::dispatch::message::Destination;
+use crate::process::dispatch::service::{Remote, ServiceState};
 use crate::process::dispatch::{Dispatch, Origin};
 use crate::process::safeguard::Safeguard;
-use crate::process::target::{Fit, Track, choose, latency};
+use crate::process::target::{Availability, Endpoint, choose, latency};
 use crate::request::{poison, retry};
 use crate::version::view::Region;
 
@@ -30,7 +30,7 @@
 
 /// A chosen place.
 pub(super) struct Pick {
-    pub track: usize,
+    pub endpoint: usize,
     pub destination: Destination,
     /// Whether the request has the target for itself.
     pub alone: bool,
@@ -55,52 +55,54 @@
     pub(super) fn local(
         &mut self,
         now: Time,
-        group: usize,
+        service: usize,
         job: &Job,
         suspect: bool,
     ) -> Option<Pick> {
         if suspect {
-            return self.empty(now, group, job);
+            return self.empty(now, service, job);
         }
         let on = self.tuning.safeguards;
-        let entry = &self.groups[group];
-        if job.arrival.origin == Origin::Peer && on.has(Safeguard::PeerGate) && !spare(entry) {
+        let state = &self.services[service];
+        if job.arrival.origin == Origin::Peer && on.has(Safeguard::PeerGate) && !spare(state) {
             return None;
         }
         let other = on.has(Safeguard::OtherPlace);
-        let open = |track: &Track| !(other && job.was_at(track));
-        if entry.ejected > 0
-            && let Some(pick) = self.trial(now, entry, &open)
+        let open = |endpoint: &Endpoint| !(other && job.was_at(endpoint));
+        if state.ejected > 0
+            && let Some(pick) = self.trial(now, state, &open)
         {
             return Some(pick);
         }
-        let wait = latency::micros(entry.outlook().wait());
-        let brisk = |track: &Track| {
+        let wait = latency::micros(state.outlook().wait());
+        let brisk = |endpoint: &Endpoint| {
             !on.has(Safeguard::SlowTarget)
-                || match track.latency.pace(now, entry.best, wait) {
-                    latency::Pace::Good => true,
-                    latency::Pace::Unsure => track.flight == 0,
-                    latency::Pace::Slow => false,
+                || match endpoint.latency.speed(now, state.best, wait) {
+                    latency::Speed::Good => true,
+                    latency::Speed::Uncertain => endpoint.in_flight == 0,
+                    latency::Speed::Slow => false,
                 }
         };
-        let fits = |track: &Track| match track.fit(now, on) {
-            Fit::Free => brisk(track),
-            Fit::Trial | Fit::Ejected | Fit::Busy => !on.has(Safeguard::Ejection) && !track.held,
-            Fit::Out => false,
+        let fits = |endpoint: &Endpoint| match endpoint.availability(now, on) {
+            Availability::Free => brisk(endpoint),
+            Availability::Trial | Availability::Ejected | Availability::Busy => {
+                !on.has(Safeguard::Ejection) && !endpoint.is_reserved
+            }
+            Availability::Leaving => false,
         };
-        let count = entry.locals.len();
-        let first = entry.subset.min(WINDOW);
-        let start = if entry.subset > WINDOW {
+        let count = state.locals.len();
+        let first = state.subset.min(WINDOW);
+        let start = if state.subset > WINDOW {
             self.rng.usize(..count)
         } else {
             0
         };
-        let tracks = self.tracks.as_slice();
+        let endpoints = self.endpoints.as_slice();
         let places = |at: core::ops::Range<usize>| {
             at.map(|i| (start + i) % count)
-                .map(|at| (at, &tracks[entry.locals[at].track]))
-                .filter(|&(_, track)| open(track) && fits(track))
-                .map(|(at, track)| (at, track.score(now, entry.best, on)))
+                .map(|at| (at, &endpoints[state.locals[at].endpoint]))
+                .filter(|&(_, endpoint)| open(endpoint) && fits(endpoint))
+                .map(|(at, endpoint)| (at, endpoint.score(now, state.best, on)))
         };
         let policy = self.tuning.policy;
         let found = policy.choose(places(0..first), &mut self.rng);
@@ -108,61 +110,84 @@
             let rest = first..count;
             policy.choose(places(rest), &mut self.rng)
         });
-        Some(target(entry, tracks, found?, false))
+        Some(target(state, endpoints, found?, false))
     }
 
     /// An ejected target that is due for its trial.
-    fn trial(&self, now: Time, entry: &Group, open: &impl Fn(&Track) -> bool) -> Option<Pick> {
+    fn trial(
+        &self,
+        now: Time,
+        state: &ServiceState,
+        open: &impl Fn(&Endpoint) -> bool,
+    ) -> Option<Pick> {
         let on = self.tuning.safeguards;
-        let tracks = self.tracks.as_slice();
-        let at = entry.locals.iter().position(|local| {
-            let track = &tracks[local.track];
-            let may = entry.idempotent || track.health.vouched();
-            may && open(track) && track.fit(now, on) == Fit::Trial
+        let endpoints = self.endpoints.as_slice();
+        let at = state.locals.iter().position(|local| {
+            let endpoint = &endpoints[local.endpoint];
+            let may = state.idempotent || endpoint.health.has_passed_probe();
+            may && open(endpoint) && endpoint.availability(now, on) == Availability::Trial
         })?;
         on.has(Safeguard::Ejection)
-            .then(|| target(entry, tracks, at, false))
+            .then(|| target(state, endpoints, at, false))
     }
 
     /// Whether a target in use is left that the request wasn't sent to.
-    pub(super) fn has_open(&self, now: Time, group: usize, job: &Job) -> bool {
+    pub(super) fn has_open(&self, now: Time, service: usize, job: &Job) -> bool {
         let on = self.tuning.safeguards;
         let other = on.has(Safeguard::OtherPlace);
-        let tracks = self.tracks.as_slice();
-        let mut locals = self.groups[group].locals.iter().map(|l| &tracks[l.track]);
-        locals.any(|track| {
-            let used = matches!(track.fit(now, on), Fit::Free | Fit::Busy);
-            used && !(other && job.was_at(track))
+        let endpoints = self.endpoints.as_slice();
+        let mut locals = self.services[service]
+            .locals
+            .iter()
+            .map(|l| &endpoints[l.endpoint]);
+        locals.any(|endpoint| {
+            let used = matches!(
+                endpoint.availability(now, on),
+                Availability::Free | Availability::Busy
+            );
+            used && !(other && job.was_at(endpoint))
         })
     }
 
     /// A target that a suspect can have for itself. If none is empty, one is
     /// kept from new work until it is.
-    fn empty(&mut self, now: Time, group: usize, job: &Job) -> Option<Pick> {
+    fn empty(&mut self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
         let print = job.arrival.fingerprint;
         let out = |r: &super::Running| r.alone && r.job.arrival.fingerprint == print;
-        if self.flight.iter().any(out) {
+        if self.running.iter().any(out) {
             return None;
         }
-        let entry = &self.groups[group];
-        let tracks = self.tracks.slice_mut();
-        let usable = |track: &Track| {
-            !job.was_at(track)
-                && (track.held || matches!(track.fit(now, on), Fit::Free | Fit::Busy))
+        let state = &self.services[service];
+        let endpoints = self.endpoints.as_mut_slice();
+        let usable = |endpoint: &Endpoint| {
+            !job.was_at(endpoint)
+                && (endpoint.is_reserved
+                    || matches!(
+                        endpoint.availability(now, on),
+                        Availability::Free | Availability::Busy
+                    ))
         };
-        let ready = |track: &Track| track.flight == 0 && usable(track);
-        if let Some(at) = entry.locals.iter().position(|l| ready(&tracks[l.track])) {
-            return Some(target(entry, tracks, at, true));
+        let ready = |endpoint: &Endpoint| endpoint.in_flight == 0 && usable(endpoint);
+        if let Some(at) = state
+            .locals
+            .iter()
+            .position(|l| ready(&endpoints[l.endpoint]))
+        {
+            return Some(target(state, endpoints, at, true));
         }
-        if entry.locals.iter().all(|l| !tracks[l.track].held) {
-            let least = entry
+        if state
+            .locals
+            .iter()
+            .all(|l| !endpoints[l.endpoint].is_reserved)
+        {
+            let least = state
                 .locals
                 .iter()
-                .filter(|l| usable(&tracks[l.track]))
-                .min_by_key(|l| tracks[l.track].flight);
+                .filter(|l| usable(&endpoints[l.endpoint]))
+                .min_by_key(|l| endpoints[l.endpoint].in_flight);
             if let Some(local) = least {
-                tracks[local.track].held = true;
+                endpoints[local.endpoint].is_reserved = true;
             }
         }
         None
@@ -176,20 +201,20 @@
     pub(super) fn remote(
         &mut self,
         now: Time,
-        group: usize,
+        service: usize,
         job: &Job,
         patience: Duration,
         left: Duration,
     ) -> Result<Option<Pick>, Duration> {
-        let entry = &self.groups[group];
+        let state = &self.services[service];
         // A suspect is held where its strikes are known, as long as it can be.
-        if job.arrival.origin == Origin::Peer || (self.suspect(job) && entry.limit > 0) {
+        if job.arrival.origin == Origin::Peer || (self.suspect(job) && state.limit > 0) {
             return Ok(None);
         }
-        let run = entry.outlook().run();
+        let run = state.outlook().run();
         let tiers = [
-            (NEAR, 0..entry.near),
-            (FAR, entry.near..entry.remotes.len()),
+            (NEAR, 0..state.near),
+            (FAR, state.near..state.remotes.len()),
         ];
         let mut capped: Option<Duration> = None;
         let mut closed = Vec::new();
@@ -197,8 +222,8 @@
             if cost > patience || cost + run > left {
                 continue;
             }
-            while let Some(at) = self.peer(now, group, job, tier.clone(), &closed) {
-                let to = self.groups[group].remotes[at].clone();
+            while let Some(at) = self.peer(now, service, job, tier.clone(), &closed) {
+                let to = self.services[service].remotes[at].clone();
                 match self.may_shift(now, &job.arrival, to.member) {
                     Ok(()) => return Ok(Some(self.peer_pick(&to))),
                     Err(after) => capped = Some(capped.map_or(after, |c| c.min(after))),
@@ -212,9 +237,9 @@
 
     fn peer_pick(&self, to: &Remote) -> Pick {
         Pick {
-            track: to.track,
+            endpoint: to.endpoint,
             destination: Destination::Member {
-                name: Arc::clone(&self.tracks.as_slice()[to.track].name),
+                name: Arc::clone(&self.endpoints.as_slice()[to.endpoint].name),
                 incarnation: to.incarnation,
                 peer: to.peer,
             },
@@ -225,7 +250,7 @@
     fn peer(
         &mut self,
         now: Time,
-        group: usize,
+        service: usize,
         job: &Job,
         tier: core::ops::Range<usize>,
         closed: &[Region],
@@ -240,31 +265,39 @@
         } else {
             0
         };
-        let entry = &self.groups[group];
-        let tracks = self.tracks.as_slice();
+        let state = &self.services[service];
+        let endpoints = self.endpoints.as_slice();
         let places = (0..count.min(SAMPLE))
             .map(|i| tier.start + (start + i) % count)
-            .filter(|&at| !closed.contains(&entry.remotes[at].region))
-            .map(|at| (at, &tracks[entry.remotes[at].track]))
-            .filter(|(_, track)| !job.was_at(track))
-            .filter(|(_, track)| matches!(track.fit(now, on), Fit::Free | Fit::Trial))
-            .map(|(at, track)| (at, u64::from(track.flight)));
+            .filter(|&at| !closed.contains(&state.remotes[at].region))
+            .map(|at| (at, &endpoints[state.remotes[at].endpoint]))
+            .filter(|(_, endpoint)| !job.was_at(endpoint))
+            .filter(|(_, endpoint)| {
+                matches!(
+                    endpoint.availability(now, on),
+                    Availability::Free | Availability::Trial
+                )
+            })
+            .map(|(at, endpoint)| (at, u64::from(endpoint.in_flight)));
         choose::Policy::LowestScore.choose(places, &mut self.rng)
     }
 
     /// An ejected target, for a request that has no other place. When all are
     /// ejected the evidence may be at fault, and trying costs nothing; one
     /// request at a time keeps a target that is really ill from more.
-    pub(super) fn last_resort(&self, now: Time, group: usize, job: &Job) -> Option<Pick> {
+    pub(super) fn last_resort(&self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
-        let entry = &self.groups[group];
-        let tracks = self.tracks.as_slice();
-        let at = entry.locals.iter().position(|local| {
-            let track = &tracks[local.track];
-            let ejected = matches!(track.fit(now, on), Fit::Ejected | Fit::Trial);
-            ejected && track.flight == 0 && !job.was_at(track)
+        let state = &self.services[service];
+        let endpoints = self.endpoints.as_slice();
+        let at = state.locals.iter().position(|local| {
+            let endpoint = &endpoints[local.endpoint];
+            let ejected = matches!(
+                endpoint.availability(now, on),
+                Availability::Ejected | Availability::Trial
+            );
+            ejected && endpoint.in_flight == 0 && !job.was_at(endpoint)
         })?;
-        Some(target(entry, tracks, at, false))
+        Some(target(state, endpoints, at, false))
     }
 
     /// Time given to an attempt. An idempotent request that could be tried
@@ -277,22 +310,22 @@
     /// service is taken to be slow, and attempts get all the time.
     pub(super) fn attempt_budget(
         &self,
-        group: usize,
+        service: usize,
         pick: &Pick,
         job: &Job,
         left: Duration,
     ) -> Duration {
         let on = self.tuning.safeguards;
-        let entry = &self.groups[group];
-        let others = entry.locals.len() + entry.remotes.len() > 1;
+        let state = &self.services[service];
+        let others = state.locals.len() + state.remotes.len() > 1;
         let bound = on.has(Safeguard::AttemptBound)
-            && entry.idempotent
+            && state.idempotent
             && others
             && pick.is_local()
             && self.budget.any();
-        match entry.latency.high().filter(|_| bound) {
+        match state.latency.high().filter(|_| bound) {
             Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
-            None if bound && is_first_of_unknown(entry, job) => left / 2,
+            None if bound && is_first_of_unknown(state, job) => left / 2,
             None => left,
         }
     }
@@ -304,9 +337,9 @@
     }
 }
 
-fn is_first_of_unknown(entry: &Group, job: &Job) -> bool {
-    let known = entry.latency.high().is_some();
-    !known && job.tried.is_empty() && entry.blind < entry.locals.len()
+fn is_first_of_unknown(state: &ServiceState, job: &Job) -> bool {
+    let known = state.latency.high().is_some();
+    !known && job.tried.is_empty() && state.blind < state.locals.len()
 }
 
 /// Whether the service has room for work from peers: the first class may fill
@@ -316,23 +349,23 @@
 /// Symptom: with a limit of nothing no work of theirs is taken, so no target is
 /// ever tried again and the service stays refused. One request at a time is
 /// enough: it is the trial.
-fn spare(entry: &Group) -> bool {
-    let most = if entry.class == 0 {
-        entry.limit
+fn spare(state: &ServiceState) -> bool {
+    let most = if state.class == 0 {
+        state.limit
     } else {
-        entry.limit - entry.limit / 4
+        state.limit - state.limit / 4
     };
-    entry.queue.is_empty() && entry.flight < most.max(1)
+    state.queue.is_empty() && state.local_running < most.max(1)
 }
 
-fn target(entry: &Group, tracks: &[Track], at: usize, alone: bool) -> Pick {
-    let local = &entry.locals[at];
+fn target(state: &ServiceState, endpoints: &[Endpoint], at: usize, alone: bool) -> Pick {
+    let local = &state.locals[at];
     let destination = Destination::Target {
-        name: Arc::clone(&tracks[local.track].name),
+        name: Arc::clone(&endpoints[local.endpoint].name),
         addr: local.addr,
     };
     Pick {
-        track: local.track,
+        endpoint: local.endpoint,
         destination,
         alone,
     }
--- a/crates/steer/src/process/dispatch/queue.rs
+++ b/crates/steer/src/process/dispatch/queue.rs
@@ -27,17 +27,17 @@
 
 impl Dispatch {
     /// Whether a request of a service may be in flight beside the others.
-    pub(super) fn room(&self, group: usize) -> bool {
+    pub(super) fn room(&self, service: usize) -> bool {
         let limits = self.tuning.limits;
         let on = self.tuning.safeguards.has(Safeguard::ServiceLimit);
         let most = limits.in_flight * limits.service_percent / 100;
-        let running = self.groups[group].running;
-        self.flight.len() < limits.in_flight && (!on || running < most.max(1))
+        let running = self.services[service].in_flight;
+        self.running.len() < limits.in_flight && (!on || running < most.max(1))
     }
 
     /// Whether the class of a service has a place in the queue left.
-    pub(super) fn fits(&self, group: usize) -> bool {
-        let (class, share) = (self.groups[group].class, self.groups[group].share);
+    pub(super) fn fits(&self, service: usize) -> bool {
+        let (class, share) = (self.services[service].class, self.services[service].share);
         let most = self.tuning.limits.queue * share / 100;
         let on = self.tuning.safeguards.has(Safeguard::ClassShare);
         let most = if on {
@@ -49,27 +49,27 @@
     }
 
     fn waiting_of(&self, class: usize) -> usize {
-        let same = self.groups.iter().filter(|g| g.class == class);
-        same.map(|g| g.queue.len()).sum()
+        let same = self.services.iter().filter(|s| s.class == class);
+        same.map(|s| s.queue.len()).sum()
     }
 
     /// Whether the whole queue has a place; if it is full, the newest request
     /// of the lowest class gives way to a higher one, with its answer at once.
-    pub(super) fn make_room(&mut self, group: usize, out: &mut Vec<Action>) -> bool {
+    pub(super) fn make_room(&mut self, service: usize, out: &mut Vec<Action>) -> bool {
         if self.waiting() < self.tuning.limits.queue {
             return true;
         }
-        let class = self.groups[group].class;
+        let class = self.services[service].class;
         let keep = self.tuning.limits.queue / KEEP;
         let mut lower = self.order.iter().rev().copied();
-        let yields = lower.find(|&g| {
-            let other = &self.groups[g];
+        let yields = lower.find(|&s| {
+            let other = &self.services[s];
             let kept = self.waiting_of(other.class) <= keep;
             other.class > class && !other.queue.is_empty() && !kept
         });
         let Some(yields) = yields else { return false };
-        let wait = self.groups[yields].outlook().wait();
-        if let Some(job) = self.groups[yields].queue.pop_back() {
+        let wait = self.services[yields].outlook().wait();
+        if let Some(job) = self.services[yields].queue.pop_back() {
             self.give_up(&job, Reason::Overloaded, wait, out);
         }
         true
@@ -80,21 +80,21 @@
     /// A queue evens out bursts. One that hasn't been empty for [`STANDING`] is
     /// no burst but overload: as many are refused however long it is, and all
     /// that it adds is latency. It is then kept short.
-    pub(super) fn patience(&self, now: Time, group: usize) -> Duration {
-        let entry = &self.groups[group];
-        let standing = !entry.queue.is_empty() && now.since(entry.since) > STANDING;
+    pub(super) fn patience(&self, now: Time, service: usize) -> Duration {
+        let state = &self.services[service];
+        let standing = !state.queue.is_empty() && now.since(state.since) > STANDING;
         let wait = self.tuning.limits.wait_max;
         let on = self.tuning.safeguards.has(Safeguard::ShortQueue);
         if on && standing { wait / SHORTER } else { wait }
     }
 
     /// Lets a job wait; one that was sent before goes to the front.
-    pub(super) fn wait(&mut self, now: Time, group: usize, job: Job) {
-        let entry = &mut self.groups[group];
-        if entry.queue.is_empty() {
-            entry.since = now;
+    pub(super) fn wait(&mut self, now: Time, service: usize, job: Job) {
+        let state = &mut self.services[service];
+        if state.queue.is_empty() {
+            state.since = now;
         }
-        let queue = &mut entry.queue;
+        let queue = &mut state.queue;
         if job.tried.is_empty() {
             queue.push_back(job);
         } else {
@@ -115,10 +115,10 @@
         let on = self.tuning.safeguards;
         let turn = self.stats.pumped % TURN == TURN - 1;
         if turn && on.has(Safeguard::Guarantee) {
-            let heads = (0..self.groups.len()).filter(|&g| !self.groups[g].queue.is_empty());
+            let heads = (0..self.services.len()).filter(|&s| !self.services[s].queue.is_empty());
             let mut heads: Vec<usize> = heads.collect();
-            heads.sort_by_key(|&g| self.groups[g].queue[0].came);
-            if heads.into_iter().any(|g| self.serve(now, g, out)) {
+            heads.sort_by_key(|&s| self.services[s].queue[0].came);
+            if heads.into_iter().any(|s| self.serve(now, s, out)) {
                 return true;
             }
         }
@@ -127,20 +127,20 @@
 
     /// Sends the first request of a service that has a place. A suspect that
     /// waits for an empty target doesn't hold up those behind it.
-    fn serve(&mut self, now: Time, group: usize, out: &mut Vec<Action>) -> bool {
+    fn serve(&mut self, now: Time, service: usize, out: &mut Vec<Action>) -> bool {
         let mut at = 0;
-        while self.room(group) && at < self.groups[group].queue.len() {
-            let Some(job) = self.groups[group].queue.remove(at) else {
+        while self.room(service) && at < self.services[service].queue.len() {
+            let Some(job) = self.services[service].queue.remove(at) else {
                 return false;
             };
             let suspect = self.suspect(&job);
-            if let Some(pick) = self.local(now, group, &job, suspect) {
+            if let Some(pick) = self.local(now, service, &job, suspect) {
                 self.stats.pumped += 1;
-                self.send(now, group, job, pick, out);
+                self.send(now, service, job, pick, out);
                 return true;
             }
             let last = !suspect && job.tried.is_empty();
-            self.groups[group].queue.insert(at, job);
+            self.services[service].queue.insert(at, job);
             if last {
                 return false;
             }
--- a/crates/steer/src/process/dispatch/renew.rs
+++ b/crates/steer/src/process/dispatch/renew.rs
@@ -11,11 +11,11 @@
 
 use crate::clock::Time;
 use crate::process::dispatch::Dispatch;
-use crate::process::dispatch::group::{Group, Local, Remote};
 use crate::process::dispatch::message::Action;
+use crate::process::dispatch::service::{Local, Remote, ServiceState};
 use crate::process::safeguard::Safeguard;
 use crate::process::target::window::{self, Window};
-use crate::process::target::{Kind, Track, latency};
+use crate::process::target::{Endpoint, Kind, latency};
 use crate::request::outcome::Reason;
 use crate::version::view::{Domain, MemberData, Service, State, TargetData, View};
 
@@ -39,15 +39,15 @@
         }
         self.shares.configure(now, &self.view, &self.identity.name);
         self.renew_tracks(now, home, first);
-        let mut old = mem::take(&mut self.groups);
+        let mut old = mem::take(&mut self.services);
         for service in self.view.services.keys() {
-            let group = self.build(service, home, &mut old);
-            self.groups.push(group);
+            let state = self.build(service, home, &mut old);
+            self.services.push(state);
         }
-        self.order = (0..self.groups.len()).collect();
-        self.order.sort_by_key(|&g| self.groups[g].class);
-        for group in old {
-            for job in group.queue {
+        self.order = (0..self.services.len()).collect();
+        self.order.sort_by_key(|&s| self.services[s].class);
+        for state in old {
+            for job in state.queue {
                 let refusal = job.refusal(Reason::UnknownService, None);
                 self.finish(&job, refusal, out);
             }
@@ -63,17 +63,17 @@
         out.extend(self.suspects.culprits().map(super::settle::tell));
     }
 
-    /// Renews what the groups derive from the tracks.
+    /// Renews what the services derive from the endpoints.
     pub(super) fn refresh(&mut self, now: Time) {
         let on = self.tuning.safeguards;
-        for group in &mut self.groups {
-            group.refresh(now, &self.tracks, on);
+        for state in &mut self.services {
+            state.refresh(now, &self.endpoints, on);
         }
     }
 
     fn renew_tracks(&mut self, now: Time, home: Option<Domain>, first: bool) {
-        for track in self.tracks.slice_mut() {
-            track.present = false;
+        for endpoint in self.endpoints.as_mut_slice() {
+            endpoint.in_view = false;
         }
         let view = Arc::clone(&self.view);
         let mut fresh = Vec::new();
@@ -91,40 +91,40 @@
                 }
             }
         }
-        self.tracks.retain(|t| t.present || t.flight > 0);
-        self.tracks.merge(fresh);
+        self.endpoints.retain(|t| t.in_view || t.in_flight > 0);
+        self.endpoints.merge(fresh);
     }
 
-    /// Brings a target's track up to date; returns a new one if there is none.
+    /// Brings a target's endpoint up to date; returns a new one if there is none.
     fn follow_target(
         &mut self,
         now: Time,
         view: &View,
         data: &TargetData,
         first: bool,
-    ) -> Option<Track> {
+    ) -> Option<Endpoint> {
         let service = &view.services[data.service];
         let drained = view.sites[data.site].state == State::Leaving
             || service.sites.binary_search(&data.site).is_err();
         let state = if drained { State::Leaving } else { data.state };
-        if let Ok(at) = self.tracks.find(Kind::Target, &data.name, &service.name) {
-            let track = &mut self.tracks.slice_mut()[at];
-            track.present = true;
-            track.slots = data.slots;
-            track.window.cap(data.slots);
-            track.follow(now, state);
+        if let Ok(at) = self.endpoints.find(Kind::Target, &data.name, &service.name) {
+            let endpoint = &mut self.endpoints.as_mut_slice()[at];
+            endpoint.in_view = true;
+            endpoint.slots = data.slots;
+            endpoint.window.set_max(data.slots);
+            endpoint.set_view_state(now, state);
             return None;
         }
         let (name, service) = (Arc::clone(&data.name), Arc::clone(&service.name));
-        let window = Window::new(data.slots, data.slots, window::TARGET);
-        let mut track = Track::new(Kind::Target, name, service, data.slots, window, now);
-        track.state = state;
+        let window = Window::new(data.slots, data.slots, window::TARGET_ADJUSTMENT);
+        let mut endpoint = Endpoint::new(Kind::Target, name, service, data.slots, window, now);
+        endpoint.state = state;
         // A process that has just started knows none of the targets, which are
         // no colder for that.
         if !first {
-            track.chill(now);
+            endpoint.mark_cold(now);
         }
-        Some(track)
+        Some(endpoint)
     }
 
     fn follow_member(
@@ -133,36 +133,41 @@
         view: &View,
         service: Service,
         data: &MemberData,
-    ) -> Option<Track> {
+    ) -> Option<Endpoint> {
         let service = &view.services[service].name;
         let make = || {
             let (name, service) = (Arc::clone(&data.name), Arc::clone(service));
-            let window = Window::new(PEER.0, PEER.1, window::PEER);
-            let mut track = Track::new(Kind::Peer, name, service, PEER.1, window, now);
-            track.incarnation = data.incarnation;
-            track.state = data.state;
-            track
+            let window = Window::new(PEER.0, PEER.1, window::PEER_ADJUSTMENT);
+            let mut endpoint = Endpoint::new(Kind::Peer, name, service, PEER.1, window, now);
+            endpoint.incarnation = data.incarnation;
+            endpoint.state = data.state;
+            endpoint
         };
-        let Ok(at) = self.tracks.find(Kind::Peer, &data.name, service) else {
+        let Ok(at) = self.endpoints.find(Kind::Peer, &data.name, service) else {
             return Some(make());
         };
-        let track = &mut self.tracks.slice_mut()[at];
-        if track.incarnation != data.incarnation {
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        if endpoint.incarnation != data.incarnation {
             // A replacement has nothing of its predecessor but the name.
-            let flight = track.flight;
-            *track = make();
-            track.flight = flight;
+            let in_flight = endpoint.in_flight;
+            *endpoint = make();
+            endpoint.in_flight = in_flight;
         }
-        track.present = true;
-        track.follow(now, data.state);
+        endpoint.in_view = true;
+        endpoint.set_view_state(now, data.state);
         None
     }
 
-    fn build(&self, service: Service, home: Option<Domain>, old: &mut Vec<Group>) -> Group {
+    fn build(
+        &self,
+        service: Service,
+        home: Option<Domain>,
+        old: &mut Vec<ServiceState>,
+    ) -> ServiceState {
         let view = &self.view;
         let data = &view.services[service];
         let class = &view.classes[data.class];
-        let kept = old.iter().position(|g| g.name == data.name);
+        let kept = old.iter().position(|s| s.name == data.name);
         let kept = kept.map(|at| old.swap_remove(at));
         let blind = kept.as_ref().map_or(0, |k| k.blind);
         let mut remotes = self.remotes(service, home);
@@ -175,10 +180,10 @@
         let here = |r: &&super::Running| r.job.arrival.service == data.name;
         let on_target =
             |r: &&super::Running| matches!(r.destination, super::Destination::Target { .. });
-        let running: Vec<_> = self.flight.iter().filter(here).collect();
+        let running: Vec<_> = self.running.iter().filter(here).collect();
         let mut locals = self.locals(service, home);
         let subset = self.subset(home, &mut locals);
-        Group {
+        ServiceState {
             name: Arc::clone(&data.name),
             class: data.class.index(),
             share: usize::from(class.queue),
@@ -195,9 +200,9 @@
             best,
             limit: 0,
             ejected: 0,
-            flight: u32::try_from(running.iter().filter(|r| on_target(r)).count())
+            local_running: u32::try_from(running.iter().filter(|r| on_target(r)).count())
                 .unwrap_or(u32::MAX),
-            running: running.len(),
+            in_flight: running.len(),
         }
     }
 
@@ -229,9 +234,9 @@
             data.service == service && Some(view.target_domain(*key)) == home
         });
         here.filter_map(|(_, data)| {
-            let track = self.tracks.find(Kind::Target, &data.name, name).ok()?;
+            let endpoint = self.endpoints.find(Kind::Target, &data.name, name).ok()?;
             Some(Local {
-                track,
+                endpoint,
                 addr: data.addr,
             })
         })
@@ -249,7 +254,7 @@
             .filter_map(|(member, data)| {
                 let region = view.domains[data.domain].region;
                 Some(Remote {
-                    track: self.tracks.find(Kind::Peer, &data.name, name).ok()?,
+                    endpoint: self.endpoints.find(Kind::Peer, &data.name, name).ok()?,
                     incarnation: data.incarnation,
                     peer: data.peer,
                     member,
--- a/crates/steer/src/process/dispatch/group.rs
+++ b/crates/steer/src/process/dispatch/service.rs
@@ -1,6 +1,6 @@
 //! What one service has here: its targets, peers that serve it, its queue.
 //!
-//! Invariant: references into the table of tracks are renewed with each view;
+//! Invariant: references into the table of endpoints are renewed with each view;
 //! the queue and what was measured are carried over by the service's name.
 
 use core::time::Duration;
@@ -11,15 +11,15 @@
 use crate::clock::Time;
 use crate::process::dispatch::job::Job;
 use crate::process::safeguard::{Safeguard, Safeguards};
-use crate::process::target::{Fit, Table, latency};
+use crate::process::target::{Availability, EndpointTable, latency};
 use crate::request::admission::Outlook;
 use crate::version::view::{Incarnation, Member, Region};
 
 /// A target of this failure domain.
 #[derive(Clone, Debug)]
 pub struct Local {
-    /// Its track.
-    pub track: usize,
+    /// Its endpoint.
+    pub endpoint: usize,
     /// Where it listens.
     pub addr: SocketAddr,
 }
@@ -27,8 +27,8 @@
 /// An entry instance of another failure domain that serves the service.
 #[derive(Clone, Debug)]
 pub struct Remote {
-    /// Its track.
-    pub track: usize,
+    /// Its endpoint.
+    pub endpoint: usize,
     /// Which process.
     pub incarnation: Incarnation,
     /// Where it listens for peers.
@@ -43,7 +43,7 @@
 
 /// One service.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct ServiceState {
     /// Its name.
     pub name: Arc<str>,
     /// Index of its class; lower goes first.
@@ -77,28 +77,31 @@
     /// Local targets that are ejected.
     pub ejected: usize,
     /// Requests of this instance in flight on local targets.
-    pub flight: u32,
+    pub local_running: u32,
     /// Requests of this service in flight anywhere.
-    pub running: usize,
+    pub in_flight: usize,
 }
 
-impl Group {
-    /// Renews what is derived from the tracks.
-    pub fn refresh(&mut self, now: Time, table: &Table, on: Safeguards) {
-        let tracks = table.as_slice();
-        let means = self.locals.iter().map(|l| tracks[l.track].latency.mean());
+impl ServiceState {
+    /// Renews what is derived from the endpoints.
+    pub fn refresh(&mut self, now: Time, table: &EndpointTable, on: Safeguards) {
+        let endpoints = table.as_slice();
+        let means = self
+            .locals
+            .iter()
+            .map(|l| endpoints[l.endpoint].latency.mean());
         self.best = means.flatten().min().map_or(0, latency::micros);
         self.limit = 0;
         self.ejected = 0;
         for local in &self.locals {
-            let track = &tracks[local.track];
-            let fit = track.fit(now, on);
-            let slow = track.latency.pace(now, self.best, 0) != latency::Pace::Good;
+            let endpoint = &endpoints[local.endpoint];
+            let fit = endpoint.availability(now, on);
+            let slow = endpoint.latency.speed(now, self.best, 0) != latency::Speed::Good;
             let slow = slow && on.has(Safeguard::SlowTarget);
-            if matches!(fit, Fit::Free | Fit::Busy) && !slow {
-                self.limit = self.limit.saturating_add(track.limit(now, on));
+            if matches!(fit, Availability::Free | Availability::Busy) && !slow {
+                self.limit = self.limit.saturating_add(endpoint.limit(now, on));
             }
-            self.ejected += usize::from(matches!(fit, Fit::Ejected | Fit::Trial));
+            self.ejected += usize::from(matches!(fit, Availability::Ejected | Availability::Trial));
         }
     }
 
@@ -116,6 +119,6 @@
     /// Requests of this service here.
     #[must_use]
     pub fn total(&self) -> usize {
-        self.running + self.queue.len()
+        self.in_flight + self.queue.len()
     }
 }
--- a/crates/steer/src/process/dispatch/settle.rs
+++ b/crates/steer/src/process/dispatch/settle.rs
@@ -11,7 +11,7 @@
 use crate::process::dispatch::message::{Action, AttemptOutcome, Destination, Report};
 use crate::process::safeguard::Safeguard;
 use crate::process::target::health::Fault;
-use crate::process::target::{Fit, latency};
+use crate::process::target::{Availability, latency};
 use crate::request::admission;
 use crate::request::arrival::{AttemptId, Fingerprint, RequestId};
 use crate::request::outcome::{Reason, Refusal};
@@ -28,7 +28,7 @@
         outcome: AttemptOutcome,
         out: &mut Vec<Action>,
     ) {
-        let Some(running) = self.flight.take(id, Some(attempt)) else {
+        let Some(running) = self.running.take(id, Some(attempt)) else {
             return;
         };
         self.release(&running);
@@ -65,12 +65,12 @@
         {
             return self.finish(&job, refusal, out);
         }
-        let Some(group) = self.group(&job.arrival.service) else {
+        let Some(service) = self.find_service(&job.arrival.service) else {
             let refusal = job.refusal(Reason::UnknownService, None);
             return self.finish(&job, refusal, out);
         };
-        let safe = doubt == Doubt::NotRun || self.groups[group].idempotent;
-        let wait = self.groups[group].outlook().wait();
+        let safe = doubt == Doubt::NotRun || self.services[service].idempotent;
+        let wait = self.services[service].outlook().wait();
         if !safe || now >= job.until {
             return self.give_up(&job, retry::reason(&outcome), wait, out);
         }
@@ -80,22 +80,22 @@
             self.stats.unbudgeted += 1;
             return self.give_up(&job, retry::reason(&outcome), wait, out);
         }
-        self.place(now, group, job, out);
+        self.place(now, service, job, out);
     }
 
     pub(super) fn disconnected(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        if let Some(running) = self.flight.take(id, None) {
+        if let Some(running) = self.running.take(id, None) {
             self.release(&running);
             self.callers.remove(&running.job.arrival.caller);
             let attempt = running.attempt;
             out.push(Action::Cancel { id, attempt });
             return self.pump(now, out);
         }
-        for group in &mut self.groups {
-            let Some(at) = group.queue.iter().position(|j| j.arrival.id == id) else {
+        for service in &mut self.services {
+            let Some(at) = service.queue.iter().position(|j| j.arrival.id == id) else {
                 continue;
             };
-            if let Some(job) = group.queue.remove(at) {
+            if let Some(job) = service.queue.remove(at) {
                 self.callers.remove(&job.arrival.caller);
             }
             return;
@@ -104,21 +104,21 @@
 
     /// Takes an attempt off the counts.
     fn release(&mut self, running: &Running) {
-        let service = &running.job.arrival.service;
-        if let Ok(at) = self.tracks.find(
+        let service_name = &running.job.arrival.service;
+        if let Ok(at) = self.endpoints.find(
             running.destination.kind(),
             running.destination.name(),
-            service,
+            service_name,
         ) {
-            let track = &mut self.tracks.slice_mut()[at];
-            track.flight = track.flight.saturating_sub(1);
-            track.held &= !running.alone;
+            let endpoint = &mut self.endpoints.as_mut_slice()[at];
+            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+            endpoint.is_reserved &= !running.alone;
         }
-        if let Some(group) = self.group(service) {
+        if let Some(service) = self.find_service(service_name) {
             let local = matches!(running.destination, Destination::Target { .. });
-            let entry = &mut self.groups[group];
-            entry.running = entry.running.saturating_sub(1);
-            entry.flight = entry.flight.saturating_sub(u32::from(local));
+            let state = &mut self.services[service];
+            state.in_flight = state.in_flight.saturating_sub(1);
+            state.local_running = state.local_running.saturating_sub(u32::from(local));
         }
     }
 
@@ -130,29 +130,37 @@
         outcome: &AttemptOutcome,
         out: &mut Vec<Action>,
     ) {
-        let service = &running.job.arrival.service;
+        let service_name = &running.job.arrival.service;
         let name = running.destination.name();
         let begun = running.begun;
-        let Ok(at) = self.tracks.find(running.destination.kind(), name, service) else {
+        let Ok(at) = self
+            .endpoints
+            .find(running.destination.kind(), name, service_name)
+        else {
             return;
         };
-        let track = &mut self.tracks.slice_mut()[at];
-        track.evidence = now;
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
         match outcome {
             AttemptOutcome::Answered(answer) => self.answered(now, running, at, answer.status, out),
             AttemptOutcome::Refused { after, leaving } => {
-                track
-                    .window
-                    .shed(now, begun, after.unwrap_or_default(), &mut self.rng);
+                endpoint.window.record_refusal(
+                    now,
+                    begun,
+                    after.unwrap_or_default(),
+                    &mut self.rng,
+                );
                 if *leaving {
-                    track.leave(now);
+                    endpoint.mark_leaving(now);
                 }
             }
             AttemptOutcome::PeerRefused(refusal) => {
                 let after = refusal.after.unwrap_or_default();
-                track.window.shed(now, begun, after, &mut self.rng);
+                endpoint
+                    .window
+                    .record_refusal(now, begun, after, &mut self.rng);
                 if refusal.reason == Reason::Leaving {
-                    track.leave(now);
+                    endpoint.mark_leaving(now);
                 }
             }
             AttemptOutcome::Unreachable => self.fault(now, at, begun, Fault::Hard),
@@ -170,9 +178,9 @@
 
     /// An attempt timed out; nothing may be known yet of how long one takes.
     fn note_blind(&mut self, running: &Running) {
-        if let Some(group) = self.group(&running.job.arrival.service) {
-            let entry = &mut self.groups[group];
-            entry.blind += usize::from(entry.latency.high().is_none());
+        if let Some(service) = self.find_service(&running.job.arrival.service) {
+            let state = &mut self.services[service];
+            state.blind += usize::from(state.latency.high().is_none());
         }
     }
 
@@ -185,23 +193,23 @@
         out: &mut Vec<Action>,
     ) {
         let took = now.since(running.begun);
-        let group = self.group(&running.job.arrival.service);
+        let service = self.find_service(&running.job.arrival.service);
         let local = matches!(running.destination, Destination::Target { .. });
-        let best = group.map_or(0, |g| self.groups[g].best);
-        let track = &mut self.tracks.slice_mut()[at];
+        let best = service.map_or(0, |s| self.services[s].best);
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
         // A target that fails fast must not attract requests by its speed.
         if status < 500 || latency::micros(took) >= best {
-            track.latency.record(now, took, 16);
-            if let Some(group) = group.filter(|_| local) {
-                self.groups[group].latency.record(now, took, 32);
+            endpoint.latency.record(now, took, 16);
+            if let Some(service) = service.filter(|_| local) {
+                self.services[service].latency.record(now, took, 32);
             }
         }
-        track.window.widen();
-        track
-            .foreign
-            .check(track.slots, latency::micros(took) <= best);
-        if track.health.success(running.begun) {
-            track.chill(now);
+        endpoint.window.record_answer();
+        endpoint
+            .reported
+            .update_trust(endpoint.slots, latency::micros(took) <= best);
+        if endpoint.health.record_success(running.begun) {
+            endpoint.mark_cold(now);
         }
         let mut changes = Vec::new();
         if local && !self.suspects.is_empty() {
@@ -214,26 +222,34 @@
 
     fn fault(&mut self, now: Time, at: usize, begun: Time, fault: Fault) {
         let on = self.tuning.safeguards;
-        let service = &self.tracks.as_slice()[at].service;
+        let service_name = &self.endpoints.as_slice()[at].service;
         let spare = !on.has(Safeguard::LastTarget)
             || self
-                .group(service)
-                .is_some_and(|group| self.half_left(now, group, at));
-        let track = &mut self.tracks.slice_mut()[at];
-        if track.health.fault(now, begun, fault, spare, &mut self.rng) {
+                .find_service(service_name)
+                .is_some_and(|service| self.half_left(now, service, at));
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        if endpoint
+            .health
+            .record_fault(now, begun, fault, spare, &mut self.rng)
+        {
             self.stats.ejected += 1;
         }
     }
 
     /// Whether half the targets of a service would still be in use without one.
-    fn half_left(&self, now: Time, group: usize, without: usize) -> bool {
+    fn half_left(&self, now: Time, service: usize, without: usize) -> bool {
         let on = self.tuning.safeguards;
-        let tracks = self.tracks.as_slice();
-        let locals = &self.groups[group].locals;
-        let used = |track: usize| matches!(tracks[track].fit(now, on), Fit::Free | Fit::Busy);
+        let endpoints = self.endpoints.as_slice();
+        let locals = &self.services[service].locals;
+        let used = |endpoint: usize| {
+            matches!(
+                endpoints[endpoint].availability(now, on),
+                Availability::Free | Availability::Busy
+            )
+        };
         let left = locals
             .iter()
-            .filter(|l| l.track != without && used(l.track));
+            .filter(|l| l.endpoint != without && used(l.endpoint));
         left.count() * 2 >= locals.len()
     }
 
@@ -267,12 +283,12 @@
         if !on || self.suspects.strikes(print) < poison::STRIKES {
             return;
         }
-        for group in 0..self.groups.len() {
-            let queue = core::mem::take(&mut self.groups[group].queue);
+        for service in 0..self.services.len() {
+            let queue = core::mem::take(&mut self.services[service].queue);
             let (bad, good): (VecDeque<_>, VecDeque<_>) = queue
                 .into_iter()
                 .partition(|j| j.arrival.fingerprint == print);
-            self.groups[group].queue = good;
+            self.services[service].queue = good;
             for job in bad {
                 self.finish(&job, Refusal::unknown(Reason::Poison, None), out);
             }
@@ -280,25 +296,27 @@
     }
 
     pub(super) fn report(&mut self, now: Time, name: &Arc<str>, report: Report) {
-        let Some(at) = self.tracks.target(name) else {
+        let Some(at) = self.endpoints.target(name) else {
             return;
         };
-        let track = &mut self.tracks.slice_mut()[at];
-        track.evidence = now;
-        track.foreign.note(now, report.load, track.flight);
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
+        endpoint
+            .reported
+            .record(now, report.load, endpoint.in_flight);
         if report.state == State::Leaving {
-            track.leave(now);
+            endpoint.mark_leaving(now);
         }
     }
 
     pub(super) fn probed(&mut self, now: Time, name: &Arc<str>, report: Option<Report>) {
-        let Some(at) = self.tracks.target(name) else {
+        let Some(at) = self.endpoints.target(name) else {
             return;
         };
-        let track = &mut self.tracks.slice_mut()[at];
-        track.evidence = now;
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
         if let Some(report) = report {
-            track.health.vouch();
+            endpoint.health.note_probe();
             self.report(now, name, report);
         } else {
             self.fault(now, at, now, Fault::Hard);
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -11,7 +11,7 @@
 use crate::process::dispatch::job::Job;
 use crate::process::dispatch::message::Action;
 use crate::process::safeguard::Safeguard;
-use crate::process::target::{Fit, Track};
+use crate::process::target::{Availability, Endpoint};
 use crate::request::outcome::Reason;
 
 /// Shortest time between two probes of one instance. A probe costs a target
@@ -23,15 +23,15 @@
 
 impl Dispatch {
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        for track in self.tracks.slice_mut() {
-            track.settle(now);
+        for endpoint in self.endpoints.as_mut_slice() {
+            endpoint.expire_leaving(now);
         }
         self.refresh(now);
         self.free_held();
-        for group in 0..self.groups.len() {
-            self.expire(now, group, out);
-            self.unstick(now, group, out);
-            self.spill(now, group, out);
+        for service in 0..self.services.len() {
+            self.expire(now, service, out);
+            self.unstick(now, service, out);
+            self.spill(now, service, out);
         }
         self.pump(now, out);
         self.suspects.forget(now);
@@ -39,9 +39,9 @@
     }
 
     /// Refuses the waiting requests that can't be answered in time any more.
-    fn expire(&mut self, now: Time, group: usize, out: &mut Vec<Action>) {
+    fn expire(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         let on = self.tuning.safeguards;
-        let outlook = self.groups[group].outlook();
+        let outlook = self.services[service].outlook();
         let run = if on.has(Safeguard::Admission) {
             outlook.mean
         } else {
@@ -49,62 +49,62 @@
         };
         let last = now + run.unwrap_or_default();
         let late = |until: Time| last >= until;
-        if !self.groups[group].queue.iter().any(|j| late(j.until)) {
+        if !self.services[service].queue.iter().any(|j| late(j.until)) {
             return;
         }
-        let queue = mem::take(&mut self.groups[group].queue);
+        let queue = mem::take(&mut self.services[service].queue);
         for job in queue {
             if late(job.until) {
                 self.give_up(&job, Reason::Deadline, outlook.wait(), out);
             } else {
-                self.groups[group].queue.push_back(job);
+                self.services[service].queue.push_back(job);
             }
         }
     }
 
     /// Places anew what waits for targets that are no longer there.
-    fn unstick(&mut self, now: Time, group: usize, out: &mut Vec<Action>) {
-        let stuck = |d: &Self, job: &Job| !d.has_open(now, group, job);
-        if !self.groups[group].queue.iter().any(|j| stuck(self, j)) {
+    fn unstick(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
+        let stuck = |d: &Self, job: &Job| !d.has_open(now, service, job);
+        if !self.services[service].queue.iter().any(|j| stuck(self, j)) {
             return;
         }
-        let queue = mem::take(&mut self.groups[group].queue);
+        let queue = mem::take(&mut self.services[service].queue);
         let (gone, kept) = queue.into_iter().partition(|j| stuck(self, j));
-        self.groups[group].queue = kept;
+        self.services[service].queue = kept;
         let gone: VecDeque<Job> = gone;
         for job in gone {
-            self.place(now, group, job, out);
+            self.place(now, service, job, out);
         }
     }
 
     /// Passes to peers what would wait longer than the way there takes.
-    fn spill(&mut self, now: Time, group: usize, out: &mut Vec<Action>) {
-        while self.room(group) {
-            let wait = self.groups[group].outlook().wait();
-            let Some(job) = self.groups[group].queue.pop_back() else {
+    fn spill(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
+        while self.room(service) {
+            let wait = self.services[service].outlook().wait();
+            let Some(job) = self.services[service].queue.pop_back() else {
                 return;
             };
             let left = job.until.since(now);
-            let pick = self.remote(now, group, &job, wait, left);
+            let pick = self.remote(now, service, &job, wait, left);
             let Ok(Some(pick)) = pick else {
-                return self.groups[group].queue.push_back(job);
+                return self.services[service].queue.push_back(job);
             };
-            self.send(now, group, job, pick, out);
+            self.send(now, service, job, pick, out);
         }
     }
 
     /// Lets go of targets that were kept empty for a suspect that has left.
     fn free_held(&mut self) {
-        if self.tracks.as_slice().iter().all(|t| !t.held) {
+        if self.endpoints.as_slice().iter().all(|t| !t.is_reserved) {
             return;
         }
-        for group in &self.groups {
-            let waits = group.queue.iter().any(|j| self.suspect(j));
-            for local in group.locals.iter().filter(|_| !waits) {
-                let track = &self.tracks.as_slice()[local.track];
-                let alone = |r: &super::Running| r.alone && *r.destination.name() == track.name;
-                let used = self.flight.iter().any(alone);
-                self.tracks.slice_mut()[local.track].held &= used;
+        for service in &self.services {
+            let waits = service.queue.iter().any(|j| self.suspect(j));
+            for local in service.locals.iter().filter(|_| !waits) {
+                let endpoint = &self.endpoints.as_slice()[local.endpoint];
+                let alone = |r: &super::Running| r.alone && *r.destination.name() == endpoint.name;
+                let used = self.running.iter().any(alone);
+                self.endpoints.as_mut_slice()[local.endpoint].is_reserved &= used;
             }
         }
     }
@@ -117,34 +117,39 @@
         }
         let on = self.tuning.safeguards;
         let mut silent: Option<(Time, usize, usize)> = None;
-        for (at, group) in self.groups.iter().enumerate() {
-            for (local, place) in group.locals.iter().enumerate() {
-                let track = &self.tracks.as_slice()[place.track];
-                if !wants(track, now, group.idempotent, track.fit(now, on)) {
+        for (at, service) in self.services.iter().enumerate() {
+            for (local, place) in service.locals.iter().enumerate() {
+                let endpoint = &self.endpoints.as_slice()[place.endpoint];
+                if !wants(
+                    endpoint,
+                    now,
+                    service.idempotent,
+                    endpoint.availability(now, on),
+                ) {
                     continue;
                 }
-                if silent.is_none_or(|s| track.evidence < s.0) {
-                    silent = Some((track.evidence, at, local));
+                if silent.is_none_or(|s| endpoint.last_evidence < s.0) {
+                    silent = Some((endpoint.last_evidence, at, local));
                 }
             }
         }
-        let Some((_, group, local)) = silent else {
+        let Some((_, service, local)) = silent else {
             return;
         };
         self.probed = now;
         self.stats.probes += 1;
-        let local = &self.groups[group].locals[local];
-        let track = &mut self.tracks.slice_mut()[local.track];
-        track.evidence = now;
+        let local = &self.services[service].locals[local];
+        let endpoint = &mut self.endpoints.as_mut_slice()[local.endpoint];
+        endpoint.last_evidence = now;
         out.push(Action::Probe {
-            target: track.name.clone(),
+            target: endpoint.name.clone(),
             addr: local.addr,
         });
     }
 }
 
-fn wants(track: &Track, now: Time, idempotent: bool, fit: Fit) -> bool {
-    let vouch = fit == Fit::Trial && !idempotent && !track.health.vouched();
-    let quiet = track.flight == 0 && now.since(track.evidence) >= QUIET;
-    vouch || (quiet && fit != Fit::Out)
+fn wants(endpoint: &Endpoint, now: Time, idempotent: bool, fit: Availability) -> bool {
+    let vouch = fit == Availability::Trial && !idempotent && !endpoint.health.has_passed_probe();
+    let quiet = endpoint.in_flight == 0 && now.since(endpoint.last_evidence) >= QUIET;
+    vouch || (quiet && fit != Availability::Leaving)
 }
--- a/crates/steer/src/process/gate/entry.rs
+++ b/crates/steer/src/process/gate/entry.rs
@@ -90,7 +90,7 @@
         };
         match ending {
             dispatch::AttemptOutcome::Answered(answer) => {
-                out.push(message::Action::Reply { id, answer })
+                out.push(message::Action::Reply { id, answer });
             }
             dispatch::AttemptOutcome::PeerRefused(refusal)
                 if refusal.reason != outcome::Reason::OwnerGone =>
--- a/crates/steer/src/process/target.rs
+++ b/crates/steer/src/process/target.rs
@@ -1,7 +1,7 @@
 //! What this instance knows of a place from its own traffic.
 //!
-//! Invariant: a [`Track`] is kept by name across views, and nothing a target
-//! says of itself can make the track look better than the own count does.
+//! Invariant: a [`Endpoint`] is kept by name across views, and nothing a target
+//! says of itself can make the endpoint look better than the own count does.
 
 pub mod choose;
 pub mod health;
@@ -18,17 +18,17 @@
 
 /// How long a sign of leaving outweighs a view that says otherwise. The list
 /// lags by seconds; a target that changed its mind loses no more than this.
-pub const LEAVE_HOLD: Duration = Duration::from_secs(30);
+pub const LEAVING_HOLD_TIME: Duration = Duration::from_secs(30);
 
 /// Time over which a cold target is brought to its full share.
-pub const RAMP: Duration = Duration::from_secs(10);
+pub const RAMP_TIME: Duration = Duration::from_secs(10);
 
 /// Share in thousandths that a cold target starts with.
-const RAMP_START: u64 = 250;
+const RAMP_START_PERMILLE: u64 = 250;
 
 /// Whether a place may be given a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fit {
+pub enum Availability {
     /// It has room.
     Free,
     /// Its ejection is over; one request may try it.
@@ -38,7 +38,7 @@
     /// It is ejected; only a request with no other place may try it.
     Ejected,
     /// It leaves or has left.
-    Out,
+    Leaving,
 }
 
 /// What a place is. Targets and entry instances are named apart, so one of each
@@ -53,7 +53,7 @@
 
 /// One place for one service.
 #[derive(Clone, Debug)]
-pub struct Track {
+pub struct Endpoint {
     /// What it is.
     pub kind: Kind,
     /// Name of the target or entry instance.
@@ -68,7 +68,7 @@
     /// What the view says.
     pub state: State,
     /// Requests of this instance in flight there.
-    pub flight: u32,
+    pub in_flight: u32,
     /// Measured time per request.
     pub latency: latency::Latency,
     /// Evidence of failures.
@@ -76,18 +76,18 @@
     /// How much of the place this instance may use.
     pub window: window::Window,
     /// What the place says of itself.
-    pub foreign: report::Foreign,
+    pub reported: report::ReportedLoad,
     /// Set while a suspected request has or awaits the target for itself.
-    pub held: bool,
+    pub is_reserved: bool,
     /// When it last showed a sign of life or death.
-    pub evidence: Time,
+    pub last_evidence: Time,
     /// Whether the view in force has it.
-    pub present: bool,
-    leaving: Option<Time>,
-    cold: Option<Time>,
+    pub in_view: bool,
+    leaving_since: Option<Time>,
+    cold_since: Option<Time>,
 }
 
-impl Track {
+impl Endpoint {
     /// A place without history.
     #[must_use]
     pub fn new(
@@ -105,65 +105,70 @@
             incarnation: Incarnation::default(),
             slots,
             state: State::Live,
-            flight: 0,
+            in_flight: 0,
             latency: latency::Latency::default(),
             health: health::Health::default(),
             window,
-            foreign: report::Foreign::default(),
-            held: false,
-            evidence: now,
-            present: true,
-            leaving: None,
-            cold: None,
+            reported: report::ReportedLoad::default(),
+            is_reserved: false,
+            last_evidence: now,
+            in_view: true,
+            leaving_since: None,
+            cold_since: None,
         }
     }
 
     /// Starts the ramp of a target that is new or has come back.
-    pub const fn chill(&mut self, now: Time) {
-        self.cold = Some(now);
+    pub const fn mark_cold(&mut self, now: Time) {
+        self.cold_since = Some(now);
     }
 
     /// Notes a sign of leaving that came before the view's.
-    pub const fn leave(&mut self, now: Time) {
-        self.leaving = Some(now);
+    pub const fn mark_leaving(&mut self, now: Time) {
+        self.leaving_since = Some(now);
     }
 
     /// Takes the view's word. Only a view that went from leaving to live takes
     /// back what a report or refusal said: one that was live all along may be
     /// older than they are.
-    pub fn follow(&mut self, now: Time, state: State) {
+    pub fn set_view_state(&mut self, now: Time, state: State) {
         if self.state == State::Leaving && state == State::Live {
-            self.leaving = None;
-            self.chill(now);
+            self.leaving_since = None;
+            self.mark_cold(now);
         }
         self.state = state;
     }
 
     /// Ends what time ends: a target that said it was leaving, and is still in
     /// the view as live, is taken for a new one.
-    pub fn settle(&mut self, now: Time) {
-        if self.leaving.is_some_and(|at| now >= at + LEAVE_HOLD) {
-            self.leaving = None;
-            self.chill(now);
+    pub fn expire_leaving(&mut self, now: Time) {
+        if self
+            .leaving_since
+            .is_some_and(|at| now >= at + LEAVING_HOLD_TIME)
+        {
+            self.leaving_since = None;
+            self.mark_cold(now);
         }
     }
 
     /// Whether any sign says that the place is leaving.
     #[must_use]
-    pub fn leaves(&self, now: Time, on: Safeguards) -> bool {
-        let told = self.leaving.is_some_and(|at| now < at + LEAVE_HOLD);
-        self.state == State::Leaving || (told && on.has(Safeguard::Leaving))
+    pub fn is_leaving(&self, now: Time, on: Safeguards) -> bool {
+        let is_reported = self
+            .leaving_since
+            .is_some_and(|at| now < at + LEAVING_HOLD_TIME);
+        self.state == State::Leaving || (is_reported && on.has(Safeguard::Leaving))
     }
 
     /// Share of full use in thousandths, below 1000 while cold.
     #[must_use]
-    pub fn warmth(&self, now: Time, on: Safeguards) -> u64 {
-        let Some(cold) = self.cold.filter(|_| on.has(Safeguard::Ramp)) else {
+    pub fn ramp_permille(&self, now: Time, on: Safeguards) -> u64 {
+        let Some(cold) = self.cold_since.filter(|_| on.has(Safeguard::Ramp)) else {
             return 1000;
         };
-        let full = latency::micros(RAMP);
+        let full = latency::micros(RAMP_TIME);
         let age = latency::micros(now.since(cold)).min(full);
-        RAMP_START + (1000 - RAMP_START) * age / full
+        RAMP_START_PERMILLE + (1000 - RAMP_START_PERMILLE) * age / full
     }
 
     /// Requests this instance may have in flight there.
@@ -172,93 +177,94 @@
         if !on.has(Safeguard::OwnCount) {
             return u32::MAX;
         }
-        let warm = u64::from(self.slots) * self.warmth(now, on) / 1000;
+        let warm = u64::from(self.slots) * self.ramp_permille(now, on) / 1000;
         let warm = u32::try_from(warm).unwrap_or(u32::MAX);
         self.window.limit().min(warm).max(1)
     }
 
     /// Whether the place may be given a request now.
     #[must_use]
-    pub fn fit(&self, now: Time, on: Safeguards) -> Fit {
-        if self.leaves(now, on) {
-            return Fit::Out;
+    pub fn availability(&self, now: Time, on: Safeguards) -> Availability {
+        if self.is_leaving(now, on) {
+            return Availability::Leaving;
         }
-        match self.health.standing(now) {
-            health::Standing::Ejected => Fit::Ejected,
-            _ if self.held => Fit::Busy,
-            health::Standing::Due if self.flight == 0 => Fit::Trial,
-            health::Standing::Sound if self.has_room(now, on) => Fit::Free,
-            health::Standing::Due | health::Standing::Sound => Fit::Busy,
+        match self.health.status(now) {
+            health::Status::Ejected => Availability::Ejected,
+            _ if self.is_reserved => Availability::Busy,
+            health::Status::TrialDue if self.in_flight == 0 => Availability::Trial,
+            health::Status::Healthy if self.has_room(now, on) => Availability::Free,
+            health::Status::TrialDue | health::Status::Healthy => Availability::Busy,
         }
     }
 
     fn has_room(&self, now: Time, on: Safeguards) -> bool {
-        !self.window.paused(now) && self.flight < self.limit(now, on)
+        !self.window.is_paused(now) && self.in_flight < self.limit(now, on)
     }
 
     /// Cost of one more request there; lower is better. `best` is the lowest
     /// mean time among the places it is compared with, in microseconds.
     #[must_use]
     pub fn score(&self, now: Time, best: u64, on: Safeguards) -> u64 {
-        let foreign = self.foreign.extra(now, self.slots, on);
+        let reported = self.reported.extra_load(now, self.slots, on);
         if !on.has(Safeguard::OwnCount) {
-            return foreign;
+            return reported;
         }
-        let load = u64::from(self.flight + 1) * 1000 + foreign;
-        load * self.latency.ratio(now, best) / self.warmth(now, on)
+        let load = u64::from(self.in_flight + 1) * 1000 + reported;
+        load * self.latency.ratio(now, best) / self.ramp_permille(now, on)
     }
 }
 
-/// All tracks, sorted by kind, name and service.
+/// All endpoints, sorted by kind, name and service.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    tracks: Vec<Track>,
+pub struct EndpointTable {
+    endpoints: Vec<Endpoint>,
 }
 
-impl Table {
-    /// Where the track of a place is, or where it belongs.
+impl EndpointTable {
+    /// Where the endpoint of a place is, or where it belongs.
     ///
     /// # Errors
-    /// The place to insert at, if there is no such track.
+    /// The place to insert at, if there is no such endpoint.
     pub fn find(&self, kind: Kind, name: &str, service: &str) -> Result<usize, usize> {
-        self.tracks
+        self.endpoints
             .binary_search_by(|t| (t.kind, &*t.name, &*t.service).cmp(&(kind, name, service)))
     }
 
-    /// Where the track of a target is, by its name alone. A target that was
+    /// Where the endpoint of a target is, by its name alone. A target that was
     /// given to another service while it had work has two; the present counts.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<usize> {
         let first = self
-            .tracks
+            .endpoints
             .partition_point(|t| (t.kind, &*t.name) < (Kind::Target, name));
-        let same = self.tracks[first..]
+        let same = self.endpoints[first..]
             .iter()
             .take_while(|t| t.kind == Kind::Target && &*t.name == name);
         let mut same = (first..).zip(same);
-        same.find(|(_, track)| track.present).map(|(at, _)| at)
+        same.find(|(_, endpoint)| endpoint.in_view)
+            .map(|(at, _)| at)
     }
 
-    /// Adds tracks that are not yet in the table.
-    pub fn merge(&mut self, fresh: Vec<Track>) {
-        self.tracks.extend(fresh);
-        self.tracks
+    /// Adds endpoints that are not yet in the table.
+    pub fn merge(&mut self, fresh: Vec<Endpoint>) {
+        self.endpoints.extend(fresh);
+        self.endpoints
             .sort_by(|a, b| (a.kind, &a.name, &a.service).cmp(&(b.kind, &b.name, &b.service)));
     }
 
-    /// Forgets the tracks that `keep` refuses.
-    pub fn retain(&mut self, keep: impl FnMut(&Track) -> bool) {
-        self.tracks.retain(keep);
+    /// Forgets the endpoints that `keep` refuses.
+    pub fn retain(&mut self, keep: impl FnMut(&Endpoint) -> bool) {
+        self.endpoints.retain(keep);
     }
 
-    /// All tracks in order.
+    /// All endpoints in order.
     #[must_use]
-    pub fn as_slice(&self) -> &[Track] {
-        &self.tracks
+    pub fn as_slice(&self) -> &[Endpoint] {
+        &self.endpoints
     }
 
-    /// All tracks in order, to change.
-    pub fn slice_mut(&mut self) -> &mut [Track] {
-        &mut self.tracks
+    /// All endpoints in order, to change.
+    pub fn as_mut_slice(&mut self) -> &mut [Endpoint] {
+        &mut self.endpoints
     }
 }
--- a/crates/steer/src/process/target/choose.rs
+++ b/crates/steer/src/process/target/choose.rs
@@ -24,14 +24,17 @@
         rng: &mut fastrand::Rng,
     ) -> Option<usize> {
         match self {
-            Self::LowestScore => least(places, rng),
-            Self::TwoChoices => two(&places, rng),
+            Self::LowestScore => lowest_score(places, rng),
+            Self::TwoChoices => two_choices(&places, rng),
             Self::Weighted => weighted(&places, rng),
         }
     }
 }
 
-fn least(places: impl Iterator<Item = (usize, u64)>, rng: &mut fastrand::Rng) -> Option<usize> {
+fn lowest_score(
+    places: impl Iterator<Item = (usize, u64)>,
+    rng: &mut fastrand::Rng,
+) -> Option<usize> {
     let mut best = None;
     let mut ties = 0;
     for (place, score) in places {
@@ -48,7 +51,7 @@
     best.map(|(place, _)| place)
 }
 
-fn two(
+fn two_choices(
     places: &(impl Iterator<Item = (usize, u64)> + Clone),
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
--- a/crates/steer/src/process/target/report.rs
+++ b/crates/steer/src/process/target/report.rs
@@ -1,7 +1,7 @@
 //! What a target says of its load, and how far that is believed.
 //!
 //! Invariant: a report only ever adds to the own count, by no more than the
-//! target's slots, and for no longer than [`FRESH`].
+//! target's slots, and for no longer than [`REPORT_TTL`].
 
 use core::time::Duration;
 
@@ -9,60 +9,62 @@
 use crate::process::safeguard::{Safeguard, Safeguards};
 
 /// Age at which a report no longer counts.
-pub const FRESH: Duration = Duration::from_millis(500);
+pub const REPORT_TTL: Duration = Duration::from_millis(500);
 
 /// The load that is not this instance's, as last reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Foreign {
+pub struct ReportedLoad {
     /// Thousandths of a request, smoothed.
     load: u64,
-    at: Option<Time>,
+    reported_at: Option<Time>,
     trust: u64,
 }
 
-impl Default for Foreign {
+impl Default for ReportedLoad {
     fn default() -> Self {
         Self {
             load: 0,
-            at: None,
+            reported_at: None,
             trust: 1000,
         }
     }
 }
 
-impl Foreign {
+impl ReportedLoad {
     /// Takes a reported `load`, of which `own` requests are this instance's.
     /// The report is of another moment than `own`, so their difference is
     /// smoothed.
-    pub fn note(&mut self, now: Time, load: u32, own: u32) {
+    pub fn record(&mut self, now: Time, load: u32, own: u32) {
         let load = u64::from(load.saturating_sub(own)) * 1000;
-        let fresh = self.at.is_some_and(|at| now.since(at) <= FRESH);
-        self.load = if fresh {
+        let is_fresh = self
+            .reported_at
+            .is_some_and(|at| now.since(at) <= REPORT_TTL);
+        self.load = if is_fresh {
             (self.load * 3 + load) / 4
         } else {
             load
         };
-        self.at = Some(now);
+        self.reported_at = Some(now);
     }
 
     /// Load to add to the own count, in thousandths of a request.
     #[must_use]
-    pub fn extra(&self, now: Time, slots: u32, on: Safeguards) -> u64 {
-        let Some(at) = self.at else { return 0 };
+    pub fn extra_load(&self, now: Time, slots: u32, on: Safeguards) -> u64 {
+        let Some(at) = self.reported_at else { return 0 };
         if !on.has(Safeguard::ReportBound) {
             return self.load;
         }
-        if now.since(at) > FRESH {
+        if now.since(at) > REPORT_TTL {
             return 0;
         }
         self.load.min(u64::from(slots) * 1000) * self.trust / 1000
     }
 
     /// Compares the claim with an answer. A target that says others fill it,
-    /// and answers as `quick` as an idle one, loses trust; else it regains it.
-    pub fn check(&mut self, slots: u32, quick: bool) {
-        let full = self.at.is_some() && self.load >= u64::from(slots) * 1000;
-        self.trust = if full && quick {
+    /// and answers as `is_quick` as an idle one, loses trust; else it regains it.
+    pub fn update_trust(&mut self, slots: u32, is_quick: bool) {
+        let is_full = self.reported_at.is_some() && self.load >= u64::from(slots) * 1000;
+        self.trust = if is_full && is_quick {
             self.trust * 9 / 10
         } else {
             (self.trust + 50).min(1000)
