--- a/crates/measure/src/robin.rs
+++ b/crates/measure/src/robin.rs
@@ -115,7 +115,7 @@
                 match ending {
                     AttemptOutcome::Answered(answer) => out.push(Action::Reply { id, answer }),
                     AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable => {
-                        self.send(now, running, out)
+                        self.send(now, running, out);
                     }
                     _ => {
                         let refusal = Refusal::unknown(Reason::Lost, None);
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -6,17 +6,17 @@
 //! says "not run" is given only while no attempt may have run.
 
 mod caps;
+mod completion;
 pub mod dump;
 mod job;
 mod message;
-mod place;
 mod queue;
-mod renew;
+mod selection;
 mod service;
-mod settle;
 pub mod stats;
 pub mod tuning;
 mod upkeep;
+mod view_update;
 
 use std::sync::Arc;
 
@@ -45,16 +45,16 @@
     /// Services, sorted by name.
     services: Vec<ServiceState>,
     /// Indices of `services`, the class served first in front.
-    order: Vec<usize>,
+    class_order: Vec<usize>,
     running: RunningRequests,
     callers: admission::Counts,
     budget: retry::Budget,
     suspects: poison::Suspects,
     shares: share::Shares,
     /// Loans to ask for; empty between events.
-    wishes: Vec<Action>,
-    attempts: u64,
-    probed: Time,
+    loan_requests: Vec<Action>,
+    last_attempt: u64,
+    last_probe: Time,
     stats: stats::Stats,
     rng: fastrand::Rng,
 }
@@ -76,15 +76,15 @@
             region: None,
             endpoints: target::EndpointTable::default(),
             services: Vec::new(),
-            order: Vec::new(),
+            class_order: Vec::new(),
             running: RunningRequests::default(),
             callers: admission::Counts::default(),
             budget: retry::Budget::default(),
             suspects: poison::Suspects::default(),
             shares: share::Shares::default(),
-            wishes: Vec::new(),
-            attempts: 0,
-            probed: Time::ZERO,
+            loan_requests: Vec::new(),
+            last_attempt: 0,
+            last_probe: Time::ZERO,
             stats: stats::Stats::default(),
             rng,
         }
@@ -110,7 +110,7 @@
                 out.push(Action::Lend { ask, amount });
             }
             Event::Disconnected(id) => self.disconnected(now, id, out),
-            Event::View(view) => self.renew(now, view, out),
+            Event::View(view) => self.apply_view(now, view, out),
             Event::Report { target, report } => self.report(now, &target, report),
             Event::Probed { target, report } => self.probed(now, &target, report),
             Event::Suspected {
@@ -119,7 +119,7 @@
             } => self.suspected(now, fingerprint, strikes, out),
             Event::Tick => self.tick(now, out),
         }
-        out.append(&mut self.wishes);
+        out.append(&mut self.loan_requests);
     }
 
     /// Number of requests in flight.
@@ -157,7 +157,7 @@
                 return self.refuse(id, refusal, out);
             }
         };
-        if let Err(wait) = self.may_serve(now, &arrival) {
+        if let Err(wait) = self.admit_inbound(now, &arrival) {
             let after = Some(admission::jitter(wait, &mut self.rng));
             let refusal = Refusal::not_run(Reason::Cap, after);
             return self.refuse(arrival.id, refusal, out);
@@ -166,11 +166,11 @@
         self.callers.add(&arrival.caller);
         self.budget.earn();
         let job = Job {
-            until: now + allowed,
-            came: now,
+            deadline: now + allowed,
+            arrived_at: now,
             tried: Vec::new(),
-            maybe: false,
-            failed: None,
+            is_uncertain: false,
+            last_failure: None,
             arrival,
         };
         self.place(now, service, job, out);
@@ -179,7 +179,7 @@
     /// Checks that don't depend on time left; returns the service's group.
     fn admit(&mut self, arrival: &Arrival) -> Result<usize, Refusal> {
         if self.view.version.0 == 0 {
-            let after = Some(self.soon());
+            let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::NotReady, after));
         }
         let Some(service) = self.find_service(&arrival.service) else {
@@ -194,12 +194,12 @@
         let limits = self.tuning.limits;
         let caller_full = self.callers.get(&arrival.caller) >= limits.per_caller();
         if on.has(Safeguard::CallerLimit) && caller_full {
-            let after = Some(self.soon());
+            let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::CallerLimit, after));
         }
         let service_full = self.services[service].total() >= limits.per_service();
         if on.has(Safeguard::ServiceLimit) && service_full {
-            let after = Some(self.soon());
+            let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::Overloaded, after));
         }
         Ok(service)
@@ -207,19 +207,19 @@
 
     /// Sends a job, lets it wait, or refuses it at once.
     fn place(&mut self, now: Time, service: usize, job: Job, out: &mut Vec<Action>) {
-        let left = job.until.since(now);
+        let left = job.deadline.since(now);
         let on = self.tuning.safeguards;
-        if self.too_late(service, left) {
+        if self.is_too_late(service, left) {
             let wait = self.services[service].outlook().wait();
-            let reason = job.failed.unwrap_or(Reason::Deadline);
-            return self.give_up(&job, reason, wait, out);
+            let reason = job.last_failure.unwrap_or(Reason::Deadline);
+            return self.refuse_job(&job, reason, wait, out);
         }
         let first = self.services[service].queue.is_empty() || !job.tried.is_empty();
-        let room = self.room(service);
-        let suspect = self.suspect(&job);
+        let room = self.has_room(service);
+        let suspect = self.is_suspect(&job);
         if (first || suspect)
             && room
-            && let Some(pick) = self.local(now, service, &job, suspect)
+            && let Some(pick) = self.pick_target(now, service, &job, suspect)
         {
             return self.send(now, service, job, pick, out);
         }
@@ -227,16 +227,17 @@
         if job.arrival.origin == Origin::Peer {
             // Only the instance that callers asked lets requests wait: a
             // request that waits here could have been placed elsewhere.
-            return self.give_up(&job, Reason::Overloaded, outlook.wait(), out);
+            return self.refuse_job(&job, Reason::Overloaded, outlook.wait(), out);
         }
-        let short = outlook.wait() <= self.patience(now, service);
+        let short = outlook.wait() <= self.wait_limit(now, service);
         let hope = !on.has(Safeguard::Admission) || (short && outlook.hopeful(left));
-        let stay = hope && self.has_open(now, service, &job) && self.fits(service);
+        let stay =
+            hope && self.has_open_target(now, service, &job) && self.has_queue_share(service);
         let patience = if stay { outlook.wait() } else { left };
         // What a cap allows counts as used, so it is asked only where the
         // request would then go.
         let remote = if room {
-            self.remote(now, service, &job, patience, left)
+            self.pick_peer(now, service, &job, patience, left)
         } else {
             Ok(None)
         };
@@ -246,15 +247,15 @@
             Err(after) => Some(after),
         };
         if stay && self.make_room(service, out) {
-            return self.wait(now, service, job);
+            return self.enqueue(now, service, job);
         }
         if outlook.limit == 0
             && room
-            && let Some(pick) = self.last_resort(now, service, &job)
+            && let Some(pick) = self.pick_ejected(now, service, &job)
         {
             return self.send(now, service, job, pick, out);
         }
-        let reason = match job.failed {
+        let reason = match job.last_failure {
             _ if capped.is_some() => Reason::Cap,
             Some(failed) => failed,
             None if outlook.limit == 0 => Reason::NoTarget,
@@ -268,15 +269,15 @@
             None if outlook.limit == 0 => admission::COME_BACK.0 * 10,
             None => outlook.wait(),
         };
-        self.give_up(&job, reason, wait, out);
+        self.refuse_job(&job, reason, wait, out);
     }
 
     /// Whether even an idle target would hardly answer in time. What starts
     /// nevertheless takes a slot and is thrown away. While nothing runs one may
     /// try: the time known may be of a brownout that is over, and without
     /// answers it would never be known better.
-    fn too_late(&self, service: usize, left: core::time::Duration) -> bool {
-        let least = core::time::Duration::from_micros(self.services[service].best / 2);
+    fn is_too_late(&self, service: usize, left: core::time::Duration) -> bool {
+        let least = core::time::Duration::from_micros(self.services[service].best_mean / 2);
         let on = self.tuning.safeguards.has(Safeguard::Admission);
         let busy = self.services[service].local_running > 0;
         left.is_zero() || (on && busy && left < least)
@@ -287,22 +288,22 @@
         now: Time,
         service: usize,
         mut job: Job,
-        pick: place::Pick,
+        pick: selection::Pick,
         out: &mut Vec<Action>,
     ) {
-        let left = job.until.since(now);
+        let left = job.deadline.since(now);
         let budget = self.attempt_budget(service, &pick, &job, left);
-        self.attempts += 1;
-        let attempt = AttemptId(self.attempts);
+        self.last_attempt += 1;
+        let attempt = AttemptId(self.last_attempt);
         let endpoint = &mut self.endpoints.as_mut_slice()[pick.endpoint];
         endpoint.in_flight += 1;
-        endpoint.is_reserved |= pick.alone;
+        endpoint.is_reserved |= pick.is_exclusive;
         let state = &mut self.services[service];
         state.in_flight += 1;
         state.local_running += u32::from(pick.is_local());
         job.tried
             .push((pick.destination.kind(), Arc::clone(pick.destination.name())));
-        self.stats.sent(&pick.destination, job.tried.len());
+        self.stats.record_sent(&pick.destination, job.tried.len());
         out.push(Action::Send {
             id: job.arrival.id,
             attempt,
@@ -314,13 +315,13 @@
             job,
             attempt,
             destination: pick.destination,
-            begun: now,
-            alone: pick.alone,
+            sent_at: now,
+            is_exclusive: pick.is_exclusive,
         });
     }
 
     /// Gives a job up: its final answer goes out at once.
-    fn give_up(
+    fn refuse_job(
         &mut self,
         job: &Job,
         reason: Reason,
@@ -332,16 +333,16 @@
             Origin::Caller | Origin::Forward => admission::jitter(wait, &mut self.rng),
         };
         let refusal = job.refusal(reason, Some(after));
-        self.finish(job, refusal, out);
+        self.finish_job(job, refusal, out);
     }
 
-    fn finish(&mut self, job: &Job, refusal: Refusal, out: &mut Vec<Action>) {
+    fn finish_job(&mut self, job: &Job, refusal: Refusal, out: &mut Vec<Action>) {
         self.callers.remove(&job.arrival.caller);
         self.refuse(job.arrival.id, refusal, out);
     }
 
     fn refuse(&mut self, id: RequestId, refusal: Refusal, out: &mut Vec<Action>) {
-        self.stats.refused(refusal.reason);
+        self.stats.record_refused(refusal.reason);
         out.push(Action::Refuse { id, refusal });
     }
 
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -18,10 +18,10 @@
 use crate::version::view::{Member, Region, State};
 
 /// Bytes that a message between regions has besides its request or answer.
-const OVERHEAD: u64 = 512;
+const MESSAGE_OVERHEAD_BYTES: u64 = 512;
 
 /// Peers asked for a loan at a time.
-const LENDERS: usize = 2;
+const LENDERS_MAX: usize = 2;
 
 impl Dispatch {
     /// This process's parts of the caps.
@@ -30,8 +30,8 @@
     }
 
     /// An answer lacks room on a link: asks for loans.
-    pub fn lack(&mut self, now: Time, link: &Route, bytes: u64) {
-        self.wish(now, link, bytes);
+    pub fn request_link_loan(&mut self, now: Time, link: &Route, bytes: u64) {
+        self.request_loans(now, link, bytes);
     }
 
     /// Name of this process's region, once known.
@@ -45,18 +45,18 @@
     ///
     /// # Errors
     /// The time after which it may be.
-    pub(super) fn may_serve(&mut self, now: Time, arrival: &Arrival) -> Result<(), Duration> {
-        let (Some(home), Some(here)) = (&arrival.home, self.region) else {
+    pub(super) fn admit_inbound(&mut self, now: Time, arrival: &Arrival) -> Result<(), Duration> {
+        let (Some(caller_region), Some(here)) = (&arrival.home, self.region) else {
             return Ok(());
         };
         let here = &self.view.regions[here].name;
         let passed_on = arrival.origin == Origin::Peer;
-        if passed_on || home == here || !self.tuning.safeguards.has(Safeguard::Caps) {
+        if passed_on || caller_region == here || !self.tuning.safeguards.has(Safeguard::Caps) {
             return Ok(());
         }
         let route = Route::Shift {
             service: Arc::clone(&arrival.service),
-            from: Arc::clone(home),
+            from: Arc::clone(caller_region),
             to: Arc::clone(here),
         };
         self.take(now, &[(&route, 1)])
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// The time after which it may be.
-    pub(super) fn may_shift(
+    pub(super) fn admit_shift(
         &mut self,
         now: Time,
         arrival: &Arrival,
@@ -81,19 +81,19 @@
         }
         let name = |region: Region| Arc::clone(&self.view.regions[region].name);
         let (here, there) = (name(here), name(there));
-        let home = arrival.home.clone().unwrap_or_else(|| Arc::clone(&here));
+        let caller_region = arrival.home.clone().unwrap_or_else(|| Arc::clone(&here));
         let link = Route::Link {
             from: here,
             to: Arc::clone(&there),
         };
-        let bytes = arrival.bytes + OVERHEAD;
-        if home == there {
+        let bytes = arrival.bytes + MESSAGE_OVERHEAD_BYTES;
+        if caller_region == there {
             // It goes back to its caller's own region: no shift.
             return self.take(now, &[(&link, bytes)]);
         }
         let shift = Route::Shift {
             service: Arc::clone(&arrival.service),
-            from: home,
+            from: caller_region,
             to: there,
         };
         self.take(now, &[(&shift, 1), (&link, bytes)])
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// The time after which it may be.
-    pub fn may_cross(&mut self, now: Time, owner: &str, bytes: u64) -> Result<(), Duration> {
+    pub fn admit_forward(&mut self, now: Time, owner: &str, bytes: u64) -> Result<(), Duration> {
         let member = self.view.member(owner);
         let (Some(here), Some(member)) = (self.region, member) else {
             return Ok(());
@@ -121,7 +121,7 @@
             // The configuration sets no limit on it.
             return Ok(());
         }
-        self.take(now, &[(&link, bytes + OVERHEAD)])
+        self.take(now, &[(&link, bytes + MESSAGE_OVERHEAD_BYTES)])
     }
 
     /// Takes of all routes or of none, and asks for loans where room lacks.
@@ -130,7 +130,7 @@
         if taken.is_err() {
             for &(route, amount) in uses {
                 if self.shares.room(now, route) < amount {
-                    self.wish(now, route, amount);
+                    self.request_loans(now, route, amount);
                 }
             }
         }
@@ -138,8 +138,8 @@
     }
 
     /// Asks a few of the instances that have a part of the same cap.
-    fn wish(&mut self, now: Time, route: &Route, amount: u64) {
-        let wish = self.shares.want(now, route, amount, LENDERS);
+    fn request_loans(&mut self, now: Time, route: &Route, amount: u64) {
+        let wish = self.shares.want(now, route, amount, LENDERS_MAX);
         if wish.asked.is_empty() {
             return;
         }
@@ -155,9 +155,9 @@
             other && regions.contains(&region)
         };
         let lenders: Vec<Member> = view.members.keys().filter(fits).collect();
-        let lenders = self.rng.choose_multiple(lenders, LENDERS);
+        let lenders = self.rng.choose_multiple(lenders, LENDERS_MAX);
         for (lender, asked) in lenders.into_iter().zip(wish.asked) {
-            self.wishes.push(Action::Borrow {
+            self.loan_requests.push(Action::Borrow {
                 peer: view.members[lender].peer,
                 route: route.clone(),
                 amount: wish.amount,
--- a/crates/steer/src/process/dispatch/settle.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -32,12 +32,12 @@
             return;
         };
         self.release(&running);
-        self.learn(now, &running, &outcome, out);
-        self.settle(now, running, outcome, out);
-        self.pump(now, out);
+        self.record_outcome(now, &running, &outcome, out);
+        self.complete(now, running, outcome, out);
+        self.send_queued(now, out);
     }
 
-    fn settle(
+    fn complete(
         &mut self,
         now: Time,
         running: Running,
@@ -54,31 +54,31 @@
             }
             return;
         };
-        job.maybe |= doubt == Doubt::MayHaveRun;
-        job.failed = Some(retry::reason(&outcome));
-        if self.poisoned(&job) {
+        job.is_uncertain |= doubt == Doubt::MayHaveRun;
+        job.last_failure = Some(retry::reason(&outcome));
+        if self.is_poisoned(&job) {
             let refusal = Refusal::unknown(Reason::Poison, None);
-            return self.finish(&job, refusal, out);
+            return self.finish_job(&job, refusal, out);
         }
         if let AttemptOutcome::PeerRefused(refusal) = outcome
             && doubt == Doubt::MayHaveRun
         {
-            return self.finish(&job, refusal, out);
+            return self.finish_job(&job, refusal, out);
         }
         let Some(service) = self.find_service(&job.arrival.service) else {
             let refusal = job.refusal(Reason::UnknownService, None);
-            return self.finish(&job, refusal, out);
+            return self.finish_job(&job, refusal, out);
         };
-        let safe = doubt == Doubt::NotRun || self.services[service].idempotent;
+        let safe = doubt == Doubt::NotRun || self.services[service].is_idempotent;
         let wait = self.services[service].outlook().wait();
-        if !safe || now >= job.until {
-            return self.give_up(&job, retry::reason(&outcome), wait, out);
+        if !safe || now >= job.deadline {
+            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
         }
         if !self.budget.spend(retry::cost(&outcome))
             && self.tuning.safeguards.has(Safeguard::Budget)
         {
-            self.stats.unbudgeted += 1;
-            return self.give_up(&job, retry::reason(&outcome), wait, out);
+            self.stats.budget_denied += 1;
+            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
         }
         self.place(now, service, job, out);
     }
@@ -89,7 +89,7 @@
             self.callers.remove(&running.job.arrival.caller);
             let attempt = running.attempt;
             out.push(Action::Cancel { id, attempt });
-            return self.pump(now, out);
+            return self.send_queued(now, out);
         }
         for service in &mut self.services {
             let Some(at) = service.queue.iter().position(|j| j.arrival.id == id) else {
@@ -112,7 +112,7 @@
         ) {
             let endpoint = &mut self.endpoints.as_mut_slice()[at];
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-            endpoint.is_reserved &= !running.alone;
+            endpoint.is_reserved &= !running.is_exclusive;
         }
         if let Some(service) = self.find_service(service_name) {
             let local = matches!(running.destination, Destination::Target { .. });
@@ -123,7 +123,7 @@
     }
 
     /// Takes what an attempt's end says about its place and its request.
-    fn learn(
+    fn record_outcome(
         &mut self,
         now: Time,
         running: &Running,
@@ -132,7 +132,7 @@
     ) {
         let service_name = &running.job.arrival.service;
         let name = running.destination.name();
-        let begun = running.begun;
+        let sent_at = running.sent_at;
         let Ok(at) = self
             .endpoints
             .find(running.destination.kind(), name, service_name)
@@ -142,11 +142,13 @@
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
         endpoint.last_evidence = now;
         match outcome {
-            AttemptOutcome::Answered(answer) => self.answered(now, running, at, answer.status, out),
+            AttemptOutcome::Answered(answer) => {
+                self.record_answer(now, running, at, answer.status, out)
+            }
             AttemptOutcome::Refused { after, leaving } => {
                 endpoint.window.record_refusal(
                     now,
-                    begun,
+                    sent_at,
                     after.unwrap_or_default(),
                     &mut self.rng,
                 );
@@ -158,33 +160,33 @@
                 let after = refusal.after.unwrap_or_default();
                 endpoint
                     .window
-                    .record_refusal(now, begun, after, &mut self.rng);
+                    .record_refusal(now, sent_at, after, &mut self.rng);
                 if refusal.reason == Reason::Leaving {
                     endpoint.mark_leaving(now);
                 }
             }
-            AttemptOutcome::Unreachable => self.fault(now, at, begun, Fault::Hard),
-            AttemptOutcome::BadAnswer => self.fault(now, at, begun, Fault::Soft),
+            AttemptOutcome::Unreachable => self.record_fault(now, at, sent_at, Fault::Hard),
+            AttemptOutcome::BadAnswer => self.record_fault(now, at, sent_at, Fault::Soft),
             AttemptOutcome::TimedOut => {
-                self.note_blind(running);
-                self.fault(now, at, begun, Fault::Soft);
+                self.note_early_timeout(running);
+                self.record_fault(now, at, sent_at, Fault::Soft);
             }
             AttemptOutcome::Broken => {
-                self.fault(now, at, begun, Fault::Hard);
-                self.broke(now, running, out);
+                self.record_fault(now, at, sent_at, Fault::Hard);
+                self.record_break(now, running, out);
             }
         }
     }
 
     /// An attempt timed out; nothing may be known yet of how long one takes.
-    fn note_blind(&mut self, running: &Running) {
+    fn note_early_timeout(&mut self, running: &Running) {
         if let Some(service) = self.find_service(&running.job.arrival.service) {
             let state = &mut self.services[service];
-            state.blind += usize::from(state.latency.high().is_none());
+            state.early_timeouts += usize::from(state.latency.high().is_none());
         }
     }
 
-    fn answered(
+    fn record_answer(
         &mut self,
         now: Time,
         running: &Running,
@@ -192,10 +194,10 @@
         status: u16,
         out: &mut Vec<Action>,
     ) {
-        let took = now.since(running.begun);
+        let took = now.since(running.sent_at);
         let service = self.find_service(&running.job.arrival.service);
         let local = matches!(running.destination, Destination::Target { .. });
-        let best = service.map_or(0, |s| self.services[s].best);
+        let best = service.map_or(0, |s| self.services[s].best_mean);
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
         // A target that fails fast must not attract requests by its speed.
         if status < 500 || latency::micros(took) >= best {
@@ -208,36 +210,36 @@
         endpoint
             .reported
             .update_trust(endpoint.slots, latency::micros(took) <= best);
-        if endpoint.health.record_success(running.begun) {
+        if endpoint.health.record_success(running.sent_at) {
             endpoint.mark_cold(now);
         }
         let mut changes = Vec::new();
         if local && !self.suspects.is_empty() {
             changes.extend(self.suspects.clear(running.job.arrival.fingerprint));
             let name = running.destination.name();
-            self.suspects.survived(name, running.begun, &mut changes);
+            self.suspects.survived(name, running.sent_at, &mut changes);
         }
-        out.extend(changes.into_iter().map(tell));
+        out.extend(changes.into_iter().map(suspect_action));
     }
 
-    fn fault(&mut self, now: Time, at: usize, begun: Time, fault: Fault) {
+    fn record_fault(&mut self, now: Time, at: usize, sent_at: Time, fault: Fault) {
         let on = self.tuning.safeguards;
         let service_name = &self.endpoints.as_slice()[at].service;
         let spare = !on.has(Safeguard::LastTarget)
             || self
                 .find_service(service_name)
-                .is_some_and(|service| self.half_left(now, service, at));
+                .is_some_and(|service| self.has_half_left(now, service, at));
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
         if endpoint
             .health
-            .record_fault(now, begun, fault, spare, &mut self.rng)
+            .record_fault(now, sent_at, fault, spare, &mut self.rng)
         {
             self.stats.ejected += 1;
         }
     }
 
     /// Whether half the targets of a service would still be in use without one.
-    fn half_left(&self, now: Time, service: usize, without: usize) -> bool {
+    fn has_half_left(&self, now: Time, service: usize, without: usize) -> bool {
         let on = self.tuning.safeguards;
         let endpoints = self.endpoints.as_slice();
         let locals = &self.services[service].locals;
@@ -254,43 +256,45 @@
     }
 
     /// A target broke under a request: a strike against it.
-    fn broke(&mut self, now: Time, running: &Running, out: &mut Vec<Action>) {
+    fn record_break(&mut self, now: Time, running: &Running, out: &mut Vec<Action>) {
         let local = matches!(running.destination, Destination::Target { .. });
         if !local || !self.tuning.safeguards.has(Safeguard::Poison) {
             return;
         }
-        let print = running.job.arrival.fingerprint;
+        let fingerprint = running.job.arrival.fingerprint;
         let name = running.destination.name();
-        let change = self.suspects.strike(now, running.strikes, print, name);
-        out.push(tell(change));
-        self.sweep(change.print, out);
+        let change = self
+            .suspects
+            .strike(now, running.strikes, fingerprint, name);
+        out.push(suspect_action(change));
+        self.refuse_poisoned(change.print, out);
     }
 
     pub(super) fn suspected(
         &mut self,
         now: Time,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         strikes: u8,
         out: &mut Vec<Action>,
     ) {
-        self.suspects.told(now, print, strikes);
-        self.sweep(print, out);
+        self.suspects.told(now, fingerprint, strikes);
+        self.refuse_poisoned(fingerprint, out);
     }
 
     /// Refuses the waiting copies of a request that is refused for good.
-    fn sweep(&mut self, print: Fingerprint, out: &mut Vec<Action>) {
+    fn refuse_poisoned(&mut self, fingerprint: Fingerprint, out: &mut Vec<Action>) {
         let on = self.tuning.safeguards.has(Safeguard::Poison);
-        if !on || self.suspects.strikes(print) < poison::STRIKES {
+        if !on || self.suspects.strikes(fingerprint) < poison::STRIKES {
             return;
         }
         for service in 0..self.services.len() {
             let queue = core::mem::take(&mut self.services[service].queue);
             let (bad, good): (VecDeque<_>, VecDeque<_>) = queue
                 .into_iter()
-                .partition(|j| j.arrival.fingerprint == print);
+                .partition(|j| j.arrival.fingerprint == fingerprint);
             self.services[service].queue = good;
             for job in bad {
-                self.finish(&job, Refusal::unknown(Reason::Poison, None), out);
+                self.finish_job(&job, Refusal::unknown(Reason::Poison, None), out);
             }
         }
     }
@@ -319,17 +323,17 @@
             endpoint.health.note_probe();
             self.report(now, name, report);
         } else {
-            self.fault(now, at, now, Fault::Hard);
+            self.record_fault(now, at, now, Fault::Hard);
         }
     }
 
     /// When to come back where nothing is known of the waiting time.
-    pub(super) fn soon(&mut self) -> core::time::Duration {
+    pub(super) fn default_retry_after(&mut self) -> core::time::Duration {
         admission::jitter(admission::COME_BACK.0, &mut self.rng)
     }
 }
 
-pub(super) const fn tell(change: Change) -> Action {
+pub(super) const fn suspect_action(change: Change) -> Action {
     Action::Suspect {
         fingerprint: change.print,
         strikes: change.strikes,
--- a/crates/steer/src/process/dispatch/job.rs
+++ b/crates/steer/src/process/dispatch/job.rs
@@ -15,22 +15,22 @@
     /// The request.
     pub arrival: Arrival,
     /// Time at which its caller stops waiting.
-    pub until: Time,
+    pub deadline: Time,
     /// When it arrived.
-    pub came: Time,
+    pub arrived_at: Time,
     /// Places that it was sent to.
     pub tried: Vec<(Kind, Arc<str>)>,
     /// Whether an earlier attempt may have run. From then on no refusal says
     /// that the request wasn't run.
-    pub maybe: bool,
+    pub is_uncertain: bool,
     /// Why its last try failed.
-    pub failed: Option<Reason>,
+    pub last_failure: Option<Reason>,
 }
 
 impl Job {
     /// Whether it was sent to a place before.
     #[must_use]
-    pub fn was_at(&self, endpoint: &Endpoint) -> bool {
+    pub fn was_sent_to(&self, endpoint: &Endpoint) -> bool {
         let same = |t: &(Kind, Arc<str>)| t.0 == endpoint.kind && t.1 == endpoint.name;
         self.tried.iter().any(same)
     }
@@ -38,7 +38,7 @@
     /// What to tell the caller if it is given up now.
     #[must_use]
     pub fn refusal(&self, reason: Reason, after: Option<Duration>) -> Refusal {
-        if self.maybe {
+        if self.is_uncertain {
             Refusal::unknown(reason, after)
         } else {
             Refusal::not_run(reason, after)
@@ -56,11 +56,11 @@
     /// Where that was sent.
     pub destination: Destination,
     /// When.
-    pub begun: Time,
+    pub sent_at: Time,
     /// Strikes against it when it was sent.
     pub strikes: u8,
     /// Whether it has its target for itself.
-    pub alone: bool,
+    pub is_exclusive: bool,
 }
 
 /// Requests in flight, sorted by their number. Boxed, so that taking one out
--- a/crates/steer/src/process/dispatch/queue.rs
+++ b/crates/steer/src/process/dispatch/queue.rs
@@ -13,21 +13,21 @@
 use crate::request::outcome::Reason;
 
 /// One in so many picks goes to whoever waits longest, whatever its class.
-const TURN: u64 = 16;
+const OLDEST_FIRST_INTERVAL: u64 = 16;
 
 /// Time after which a queue that was never empty means overload.
-const STANDING: Duration = Duration::from_millis(500);
+const STANDING_QUEUE_AGE: Duration = Duration::from_millis(500);
 
 /// By how much such a queue is kept shorter.
-const SHORTER: u32 = 4;
+const STANDING_QUEUE_DIVISOR: u32 = 4;
 
 /// Part of the queue, one in so many places, that each class keeps against
 /// higher classes.
-const KEEP: usize = 16;
+const KEPT_QUEUE_DIVISOR: usize = 16;
 
 impl Dispatch {
     /// Whether a request of a service may be in flight beside the others.
-    pub(super) fn room(&self, service: usize) -> bool {
+    pub(super) fn has_room(&self, service: usize) -> bool {
         let limits = self.tuning.limits;
         let on = self.tuning.safeguards.has(Safeguard::ServiceLimit);
         let most = limits.in_flight * limits.service_percent / 100;
@@ -36,8 +36,11 @@
     }
 
     /// Whether the class of a service has a place in the queue left.
-    pub(super) fn fits(&self, service: usize) -> bool {
-        let (class, share) = (self.services[service].class, self.services[service].share);
+    pub(super) fn has_queue_share(&self, service: usize) -> bool {
+        let (class, share) = (
+            self.services[service].class,
+            self.services[service].queue_share,
+        );
         let most = self.tuning.limits.queue * share / 100;
         let on = self.tuning.safeguards.has(Safeguard::ClassShare);
         let most = if on {
@@ -60,8 +63,8 @@
             return true;
         }
         let class = self.services[service].class;
-        let keep = self.tuning.limits.queue / KEEP;
-        let mut lower = self.order.iter().rev().copied();
+        let keep = self.tuning.limits.queue / KEPT_QUEUE_DIVISOR;
+        let mut lower = self.class_order.iter().rev().copied();
         let yields = lower.find(|&s| {
             let other = &self.services[s];
             let kept = self.waiting_of(other.class) <= keep;
@@ -70,29 +73,34 @@
         let Some(yields) = yields else { return false };
         let wait = self.services[yields].outlook().wait();
         if let Some(job) = self.services[yields].queue.pop_back() {
-            self.give_up(&job, Reason::Overloaded, wait, out);
+            self.refuse_job(&job, Reason::Overloaded, wait, out);
         }
         true
     }
 
     /// Longest expected wait for which a request is taken in.
     ///
-    /// A queue evens out bursts. One that hasn't been empty for [`STANDING`] is
+    /// A queue evens out bursts. One that hasn't been empty for [`STANDING_QUEUE_AGE`] is
     /// no burst but overload: as many are refused however long it is, and all
     /// that it adds is latency. It is then kept short.
-    pub(super) fn patience(&self, now: Time, service: usize) -> Duration {
+    pub(super) fn wait_limit(&self, now: Time, service: usize) -> Duration {
         let state = &self.services[service];
-        let standing = !state.queue.is_empty() && now.since(state.since) > STANDING;
+        let standing =
+            !state.queue.is_empty() && now.since(state.queued_since) > STANDING_QUEUE_AGE;
         let wait = self.tuning.limits.wait_max;
         let on = self.tuning.safeguards.has(Safeguard::ShortQueue);
-        if on && standing { wait / SHORTER } else { wait }
+        if on && standing {
+            wait / STANDING_QUEUE_DIVISOR
+        } else {
+            wait
+        }
     }
 
     /// Lets a job wait; one that was sent before goes to the front.
-    pub(super) fn wait(&mut self, now: Time, service: usize, job: Job) {
+    pub(super) fn enqueue(&mut self, now: Time, service: usize, job: Job) {
         let state = &mut self.services[service];
         if state.queue.is_empty() {
-            state.since = now;
+            state.queued_since = now;
         }
         let queue = &mut state.queue;
         if job.tried.is_empty() {
@@ -103,39 +111,39 @@
     }
 
     /// Sends what can be sent of what waits.
-    pub(super) fn pump(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         while self.waiting() > 0 {
-            if !self.pump_one(now, out) {
+            if !self.send_next_queued(now, out) {
                 return;
             }
         }
     }
 
-    fn pump_one(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
+    fn send_next_queued(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         let on = self.tuning.safeguards;
-        let turn = self.stats.pumped % TURN == TURN - 1;
+        let turn = self.stats.dequeued % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1;
         if turn && on.has(Safeguard::Guarantee) {
             let heads = (0..self.services.len()).filter(|&s| !self.services[s].queue.is_empty());
             let mut heads: Vec<usize> = heads.collect();
-            heads.sort_by_key(|&s| self.services[s].queue[0].came);
-            if heads.into_iter().any(|s| self.serve(now, s, out)) {
+            heads.sort_by_key(|&s| self.services[s].queue[0].arrived_at);
+            if heads.into_iter().any(|s| self.send_first_of(now, s, out)) {
                 return true;
             }
         }
-        (0..self.order.len()).any(|at| self.serve(now, self.order[at], out))
+        (0..self.class_order.len()).any(|at| self.send_first_of(now, self.class_order[at], out))
     }
 
     /// Sends the first request of a service that has a place. A suspect that
     /// waits for an empty target doesn't hold up those behind it.
-    fn serve(&mut self, now: Time, service: usize, out: &mut Vec<Action>) -> bool {
+    fn send_first_of(&mut self, now: Time, service: usize, out: &mut Vec<Action>) -> bool {
         let mut at = 0;
-        while self.room(service) && at < self.services[service].queue.len() {
+        while self.has_room(service) && at < self.services[service].queue.len() {
             let Some(job) = self.services[service].queue.remove(at) else {
                 return false;
             };
-            let suspect = self.suspect(&job);
-            if let Some(pick) = self.local(now, service, &job, suspect) {
-                self.stats.pumped += 1;
+            let suspect = self.is_suspect(&job);
+            if let Some(pick) = self.pick_target(now, service, &job, suspect) {
+                self.stats.dequeued += 1;
                 self.send(now, service, job, pick, out);
                 return true;
             }
--- a/crates/steer/src/process/dispatch/place.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -17,23 +17,23 @@
 use crate::version::view::Region;
 
 /// Time that passing a request to a peer of the same region costs.
-pub const NEAR: Duration = Duration::from_millis(2);
+pub const SAME_REGION_HOP: Duration = Duration::from_millis(2);
 /// Time that passing a request to another region costs.
-pub const FAR: Duration = Duration::from_millis(75);
+pub const CROSS_REGION_HOP: Duration = Duration::from_millis(75);
 
 /// Targets looked at per decision, as long as one of them has room. The least
 /// loaded of so many, drawn anew each time, is as good as the least of all.
-const WINDOW: usize = 48;
+const TARGET_CANDIDATES_MAX: usize = 48;
 
 /// Peers looked at per decision. More would cost time and find little better.
-const SAMPLE: usize = 8;
+const PEER_CANDIDATES_MAX: usize = 8;
 
 /// A chosen place.
 pub(super) struct Pick {
     pub endpoint: usize,
     pub destination: Destination,
     /// Whether the request has the target for itself.
-    pub alone: bool,
+    pub is_exclusive: bool,
 }
 
 impl Pick {
@@ -44,7 +44,7 @@
 
 impl Dispatch {
     /// Whether a request may have crashed a target.
-    pub(super) fn suspect(&self, job: &Job) -> bool {
+    pub(super) fn is_suspect(&self, job: &Job) -> bool {
         let on = self.tuning.safeguards;
         on.has(Safeguard::Poison)
             && on.has(Safeguard::Quarantine)
@@ -52,7 +52,7 @@
     }
 
     /// A target of this failure domain with room.
-    pub(super) fn local(
+    pub(super) fn pick_target(
         &mut self,
         now: Time,
         service: usize,
@@ -60,24 +60,27 @@
         suspect: bool,
     ) -> Option<Pick> {
         if suspect {
-            return self.empty(now, service, job);
+            return self.pick_empty_target(now, service, job);
         }
         let on = self.tuning.safeguards;
         let state = &self.services[service];
-        if job.arrival.origin == Origin::Peer && on.has(Safeguard::PeerGate) && !spare(state) {
+        if job.arrival.origin == Origin::Peer
+            && on.has(Safeguard::PeerGate)
+            && !has_spare_capacity(state)
+        {
             return None;
         }
         let other = on.has(Safeguard::OtherPlace);
-        let open = |endpoint: &Endpoint| !(other && job.was_at(endpoint));
+        let open = |endpoint: &Endpoint| !(other && job.was_sent_to(endpoint));
         if state.ejected > 0
-            && let Some(pick) = self.trial(now, state, &open)
+            && let Some(pick) = self.pick_trial(now, state, &open)
         {
             return Some(pick);
         }
         let wait = latency::micros(state.outlook().wait());
         let brisk = |endpoint: &Endpoint| {
             !on.has(Safeguard::SlowTarget)
-                || match endpoint.latency.speed(now, state.best, wait) {
+                || match endpoint.latency.speed(now, state.best_mean, wait) {
                     latency::Speed::Good => true,
                     latency::Speed::Uncertain => endpoint.in_flight == 0,
                     latency::Speed::Slow => false,
@@ -91,8 +94,8 @@
             Availability::Leaving => false,
         };
         let count = state.locals.len();
-        let first = state.subset.min(WINDOW);
-        let start = if state.subset > WINDOW {
+        let first = state.subset.min(TARGET_CANDIDATES_MAX);
+        let start = if state.subset > TARGET_CANDIDATES_MAX {
             self.rng.usize(..count)
         } else {
             0
@@ -102,7 +105,7 @@
             at.map(|i| (start + i) % count)
                 .map(|at| (at, &endpoints[state.locals[at].endpoint]))
                 .filter(|&(_, endpoint)| open(endpoint) && fits(endpoint))
-                .map(|(at, endpoint)| (at, endpoint.score(now, state.best, on)))
+                .map(|(at, endpoint)| (at, endpoint.score(now, state.best_mean, on)))
         };
         let policy = self.tuning.policy;
         let found = policy.choose(places(0..first), &mut self.rng);
@@ -110,11 +113,11 @@
             let rest = first..count;
             policy.choose(places(rest), &mut self.rng)
         });
-        Some(target(state, endpoints, found?, false))
+        Some(target_at(state, endpoints, found?, false))
     }
 
     /// An ejected target that is due for its trial.
-    fn trial(
+    fn pick_trial(
         &self,
         now: Time,
         state: &ServiceState,
@@ -124,15 +127,15 @@
         let endpoints = self.endpoints.as_slice();
         let at = state.locals.iter().position(|local| {
             let endpoint = &endpoints[local.endpoint];
-            let may = state.idempotent || endpoint.health.has_passed_probe();
+            let may = state.is_idempotent || endpoint.health.has_passed_probe();
             may && open(endpoint) && endpoint.availability(now, on) == Availability::Trial
         })?;
         on.has(Safeguard::Ejection)
-            .then(|| target(state, endpoints, at, false))
+            .then(|| target_at(state, endpoints, at, false))
     }
 
     /// Whether a target in use is left that the request wasn't sent to.
-    pub(super) fn has_open(&self, now: Time, service: usize, job: &Job) -> bool {
+    pub(super) fn has_open_target(&self, now: Time, service: usize, job: &Job) -> bool {
         let on = self.tuning.safeguards;
         let other = on.has(Safeguard::OtherPlace);
         let endpoints = self.endpoints.as_slice();
@@ -145,23 +148,24 @@
                 endpoint.availability(now, on),
                 Availability::Free | Availability::Busy
             );
-            used && !(other && job.was_at(endpoint))
+            used && !(other && job.was_sent_to(endpoint))
         })
     }
 
     /// A target that a suspect can have for itself. If none is empty, one is
     /// kept from new work until it is.
-    fn empty(&mut self, now: Time, service: usize, job: &Job) -> Option<Pick> {
+    fn pick_empty_target(&mut self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
-        let print = job.arrival.fingerprint;
-        let out = |r: &super::Running| r.alone && r.job.arrival.fingerprint == print;
-        if self.running.iter().any(out) {
+        let fingerprint = job.arrival.fingerprint;
+        let is_running =
+            |r: &super::Running| r.is_exclusive && r.job.arrival.fingerprint == fingerprint;
+        if self.running.iter().any(is_running) {
             return None;
         }
         let state = &self.services[service];
         let endpoints = self.endpoints.as_mut_slice();
         let usable = |endpoint: &Endpoint| {
-            !job.was_at(endpoint)
+            !job.was_sent_to(endpoint)
                 && (endpoint.is_reserved
                     || matches!(
                         endpoint.availability(now, on),
@@ -174,7 +178,7 @@
             .iter()
             .position(|l| ready(&endpoints[l.endpoint]))
         {
-            return Some(target(state, endpoints, at, true));
+            return Some(target_at(state, endpoints, at, true));
         }
         if state
             .locals
@@ -198,7 +202,7 @@
     ///
     /// # Errors
     /// Only caps stood against one: when they may allow it.
-    pub(super) fn remote(
+    pub(super) fn pick_peer(
         &mut self,
         now: Time,
         service: usize,
@@ -208,13 +212,13 @@
     ) -> Result<Option<Pick>, Duration> {
         let state = &self.services[service];
         // A suspect is held where its strikes are known, as long as it can be.
-        if job.arrival.origin == Origin::Peer || (self.suspect(job) && state.limit > 0) {
+        if job.arrival.origin == Origin::Peer || (self.is_suspect(job) && state.limit > 0) {
             return Ok(None);
         }
         let run = state.outlook().run();
         let tiers = [
-            (NEAR, 0..state.near),
-            (FAR, state.near..state.remotes.len()),
+            (SAME_REGION_HOP, 0..state.same_region),
+            (CROSS_REGION_HOP, state.same_region..state.remotes.len()),
         ];
         let mut capped: Option<Duration> = None;
         let mut closed = Vec::new();
@@ -222,10 +226,10 @@
             if cost > patience || cost + run > left {
                 continue;
             }
-            while let Some(at) = self.peer(now, service, job, tier.clone(), &closed) {
+            while let Some(at) = self.choose_peer(now, service, job, tier.clone(), &closed) {
                 let to = self.services[service].remotes[at].clone();
-                match self.may_shift(now, &job.arrival, to.member) {
-                    Ok(()) => return Ok(Some(self.peer_pick(&to))),
+                match self.admit_shift(now, &job.arrival, to.member) {
+                    Ok(()) => return Ok(Some(self.peer_at(&to))),
                     Err(after) => capped = Some(capped.map_or(after, |c| c.min(after))),
                 }
                 // Caps are between regions: another one may still be open.
@@ -235,7 +239,7 @@
         capped.map_or(Ok(None), Err)
     }
 
-    fn peer_pick(&self, to: &Remote) -> Pick {
+    fn peer_at(&self, to: &Remote) -> Pick {
         Pick {
             endpoint: to.endpoint,
             destination: Destination::Member {
@@ -243,11 +247,11 @@
                 incarnation: to.incarnation,
                 peer: to.peer,
             },
-            alone: false,
+            is_exclusive: false,
         }
     }
 
-    fn peer(
+    fn choose_peer(
         &mut self,
         now: Time,
         service: usize,
@@ -260,18 +264,18 @@
         if count == 0 {
             return None;
         }
-        let start = if count > SAMPLE {
+        let start = if count > PEER_CANDIDATES_MAX {
             self.rng.usize(..count)
         } else {
             0
         };
         let state = &self.services[service];
         let endpoints = self.endpoints.as_slice();
-        let places = (0..count.min(SAMPLE))
+        let places = (0..count.min(PEER_CANDIDATES_MAX))
             .map(|i| tier.start + (start + i) % count)
             .filter(|&at| !closed.contains(&state.remotes[at].region))
             .map(|at| (at, &endpoints[state.remotes[at].endpoint]))
-            .filter(|(_, endpoint)| !job.was_at(endpoint))
+            .filter(|(_, endpoint)| !job.was_sent_to(endpoint))
             .filter(|(_, endpoint)| {
                 matches!(
                     endpoint.availability(now, on),
@@ -285,7 +289,7 @@
     /// An ejected target, for a request that has no other place. When all are
     /// ejected the evidence may be at fault, and trying costs nothing; one
     /// request at a time keeps a target that is really ill from more.
-    pub(super) fn last_resort(&self, now: Time, service: usize, job: &Job) -> Option<Pick> {
+    pub(super) fn pick_ejected(&self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
         let state = &self.services[service];
         let endpoints = self.endpoints.as_slice();
@@ -295,9 +299,9 @@
                 endpoint.availability(now, on),
                 Availability::Ejected | Availability::Trial
             );
-            ejected && endpoint.in_flight == 0 && !job.was_at(endpoint)
+            ejected && endpoint.in_flight == 0 && !job.was_sent_to(endpoint)
         })?;
-        Some(target(state, endpoints, at, false))
+        Some(target_at(state, endpoints, at, false))
     }
 
     /// Time given to an attempt. An idempotent request that could be tried
@@ -319,27 +323,27 @@
         let state = &self.services[service];
         let others = state.locals.len() + state.remotes.len() > 1;
         let bound = on.has(Safeguard::AttemptBound)
-            && state.idempotent
+            && state.is_idempotent
             && others
             && pick.is_local()
             && self.budget.any();
         match state.latency.high().filter(|_| bound) {
             Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
-            None if bound && is_first_of_unknown(state, job) => left / 2,
+            None if bound && is_first_unmeasured(state, job) => left / 2,
             None => left,
         }
     }
 
     /// Strikes at which the job's request is refused for good.
-    pub(super) fn poisoned(&self, job: &Job) -> bool {
+    pub(super) fn is_poisoned(&self, job: &Job) -> bool {
         self.tuning.safeguards.has(Safeguard::Poison)
             && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES
     }
 }
 
-fn is_first_of_unknown(state: &ServiceState, job: &Job) -> bool {
+fn is_first_unmeasured(state: &ServiceState, job: &Job) -> bool {
     let known = state.latency.high().is_some();
-    !known && job.tried.is_empty() && state.blind < state.locals.len()
+    !known && job.tried.is_empty() && state.early_timeouts < state.locals.len()
 }
 
 /// Whether the service has room for work from peers: the first class may fill
@@ -349,7 +353,7 @@
 /// Symptom: with a limit of nothing no work of theirs is taken, so no target is
 /// ever tried again and the service stays refused. One request at a time is
 /// enough: it is the trial.
-fn spare(state: &ServiceState) -> bool {
+fn has_spare_capacity(state: &ServiceState) -> bool {
     let most = if state.class == 0 {
         state.limit
     } else {
@@ -358,7 +362,7 @@
     state.queue.is_empty() && state.local_running < most.max(1)
 }
 
-fn target(state: &ServiceState, endpoints: &[Endpoint], at: usize, alone: bool) -> Pick {
+fn target_at(state: &ServiceState, endpoints: &[Endpoint], at: usize, is_exclusive: bool) -> Pick {
     let local = &state.locals[at];
     let destination = Destination::Target {
         name: Arc::clone(&endpoints[local.endpoint].name),
@@ -367,6 +371,6 @@
     Pick {
         endpoint: local.endpoint,
         destination,
-        alone,
+        is_exclusive,
     }
 }
--- a/crates/steer/src/process/dispatch/service.rs
+++ b/crates/steer/src/process/dispatch/service.rs
@@ -38,7 +38,7 @@
     /// Its region.
     pub region: Region,
     /// Whether that is this instance's region.
-    pub near: bool,
+    pub is_same_region: bool,
 }
 
 /// One service.
@@ -49,9 +49,9 @@
     /// Index of its class; lower goes first.
     pub class: usize,
     /// Share of the queue that the class may fill, in percent.
-    pub share: usize,
+    pub queue_share: usize,
     /// Whether running a request twice does no harm.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Time a request has when its caller states no deadline.
     pub deadline: Duration,
     /// Targets of this failure domain.
@@ -61,17 +61,17 @@
     /// Peers, the near ones in front.
     pub remotes: Vec<Remote>,
     /// Number of near peers.
-    pub near: usize,
+    pub same_region: usize,
     /// Requests that wait, oldest in front.
     pub queue: VecDeque<Job>,
     /// Since when the queue hasn't been empty.
-    pub since: Time,
+    pub queued_since: Time,
     /// Measured time per request on the local targets.
     pub latency: latency::Latency,
     /// Attempts that timed out before any answer told how long one takes.
-    pub blind: usize,
+    pub early_timeouts: usize,
     /// Lowest mean time of a local target, in microseconds; zero if unknown.
-    pub best: u64,
+    pub best_mean: u64,
     /// Requests that the local targets may run at a time.
     pub limit: u32,
     /// Local targets that are ejected.
@@ -90,18 +90,21 @@
             .locals
             .iter()
             .map(|l| endpoints[l.endpoint].latency.mean());
-        self.best = means.flatten().min().map_or(0, latency::micros);
+        self.best_mean = means.flatten().min().map_or(0, latency::micros);
         self.limit = 0;
         self.ejected = 0;
         for local in &self.locals {
             let endpoint = &endpoints[local.endpoint];
-            let fit = endpoint.availability(now, on);
-            let slow = endpoint.latency.speed(now, self.best, 0) != latency::Speed::Good;
-            let slow = slow && on.has(Safeguard::SlowTarget);
-            if matches!(fit, Availability::Free | Availability::Busy) && !slow {
+            let availability = endpoint.availability(now, on);
+            let is_slow = endpoint.latency.speed(now, self.best_mean, 0) != latency::Speed::Good;
+            let is_slow = is_slow && on.has(Safeguard::SlowTarget);
+            if matches!(availability, Availability::Free | Availability::Busy) && !is_slow {
                 self.limit = self.limit.saturating_add(endpoint.limit(now, on));
             }
-            self.ejected += usize::from(matches!(fit, Availability::Ejected | Availability::Trial));
+            self.ejected += usize::from(matches!(
+                availability,
+                Availability::Ejected | Availability::Trial
+            ));
         }
     }
 
--- a/crates/steer/src/process/dispatch/stats.rs
+++ b/crates/steer/src/process/dispatch/stats.rs
@@ -13,31 +13,31 @@
     /// Attempts sent to peers.
     pub remote: u64,
     /// Attempts that were repeats.
-    pub repeats: u64,
+    pub retries: u64,
     /// Whole answers passed on.
     pub replied: u64,
     /// Requests taken from the queue.
-    pub pumped: u64,
+    pub dequeued: u64,
     /// Ejections.
     pub ejected: u64,
     /// Probes sent.
     pub probes: u64,
     /// Repeats that the budget stopped.
-    pub unbudgeted: u64,
+    pub budget_denied: u64,
     /// Refusals by reason, sorted.
     pub refusals: Vec<(Reason, u64)>,
 }
 
 impl Stats {
-    pub(super) fn sent(&mut self, destination: &Destination, tries: usize) {
+    pub(super) fn record_sent(&mut self, destination: &Destination, tries: usize) {
         match destination {
             Destination::Target { .. } => self.local += 1,
             Destination::Member { .. } => self.remote += 1,
         }
-        self.repeats += u64::from(tries > 1);
+        self.retries += u64::from(tries > 1);
     }
 
-    pub(super) fn refused(&mut self, reason: Reason) {
+    pub(super) fn record_refused(&mut self, reason: Reason) {
         match self.refusals.binary_search_by_key(&reason, |r| r.0) {
             Ok(at) => self.refusals[at].1 += 1,
             Err(at) => self.refusals.insert(at, (reason, 1)),
@@ -52,12 +52,12 @@
             "local {} remote {} repeats {} replied {} pumped {} ejected {} probes {} unbudgeted {}",
             self.local,
             self.remote,
-            self.repeats,
+            self.retries,
             self.replied,
-            self.pumped,
+            self.dequeued,
             self.ejected,
             self.probes,
-            self.unbudgeted
+            self.budget_denied
         )?;
         for (reason, count) in &self.refusals {
             write!(f, " {reason} {count}")?;
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -16,10 +16,10 @@
 
 /// Shortest time between two probes of one instance. A probe costs a target
 /// 6 ms; at this rate all 12 targets of a service together lose 0.6 %.
-pub const PROBE_GAP: Duration = Duration::from_secs(1);
+pub const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
 /// Silence after which a target is probed. Traffic is the better evidence.
-pub const QUIET: Duration = Duration::from_secs(10);
+pub const PROBE_SILENCE: Duration = Duration::from_secs(10);
 
 impl Dispatch {
     pub(super) fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
@@ -27,19 +27,19 @@
             endpoint.expire_leaving(now);
         }
         self.refresh(now);
-        self.free_held();
+        self.release_reserved();
         for service in 0..self.services.len() {
-            self.expire(now, service, out);
-            self.unstick(now, service, out);
-            self.spill(now, service, out);
+            self.refuse_expired(now, service, out);
+            self.place_stuck(now, service, out);
+            self.spill_over(now, service, out);
         }
-        self.pump(now, out);
+        self.send_queued(now, out);
         self.suspects.forget(now);
-        self.probe(now, out);
+        self.send_probe(now, out);
     }
 
     /// Refuses the waiting requests that can't be answered in time any more.
-    fn expire(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
+    fn refuse_expired(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         let on = self.tuning.safeguards;
         let outlook = self.services[service].outlook();
         let run = if on.has(Safeguard::Admission) {
@@ -49,13 +49,17 @@
         };
         let last = now + run.unwrap_or_default();
         let late = |until: Time| last >= until;
-        if !self.services[service].queue.iter().any(|j| late(j.until)) {
+        if !self.services[service]
+            .queue
+            .iter()
+            .any(|j| late(j.deadline))
+        {
             return;
         }
         let queue = mem::take(&mut self.services[service].queue);
         for job in queue {
-            if late(job.until) {
-                self.give_up(&job, Reason::Deadline, outlook.wait(), out);
+            if late(job.deadline) {
+                self.refuse_job(&job, Reason::Deadline, outlook.wait(), out);
             } else {
                 self.services[service].queue.push_back(job);
             }
@@ -63,8 +67,8 @@
     }
 
     /// Places anew what waits for targets that are no longer there.
-    fn unstick(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
-        let stuck = |d: &Self, job: &Job| !d.has_open(now, service, job);
+    fn place_stuck(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
+        let stuck = |d: &Self, job: &Job| !d.has_open_target(now, service, job);
         if !self.services[service].queue.iter().any(|j| stuck(self, j)) {
             return;
         }
@@ -78,14 +82,14 @@
     }
 
     /// Passes to peers what would wait longer than the way there takes.
-    fn spill(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
-        while self.room(service) {
+    fn spill_over(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
+        while self.has_room(service) {
             let wait = self.services[service].outlook().wait();
             let Some(job) = self.services[service].queue.pop_back() else {
                 return;
             };
-            let left = job.until.since(now);
-            let pick = self.remote(now, service, &job, wait, left);
+            let left = job.deadline.since(now);
+            let pick = self.pick_peer(now, service, &job, wait, left);
             let Ok(Some(pick)) = pick else {
                 return self.services[service].queue.push_back(job);
             };
@@ -94,16 +98,17 @@
     }
 
     /// Lets go of targets that were kept empty for a suspect that has left.
-    fn free_held(&mut self) {
+    fn release_reserved(&mut self) {
         if self.endpoints.as_slice().iter().all(|t| !t.is_reserved) {
             return;
         }
         for service in &self.services {
-            let waits = service.queue.iter().any(|j| self.suspect(j));
+            let waits = service.queue.iter().any(|j| self.is_suspect(j));
             for local in service.locals.iter().filter(|_| !waits) {
                 let endpoint = &self.endpoints.as_slice()[local.endpoint];
-                let alone = |r: &super::Running| r.alone && *r.destination.name() == endpoint.name;
-                let used = self.running.iter().any(alone);
+                let exclusive =
+                    |r: &super::Running| r.is_exclusive && *r.destination.name() == endpoint.name;
+                let used = self.running.iter().any(exclusive);
                 self.endpoints.as_mut_slice()[local.endpoint].is_reserved &= used;
             }
         }
@@ -111,34 +116,34 @@
 
     /// Probes the target that has been silent longest, or one that must be
     /// vouched for before a request that can't be repeated tries it.
-    fn probe(&mut self, now: Time, out: &mut Vec<Action>) {
-        if now.since(self.probed) < PROBE_GAP {
+    fn send_probe(&mut self, now: Time, out: &mut Vec<Action>) {
+        if now.since(self.last_probe) < PROBE_INTERVAL_MIN {
             return;
         }
         let on = self.tuning.safeguards;
         let mut silent: Option<(Time, usize, usize)> = None;
         for (at, service) in self.services.iter().enumerate() {
-            for (local, place) in service.locals.iter().enumerate() {
-                let endpoint = &self.endpoints.as_slice()[place.endpoint];
-                if !wants(
+            for (nth, local) in service.locals.iter().enumerate() {
+                let endpoint = &self.endpoints.as_slice()[local.endpoint];
+                if !needs_probe(
                     endpoint,
                     now,
-                    service.idempotent,
+                    service.is_idempotent,
                     endpoint.availability(now, on),
                 ) {
                     continue;
                 }
                 if silent.is_none_or(|s| endpoint.last_evidence < s.0) {
-                    silent = Some((endpoint.last_evidence, at, local));
+                    silent = Some((endpoint.last_evidence, at, nth));
                 }
             }
         }
-        let Some((_, service, local)) = silent else {
+        let Some((_, service, nth)) = silent else {
             return;
         };
-        self.probed = now;
+        self.last_probe = now;
         self.stats.probes += 1;
-        let local = &self.services[service].locals[local];
+        let local = &self.services[service].locals[nth];
         let endpoint = &mut self.endpoints.as_mut_slice()[local.endpoint];
         endpoint.last_evidence = now;
         out.push(Action::Probe {
@@ -148,8 +153,15 @@
     }
 }
 
-fn wants(endpoint: &Endpoint, now: Time, idempotent: bool, fit: Availability) -> bool {
-    let vouch = fit == Availability::Trial && !idempotent && !endpoint.health.has_passed_probe();
-    let quiet = endpoint.in_flight == 0 && now.since(endpoint.last_evidence) >= QUIET;
-    vouch || (quiet && fit != Availability::Leaving)
+fn needs_probe(
+    endpoint: &Endpoint,
+    now: Time,
+    is_idempotent: bool,
+    availability: Availability,
+) -> bool {
+    let awaits_probe = availability == Availability::Trial
+        && !is_idempotent
+        && !endpoint.health.has_passed_probe();
+    let is_silent = endpoint.in_flight == 0 && now.since(endpoint.last_evidence) >= PROBE_SILENCE;
+    awaits_probe || (is_silent && availability != Availability::Leaving)
 }
--- a/crates/steer/src/process/dispatch/renew.rs
+++ b/crates/steer/src/process/dispatch/view_update.rs
@@ -21,46 +21,50 @@
 
 /// Requests outstanding at a peer for one service, at first and at most. Large
 /// moves thus ramp, and a peer says by its refusals when it has enough.
-const PEER: (u32, u32) = (2, 64);
+const PEER_WINDOW: (u32, u32) = (2, 64);
 
 /// Targets that an instance prefers at least: with one alone its failure or a
 /// burst would always lead elsewhere.
-const SUBSET: usize = 2;
+const SUBSET_MIN: usize = 2;
 
 impl Dispatch {
-    pub(super) fn renew(&mut self, now: Time, view: Arc<View>, out: &mut Vec<Action>) {
+    pub(super) fn apply_view(&mut self, now: Time, view: Arc<View>, out: &mut Vec<Action>) {
         let first = self.view.version.0 == 0;
-        let home = view.domain(&self.identity.domain);
-        self.region = home.map(|h| view.domains[h].region);
+        let own_domain = view.domain(&self.identity.domain);
+        self.region = own_domain.map(|h| view.domains[h].region);
         let newcomers = has_newcomers(&self.view, &view);
         self.view = view;
         if newcomers {
-            self.tell_culprits(out);
+            self.announce_poisoned(out);
         }
         self.shares.configure(now, &self.view, &self.identity.name);
-        self.renew_tracks(now, home, first);
+        self.renew_tracks(now, own_domain, first);
         let mut old = mem::take(&mut self.services);
         for service in self.view.services.keys() {
-            let state = self.build(service, home, &mut old);
+            let state = self.build_service(service, own_domain, &mut old);
             self.services.push(state);
         }
-        self.order = (0..self.services.len()).collect();
-        self.order.sort_by_key(|&s| self.services[s].class);
+        self.class_order = (0..self.services.len()).collect();
+        self.class_order.sort_by_key(|&s| self.services[s].class);
         for state in old {
             for job in state.queue {
                 let refusal = job.refusal(Reason::UnknownService, None);
-                self.finish(&job, refusal, out);
+                self.finish_job(&job, refusal, out);
             }
         }
         self.refresh(now);
-        self.pump(now, out);
+        self.send_queued(now, out);
     }
 
     /// Tells the peers again which requests are refused for good. An instance
     /// that wasn't there when they were found would let each take two more
     /// targets.
-    fn tell_culprits(&self, out: &mut Vec<Action>) {
-        out.extend(self.suspects.culprits().map(super::settle::tell));
+    fn announce_poisoned(&self, out: &mut Vec<Action>) {
+        out.extend(
+            self.suspects
+                .culprits()
+                .map(super::completion::suspect_action),
+        );
     }
 
     /// Renews what the services derive from the endpoints.
@@ -71,23 +75,23 @@
         }
     }
 
-    fn renew_tracks(&mut self, now: Time, home: Option<Domain>, first: bool) {
+    fn renew_tracks(&mut self, now: Time, own_domain: Option<Domain>, first: bool) {
         for endpoint in self.endpoints.as_mut_slice() {
             endpoint.in_view = false;
         }
         let view = Arc::clone(&self.view);
         let mut fresh = Vec::new();
         for (key, data) in view.targets.iter() {
-            if Some(view.target_domain(key)) == home {
-                fresh.extend(self.follow_target(now, &view, data, first));
+            if Some(view.target_domain(key)) == own_domain {
+                fresh.extend(self.update_target(now, &view, data, first));
             }
         }
         for service in view.services.keys() {
             let domains = serving(&view, service);
             for data in view.members.values() {
                 let serves = domains.binary_search(&data.domain).is_ok();
-                if serves && Some(data.domain) != home {
-                    fresh.extend(self.follow_member(now, &view, service, data));
+                if serves && Some(data.domain) != own_domain {
+                    fresh.extend(self.update_peer(now, &view, service, data));
                 }
             }
         }
@@ -96,7 +100,7 @@
     }
 
     /// Brings a target's endpoint up to date; returns a new one if there is none.
-    fn follow_target(
+    fn update_target(
         &mut self,
         now: Time,
         view: &View,
@@ -127,7 +131,7 @@
         Some(endpoint)
     }
 
-    fn follow_member(
+    fn update_peer(
         &mut self,
         now: Time,
         view: &View,
@@ -137,8 +141,8 @@
         let service = &view.services[service].name;
         let make = || {
             let (name, service) = (Arc::clone(&data.name), Arc::clone(service));
-            let window = Window::new(PEER.0, PEER.1, window::PEER_ADJUSTMENT);
-            let mut endpoint = Endpoint::new(Kind::Peer, name, service, PEER.1, window, now);
+            let window = Window::new(PEER_WINDOW.0, PEER_WINDOW.1, window::PEER_ADJUSTMENT);
+            let mut endpoint = Endpoint::new(Kind::Peer, name, service, PEER_WINDOW.1, window, now);
             endpoint.incarnation = data.incarnation;
             endpoint.state = data.state;
             endpoint
@@ -158,10 +162,10 @@
         None
     }
 
-    fn build(
+    fn build_service(
         &self,
         service: Service,
-        home: Option<Domain>,
+        own_domain: Option<Domain>,
         old: &mut Vec<ServiceState>,
     ) -> ServiceState {
         let view = &self.view;
@@ -169,35 +173,35 @@
         let class = &view.classes[data.class];
         let kept = old.iter().position(|s| s.name == data.name);
         let kept = kept.map(|at| old.swap_remove(at));
-        let blind = kept.as_ref().map_or(0, |k| k.blind);
-        let mut remotes = self.remotes(service, home);
-        remotes.sort_by_key(|r| !r.near);
-        let near = remotes.partition_point(|r| r.near);
-        let (queue, since, latency, best) = match kept {
-            Some(kept) => (kept.queue, kept.since, kept.latency, kept.best),
+        let early_timeouts = kept.as_ref().map_or(0, |k| k.early_timeouts);
+        let mut remotes = self.remotes(service, own_domain);
+        remotes.sort_by_key(|r| !r.is_same_region);
+        let same_region = remotes.partition_point(|r| r.is_same_region);
+        let (queue, queued_since, latency, best_mean) = match kept {
+            Some(kept) => (kept.queue, kept.queued_since, kept.latency, kept.best_mean),
             None => (VecDeque::new(), Time::ZERO, latency::Latency::default(), 0),
         };
         let here = |r: &&super::Running| r.job.arrival.service == data.name;
         let on_target =
             |r: &&super::Running| matches!(r.destination, super::Destination::Target { .. });
         let running: Vec<_> = self.running.iter().filter(here).collect();
-        let mut locals = self.locals(service, home);
-        let subset = self.subset(home, &mut locals);
+        let mut locals = self.locals(service, own_domain);
+        let subset = self.subset(own_domain, &mut locals);
         ServiceState {
             name: Arc::clone(&data.name),
             class: data.class.index(),
-            share: usize::from(class.queue),
-            idempotent: data.idempotent,
+            queue_share: usize::from(class.queue),
+            is_idempotent: data.idempotent,
             deadline: data.deadline,
             subset,
             locals,
             remotes,
-            near,
+            same_region,
             queue,
-            since,
+            queued_since,
             latency,
-            blind,
-            best,
+            early_timeouts,
+            best_mean,
             limit: 0,
             ejected: 0,
             local_running: u32::try_from(running.iter().filter(|r| on_target(r)).count())
@@ -213,25 +217,28 @@
     /// requests there are few, its reports old. Each instance of the domain
     /// therefore prefers a part, by its place among them, and takes another
     /// target when its own have no room.
-    fn subset(&self, home: Option<Domain>, locals: &mut [Local]) -> usize {
+    fn subset(&self, own_domain: Option<Domain>, locals: &mut [Local]) -> usize {
         let count = locals.len();
         if count == 0 || !self.tuning.safeguards.has(Safeguard::Subset) {
             return count;
         }
-        let here = |m: &&MemberData| Some(m.domain) == home && m.state == State::Live;
+        let here = |m: &&MemberData| Some(m.domain) == own_domain && m.state == State::Live;
         let members = self.view.members.values().filter(here);
         let names: Vec<&Arc<str>> = members.map(|m| &m.name).collect();
         let place = names.binary_search(&&self.identity.name).unwrap_or(0);
-        let subset = count.div_ceil(names.len().max(1)).max(SUBSET).min(count);
+        let subset = count
+            .div_ceil(names.len().max(1))
+            .max(SUBSET_MIN)
+            .min(count);
         locals.rotate_left(place * subset % count);
         subset
     }
 
-    fn locals(&self, service: Service, home: Option<Domain>) -> Vec<Local> {
+    fn locals(&self, service: Service, own_domain: Option<Domain>) -> Vec<Local> {
         let view = &self.view;
         let name = &view.services[service].name;
         let here = view.targets.iter().filter(|(key, data)| {
-            data.service == service && Some(view.target_domain(*key)) == home
+            data.service == service && Some(view.target_domain(*key)) == own_domain
         });
         here.filter_map(|(_, data)| {
             let endpoint = self.endpoints.find(Kind::Target, &data.name, name).ok()?;
@@ -243,12 +250,12 @@
         .collect()
     }
 
-    fn remotes(&self, service: Service, home: Option<Domain>) -> Vec<Remote> {
+    fn remotes(&self, service: Service, own_domain: Option<Domain>) -> Vec<Remote> {
         let view = &self.view;
         let name = &view.services[service].name;
         let domains = serving(view, service);
         let there = view.members.iter().filter(|(_, data)| {
-            Some(data.domain) != home && domains.binary_search(&data.domain).is_ok()
+            Some(data.domain) != own_domain && domains.binary_search(&data.domain).is_ok()
         });
         there
             .filter_map(|(member, data)| {
@@ -259,7 +266,7 @@
                     peer: data.peer,
                     member,
                     region,
-                    near: Some(region) == self.region,
+                    is_same_region: Some(region) == self.region,
                 })
             })
             .collect()
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -262,7 +262,7 @@
         }
         let free = self.outbox.release(now, self.dispatch.shares());
         if let Some((link, bytes)) = self.outbox.lacking() {
-            self.dispatch.lack(now, link, *bytes);
+            self.dispatch.request_link_loan(now, link, *bytes);
         }
         out.extend(free.into_iter().map(|(id, last)| match last {
             outbox::Last::Reply(answer) => Action::Reply { id, answer },
@@ -300,7 +300,7 @@
         out: &mut Vec<Action>,
     ) {
         let bytes = self.arriving.filter(|a| a.0 == id).map_or(0, |a| a.1);
-        match self.dispatch.may_cross(now, &peer.name, bytes) {
+        match self.dispatch.admit_forward(now, &peer.name, bytes) {
             Ok(()) => out.push(Action::Forward { id, peer, budget }),
             Err(after) => {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Cap, Some(after));
