--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -243,7 +243,7 @@
     ) -> Result<(Ticket, async_channel::Receiver<Decision>), Rejection> {
         let (decisions, receiver) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
-        let ticket = steering.direct.arrive(self.now(), ask)?;
+        let ticket = steering.direct.submit(self.now(), ask)?;
         let at = steering.waiters.partition_point(|w| w.ticket < ticket);
         steering.waiters.insert(at, Waiter { ticket, decisions });
         drop(steering);
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -221,7 +221,7 @@
             deadline: now + left,
             print: Fingerprint(u128::from(hash(&request.to_le_bytes()))),
         };
-        match direct.arrive(now, ask) {
+        match direct.submit(now, ask) {
             Err(_) => self.rejected(request, 500_000),
             Ok(ticket) => {
                 let limit = direct.time_limit(ticket).unwrap_or(now);
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -441,7 +441,7 @@
             deadline: now + Duration::from_secs(4),
             print: Fingerprint(u128::from(now.as_micros()) << 64 | u128::from(object)),
         };
-        if let Ok(ticket) = direct.arrive(now, ask) {
+        if let Ok(ticket) = direct.submit(now, ask) {
             node.asks.push((ticket, self.tally.requests.len()));
         }
         self.tally.requests.push(Sent {
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -204,7 +204,7 @@
     /// # Errors
     /// If its route has no service, no region is home to both its route and its
     /// team, or it has crashed targets before.
-    pub fn arrive(&mut self, now: Time, ask: Request) -> Result<Ticket, Rejection> {
+    pub fn submit(&mut self, now: Time, ask: Request) -> Result<Ticket, Rejection> {
         if self.suspects.strikes(ask.print) >= STRIKES {
             return Err(Rejection::Poison);
         }
--- a/crates/steer/src/process/direct/spillover.rs
+++ b/crates/steer/src/process/direct/spillover.rs
@@ -5,9 +5,10 @@
 //! [`BOUND_WINDOW`] to the next. Overflow by random choice breaks the bound at low
 //! rates by chance alone, and overflow that follows the load breaks it whenever a
 //! burst begins or ends. So the share is a state of its own. It rises while more
-//! than a few requests would be better off in another region; it falls while//! would and the own region has room for all of its requests. Requests are
-//! assigned by it one by one, whether or not the single request would be better
-//! off.
+//! than a few requests would be better off in another region; it falls while
+//! hardly any would and the own region has room for all of its requests. Requests
+//! are assigned by it one by one, whether or not the single request would be
+//! better off.
 //!
 //! Invariants: the share moves by at most [`Spillover::rate`] per second; the
 //! count of requests sent to other regions stays within [`CREDIT_BAND`] and one
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -167,7 +167,7 @@
     let held: Vec<_> = (0..8)
         .map(|_| {
             let ask = ask(&bench, at(4_000), "masons");
-            let taken = bench.direct.arrive(at(4_000), ask);
+            let taken = bench.direct.submit(at(4_000), ask);
             let ticket = taken.expect("the route has a service");
             bench.direct.step(at(4_000));
             ticket
@@ -206,7 +206,7 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
+    bench.direct.submit(at(10), asked).expect("it is taken in");
     let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
@@ -234,7 +234,7 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
+    bench.direct.submit(at(10), asked).expect("it is taken in");
     let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
@@ -268,7 +268,7 @@
     let mut bench = bench(homed, vec![team("masons", of_team, None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    let taken = bench.direct.arrive(at(10), asked);
+    let taken = bench.direct.submit(at(10), asked);
     let Some(expected) = expected else {
         assert_eq!(taken, Err(Rejection::NoRegion));
         return;
@@ -299,8 +299,8 @@
     bench.direct.confirm(at(0));
     let first = ask(&bench, at(10), "office");
     let second = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), first).expect("it is taken in");
-    let urgent = bench.direct.arrive(at(10), second).expect("it is taken in");
+    bench.direct.submit(at(10), first).expect("it is taken in");
+    let urgent = bench.direct.submit(at(10), second).expect("it is taken in");
     let orders = bench.direct.step(at(10));
     let Some(Decision::Send(go)) = orders.first() else {
         panic!("a target is free");
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -157,12 +157,12 @@
     }
 
     /// A request arrives at `now`, for an object if one is named.
-    pub fn arrive(&mut self, now: Time, object: Option<u64>) -> Ticket {
-        self.arrive_until(now, object, now + Duration::from_secs(4))
+    pub fn submit(&mut self, now: Time, object: Option<u64>) -> Ticket {
+        self.submit_until(now, object, now + Duration::from_secs(4))
     }
 
     /// A request arrives whose caller waits until `deadline`.
-    pub fn arrive_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
+    pub fn submit_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
         let ask = Request {
             route: Arc::clone(&self.route),
             pass: None,
@@ -171,7 +171,7 @@
             print: Fingerprint(1),
         };
         self.direct
-            .arrive(now, ask)
+            .submit(now, ask)
             .expect("the route has a service")
     }
 
@@ -184,7 +184,7 @@
 
     /// A request arrives and is sent at once.
     pub fn send(&mut self, now: Time, object: Option<u64>) -> Assignment {
-        self.arrive(now, object);
+        self.submit(now, object);
         match self.order(now) {
             Some(Decision::Send(go)) => go,
             other => panic!("not sent: {other:?}"),
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -55,7 +55,7 @@
 fn burst(bench: &mut Bench, now: u64) -> usize {
     let mut sent = 0;
     for i in 0..10 {
-        bench.arrive(at(now + i), None);
+        bench.submit(at(now + i), None);
         let orders = bench.direct.step(at(now + i));
         sent += orders
             .iter()
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -37,7 +37,7 @@
 fn sent(bench: &mut Bench, from: u64, upto: u64) -> usize {
     let mut sent = 0;
     for now in (from..upto).step_by(100) {
-        bench.arrive(at(now), None);
+        bench.submit(at(now), None);
         for order in bench.direct.step(at(now)) {
             if let Decision::Send(go) = order {
                 sent += 1;
@@ -91,7 +91,7 @@
 /// Requests sent of three that come at once.
 fn sent_at_once(bench: &mut Bench, now: u64) -> usize {
     for _ in 0..3 {
-        bench.arrive(at(now), None);
+        bench.submit(at(now), None);
     }
     let mut sent = 0;
     for order in bench.direct.step(at(now)) {
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -38,7 +38,7 @@
         held.push(bench.send(at(2_000), Some(5)));
     }
     assert!(held.iter().all(|go| go.target == warm));
-    bench.arrive(at(2_010), Some(5));
+    bench.submit(at(2_010), Some(5));
     assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
     bench
         .direct
@@ -61,7 +61,7 @@
         let mut bench = Bench::named(name, route(), &targets);
         bench.learn(5);
         for _ in 0..SENT {
-            bench.arrive(at(21_000), Some(5));
+            bench.submit(at(21_000), Some(5));
         }
         let mut used = Vec::new();
         for order in bench.direct.step(at(21_000)) {
@@ -114,7 +114,7 @@
     let mut bench = Bench::new(route(), &[entry("t1", "near-a"), entry("t2", "near-b")]);
     bench.direct.evacuate(at(0), vec!["near-b".into()]);
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), Some(1))).collect();
-    bench.arrive(at(10), Some(1));
+    bench.submit(at(10), Some(1));
     assert_eq!(bench.order(at(10)), None);
     let both = vec!["near-a".into(), "near-b".into()];
     bench.direct.evacuate(at(20), both);
@@ -130,7 +130,7 @@
     let homes: Vec<Arc<str>> = vec!["near".into()];
     let only_far = [entry("t1", "far-a")];
     let mut bench = Bench::new(Route { homes, ..route() }, &only_far);
-    bench.arrive(at(0), None);
+    bench.submit(at(0), None);
     assert_eq!(bench.order(at(0)), None);
     let Some(Decision::Reject { why, .. }) = bench.order(at(100)) else {
         panic!("nothing can serve it");
@@ -154,7 +154,7 @@
     }
     let mut rejected = 0;
     for _ in 0..20 {
-        bench.arrive(at(10_000), Some(1));
+        bench.submit(at(10_000), Some(1));
         for order in bench.direct.step(at(10_000)) {
             if let Decision::Reject { after, why, .. } = order {
                 assert_eq!(why, Rejection::Overload);
@@ -175,7 +175,7 @@
     for i in 0..3 {
         bench.serve(at(i * 2_000), 1, 300 * MS);
     }
-    bench.arrive_until(at(10_000), Some(1), at(10_050));
+    bench.submit_until(at(10_000), Some(1), at(10_050));
     let order = bench.order(at(10_000));
     assert!(
         matches!(
@@ -187,7 +187,7 @@
         ),
         "{order:?}"
     );
-    bench.arrive_until(at(10_000), Some(1), at(10_250));
+    bench.submit_until(at(10_000), Some(1), at(10_250));
     let order = bench.order(at(10_000));
     assert!(matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
@@ -197,7 +197,7 @@
 fn prefer_urgent_request() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
-    let patient = bench.arrive(at(1), None);
+    let patient = bench.submit(at(1), None);
     assert_eq!(bench.order(at(1)), None);
     let usual = Arc::clone(&bench.route);
     bench.route = Arc::new(Route {
@@ -205,7 +205,7 @@
         priority: 0,
         ..(*usual).clone()
     });
-    let urgent = bench.arrive(at(2), None);
+    let urgent = bench.submit(at(2), None);
     assert_eq!(bench.order(at(2)), None);
     bench
         .direct
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -363,7 +363,7 @@
             print: Fingerprint(self.rng.u128(..)),
         };
         self.asked += 1;
-        let taken = self.nodes[at].direct.arrive(now, ask);
+        let taken = self.nodes[at].direct.submit(now, ask);
         let ticket = taken.expect("its route has a service");
         self.nodes[at].came.push((ticket, came));
     }
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -73,7 +73,7 @@
 fn forget_request_of_caller_that_left() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
-    let ticket = bench.arrive(at(1), None);
+    let ticket = bench.submit(at(1), None);
     assert_eq!(bench.order(at(1)), None);
     bench.direct.cancel(at(20), ticket);
     bench
@@ -135,7 +135,7 @@
         print: steer::request::arrival::Fingerprint(1),
     };
     assert_eq!(
-        bench.direct.arrive(at(200), ask.clone()),
+        bench.direct.submit(at(200), ask.clone()),
         Err(Rejection::Poison)
     );
     // Another instance hears of it.
@@ -145,7 +145,7 @@
         ..super::bench::beat("near-2", 1)
     };
     other.direct.hear(at(0), beat);
-    assert_eq!(other.direct.arrive(at(10), ask), Err(Rejection::Poison));
+    assert_eq!(other.direct.submit(at(10), ask), Err(Rejection::Poison));
 }
 
 /// A target loses answers but goes on: requests that were there before are
--- a/crates/steer/tests/direct/stop.rs
+++ b/crates/steer/tests/direct/stop.rs
@@ -22,7 +22,7 @@
         bench.send(at(1_000), Some(1));
     }
     bench.direct.stop(at(2_500));
-    bench.arrive_until(at(1_100), Some(1), at(21_000));
+    bench.submit_until(at(1_100), Some(1), at(21_000));
     let mut rejected = None;
     for millis in (1_100..2_500).step_by(25) {
         if let Some(Decision::Reject { why, .. }) = bench.order(at(millis)) {
@@ -43,7 +43,7 @@
     bench
         .direct
         .finish_attempt(at(1_900), sent.ticket, AttemptOutcome::Answered);
-    bench.arrive(at(2_000), Some(1));
+    bench.submit(at(2_000), Some(1));
     let order = bench.order(at(2_000));
     assert!(matches!(order, Some(Decision::Reject { .. })), "{order:?}");
 }
@@ -53,7 +53,7 @@
 fn keep_callers_limit() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     bench.direct.stop(at(60_000));
-    let ticket = bench.arrive_until(at(1_000), None, at(2_000));
+    let ticket = bench.submit_until(at(1_000), None, at(2_000));
     let limit = bench.direct.time_limit(ticket);
     assert!(limit.is_some_and(|l| l <= at(2_000) && l > at(2_000) - Duration::from_millis(100)));
 }
