--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -35,7 +35,7 @@
 use settings::direct::{Listen, Settings};
 use shared::{Phase, Shared, lock};
 use smol::net;
-use steer::process::direct::TICK;
+use steer::process::direct::STEP_INTERVAL_MAX;
 use thiserror::Error;
 
 /// An error that keeps an instance from starting.
@@ -141,11 +141,11 @@
             heartbeat::send_final(&shared, &listeners.heartbeats).await;
             // Removing the registration runs beside the drain: the store may not
             // answer, and the grace period has begun.
-            let leave = async {
-                membership.leave().await;
+            let deregister = async {
+                membership.deregister().await;
                 future::pending::<()>().await;
             };
-            future::or(server::drain(&shared, stopped), leave).await;
+            future::or(server::drain(&shared, stopped), deregister).await;
         }));
         drop(end_tx);
         let joined = thread.join();
@@ -192,7 +192,7 @@
     control
         .spawn(source::follow(Arc::clone(shared), Arc::clone(control)))
         .detach();
-    control.spawn(Arc::clone(membership).keep()).detach();
+    control.spawn(Arc::clone(membership).maintain()).detach();
     control
         .spawn(heartbeat::receive(Arc::clone(shared), heartbeats.clone()))
         .detach();
@@ -227,11 +227,11 @@
     }
 }
 
-/// Steps steering every [`TICK`] while a request waits: load estimates decay with
+/// Steps steering every [`STEP_INTERVAL_MAX`] while a request waits: load estimates decay with
 /// time, so a target may become available without an event.
 async fn tick(shared: Arc<Shared>, ticks: async_channel::Receiver<()>) {
     while ticks.recv().await.is_ok() {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(STEP_INTERVAL_MAX).await;
         shared.decide(|_, _| ());
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 
 use fastrand::Rng;
-use steer::process::direct::members::Beat;
-use steer::process::direct::{Ending, Ticket};
+use steer::process::direct::members::Heartbeat;
+use steer::process::direct::{AttemptOutcome, Ticket};
 
 use crate::brain::Brain;
 use crate::plan::{Kind, Plan};
@@ -90,7 +90,7 @@
     },
     Back {
         sent: Sent,
-        ending: Ending,
+        ending: AttemptOutcome,
         load: u32,
     },
     Tick(usize),
@@ -98,7 +98,7 @@
     Hear {
         instance: usize,
         life: u64,
-        beat: Box<Beat>,
+        beat: Box<Heartbeat>,
     },
     Learn {
         instance: usize,
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -11,8 +11,11 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::direct::members::Row;
-use steer::process::direct::{Ask, Direct, Ending, Go, Home, Next, Order, TICK, Ticket, Why, hash};
+use steer::process::direct::members::Registration;
+use steer::process::direct::{
+    Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Rejection, Request,
+    STEP_INTERVAL_MAX, Ticket, hash,
+};
 use steer::request::arrival::Fingerprint;
 
 pub(super) use knowledge::LAPSE;
@@ -102,9 +105,9 @@
 }
 
 impl World<'_> {
-    fn row(&self, number: usize) -> Row {
+    fn row(&self, number: usize) -> Registration {
         let instance = &self.instances[number];
-        Row {
+        Registration {
             region: Arc::clone(&self.regions[instance.region]),
             domain: Arc::clone(&self.plan.domains[instance.domain].name),
             callers: anywhere(),
@@ -127,7 +130,7 @@
         let instance = &mut self.instances[number];
         instance.life += 1;
         instance.boot = self.now;
-        let home = Home {
+        let home = Identity {
             name: Arc::clone(&instance.name),
             region: Arc::clone(&self.regions[instance.region]),
             life: instance.life,
@@ -211,17 +214,17 @@
             self.rejected(request, 500_000);
             return;
         };
-        let ask = Ask {
+        let ask = Request {
             route,
             pass: None,
             object: Some(object),
             deadline: now + left,
             print: Fingerprint(u128::from(hash(&request.to_le_bytes()))),
         };
-        match direct.arrive(now, ask) {
+        match direct.submit(now, ask) {
             Err(_) => self.rejected(request, 500_000),
             Ok(ticket) => {
-                let limit = direct.limit(ticket).unwrap_or(now);
+                let limit = direct.time_limit(ticket).unwrap_or(now);
                 let instance = &mut self.instances[number];
                 instance.asks.push(Held {
                     ticket,
@@ -251,15 +254,20 @@
         };
         for order in direct.step(now) {
             match order {
-                Order::Go(go) => self.go(number, &go),
-                Order::Reject { ticket, why, after } => self.turn_away(number, ticket, why, after),
+                Decision::Send(go) => self.go(number, &go),
+                Decision::Reject { ticket, why, after } => {
+                    self.turn_away(number, ticket, why, after)
+                }
             }
         }
         let instance = &mut self.instances[number];
-        let waits = instance.direct.as_ref().is_some_and(|d| d.waiting() > 0);
+        let waits = instance
+            .direct
+            .as_ref()
+            .is_some_and(|d| d.waiting_count() > 0);
         if waits && !instance.ticking {
             instance.ticking = true;
-            self.after(micros(TICK), Event::Tick(number));
+            self.after(micros(STEP_INTERVAL_MAX), Event::Tick(number));
         }
     }
 
@@ -268,14 +276,14 @@
         self.pump(number);
     }
 
-    fn turn_away(&mut self, number: usize, ticket: Ticket, why: Why, after: Duration) {
+    fn turn_away(&mut self, number: usize, ticket: Ticket, why: Rejection, after: Duration) {
         let Some(held) = self.drop_ask(number, ticket) else {
             return;
         };
         if self.requests[held.request].current != held.current {
             return;
         }
-        if matches!(why, Why::Doubt) || held.may_have_run {
+        if matches!(why, Rejection::OutcomeUnknown) || held.may_have_run {
             self.failed(held.request);
         } else {
             self.rejected(held.request, micros(after));
@@ -288,7 +296,7 @@
         Some(asks.remove(at))
     }
 
-    fn go(&mut self, number: usize, go: &Go) {
+    fn go(&mut self, number: usize, go: &Assignment) {
         let Some(target) = self.targets.iter().position(|t| t.name == go.target) else {
             // It is gone, and nobody has its address.
             self.lost(number, go.ticket);
@@ -301,7 +309,10 @@
             instance.life,
             instance.boot,
         );
-        let limit = instance.direct.as_ref().and_then(|d| d.limit(go.ticket));
+        let limit = instance
+            .direct
+            .as_ref()
+            .and_then(|d| d.time_limit(go.ticket));
         let until = limit.map_or(self.now, |l| boot + l.as_micros());
         let Ok(at) = instance.asks.binary_search_by_key(&go.ticket, |a| a.ticket) else {
             return;
@@ -327,7 +338,7 @@
             until,
         };
         if self.is_cut(region, there) {
-            let ending = Ending::Unreached;
+            let ending = AttemptOutcome::NotSent;
             self.after(
                 CONNECT,
                 Event::Back {
@@ -352,7 +363,7 @@
             region: self.instances[number].region,
             until: self.now,
         };
-        let ending = Ending::Unreached;
+        let ending = AttemptOutcome::NotSent;
         self.after(
             CONNECT,
             Event::Back {
@@ -364,7 +375,7 @@
     }
 
     /// An attempt has ended.
-    pub(super) fn back(&mut self, sent: &Sent, ending: Ending, load: u32) {
+    pub(super) fn back(&mut self, sent: &Sent, ending: AttemptOutcome, load: u32) {
         let Some((number, life, ticket)) = sent.from else {
             self.central_back(sent, ending);
             return;
@@ -379,7 +390,7 @@
         };
         let not_run = matches!(
             ending,
-            Ending::NotRun | Ending::Unreached | Ending::Elsewhere
+            AttemptOutcome::NotRun | AttemptOutcome::NotSent | AttemptOutcome::WrongTarget
         );
         instance.asks[at].may_have_run |= !not_run;
         instance.asks[at].at = None;
@@ -387,25 +398,27 @@
         let Some(direct) = &mut instance.direct else {
             return;
         };
-        let next = direct.ended(now, ticket, ending);
+        let next = direct.finish_attempt(now, ticket, ending);
         if load > 0
             && let Some(target) = direct.roster.get_mut(&self.targets[sent.target].name)
         {
             target.record_load(now, load);
         }
         match next {
-            Next::Again => {}
-            Next::Settled => {
+            FollowUp::Retry => {}
+            FollowUp::Settled => {
                 self.drop_ask(number, ticket);
                 if self.requests[held.request].current == held.current {
                     let far = self.targets[sent.target].region != sent.region;
                     match ending {
-                        Ending::Answered => self.answered(held.request, far),
+                        AttemptOutcome::Answered => self.answered(held.request, far),
                         _ => self.failed(held.request),
                     }
                 }
             }
-            Next::Reject { after } => self.turn_away(number, ticket, Why::Overload, after),
+            FollowUp::Reject { after } => {
+                self.turn_away(number, ticket, Rejection::Overload, after)
+            }
         }
         self.pump(number);
     }
@@ -421,9 +434,9 @@
         let now = self.clock(number);
         if let Some(direct) = &mut self.instances[number].direct {
             if held.at.is_some() {
-                direct.ended(now, ticket, Ending::Late);
+                direct.finish_attempt(now, ticket, AttemptOutcome::TimedOut);
             }
-            direct.leave(now, ticket);
+            direct.cancel(now, ticket);
         }
         if let Some(target) = held.at {
             self.cancel(target, held.request, held.current);
@@ -448,7 +461,7 @@
             self.drop_ask(number, held.ticket);
             let now = self.clock(number);
             if let Some(direct) = &mut self.instances[number].direct {
-                direct.leave(now, held.ticket);
+                direct.cancel(now, held.ticket);
             }
             if let Some(target) = held.at {
                 self.cancel(target, held.request, held.current);
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -10,7 +10,7 @@
 //! allows, nor to a target that leaves or whose domain is evacuated.
 
 pub mod access;
-pub mod audience;
+pub mod allotment;
 pub mod budget;
 mod completion;
 mod contact;
@@ -22,10 +22,10 @@
 pub mod mechanisms;
 pub mod members;
 mod message;
-pub mod parts;
 pub mod place;
 mod queue;
 pub mod quota;
+pub mod recipients;
 pub mod replica;
 pub mod roster;
 pub mod spillover;
@@ -36,22 +36,25 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-pub use hash::{hash, short_hash, unit};
-pub use message::{Admission, Ask, Bounds, Ending, Go, Home, Next, Order, Ticket, Why};
+pub use hash::{hash, short_hash, unit_interval};
+pub use message::{
+    Admission, Assignment, AttemptOutcome, Bounds, Decision, FollowUp, Identity, Rejection,
+    Request, Ticket,
+};
 
 use crate::clock::Time;
 use crate::request::poison::{STRIKES, Suspects};
 use crate::version::routes::Routes;
 
+use allotment::Participant;
 use budget::Budget;
-pub use contact::Contact;
-use contact::Touch;
+pub use contact::StoreContact;
+use contact::StoreLink;
 use health::Observation;
 use job::{Job, State};
 use latency::LatencyEstimates;
 use mechanisms::{Mechanism, Mechanisms};
 use members::Members;
-use parts::Sharer;
 use roster::Roster;
 use spillover::Spillover;
 use split::Splits;
@@ -60,7 +63,7 @@
 /// Steering of one instance.
 #[derive(Debug)]
 pub struct Direct {
-    home: Home,
+    home: Identity,
     bounds: Bounds,
     mechanisms: Mechanisms,
     routes: Option<Arc<Routes>>,
@@ -71,44 +74,44 @@
     budgets: Vec<(Arc<str>, Budget)>,
     spillovers: Vec<(Arc<str>, Spillover)>,
     members: Members,
-    store: Touch,
+    store: StoreLink,
     /// Up to when the store's content is known.
     confirmed: access::Confirmed,
     quotas: quota::Quotas,
     /// Where not to read from for a while.
-    failed: Failed,
+    failed_upstreams: Failed,
     /// When this process ends, once it was told to stop.
-    end: Option<Time>,
+    stops_at: Option<Time>,
     suspects: Suspects,
     /// Objects that targets have come to hold since the last heartbeat.
-    news: Vec<(u32, u32)>,
+    object_updates: Vec<(u32, u32)>,
     /// What was seen of slow and failing targets since then.
     observations: Vec<Observation>,
     /// How far heartbeats have told all that targets hold.
-    told: usize,
+    object_cursor: usize,
     /// The same of the limits that targets name.
-    named: usize,
-    beats: u64,
+    limit_cursor: usize,
+    heartbeat_seq: u64,
     /// Other instances that sums are shared with.
-    sharers: Vec<Sharer>,
+    participants: Vec<Participant>,
     jobs: Vec<Job>,
-    next: u64,
+    next_ticket: u64,
 }
 
 /// Time kept free at the end of a request's limit to write its last answer.
-const SPARE: Duration = Duration::from_millis(30);
+const ANSWER_RESERVE: Duration = Duration::from_millis(30);
 
 impl Direct {
     /// Nothing known yet.
     #[must_use]
-    pub fn new(home: Home, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
+    pub fn new(home: Identity, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
         Self::with(home, bounds, domains, Mechanisms::ALL)
     }
 
     /// The same with only some mechanisms, to measure the others.
     #[must_use]
     pub fn with(
-        home: Home,
+        home: Identity,
         bounds: Bounds,
         domains: Vec<(Arc<str>, Arc<str>)>,
         mechanisms: Mechanisms,
@@ -124,20 +127,20 @@
             budgets: Vec::new(),
             spillovers: Vec::new(),
             members: Members::default(),
-            store: Touch::default(),
+            store: StoreLink::default(),
             confirmed: access::Confirmed::default(),
             quotas: quota::Quotas::default(),
-            failed: Failed::default(),
-            end: None,
+            failed_upstreams: Failed::default(),
+            stops_at: None,
             suspects: Suspects::default(),
-            news: Vec::new(),
+            object_updates: Vec::new(),
             observations: Vec::new(),
-            told: 0,
-            named: 0,
-            beats: 0,
-            sharers: Vec::new(),
+            object_cursor: 0,
+            limit_cursor: 0,
+            heartbeat_seq: 0,
+            participants: Vec::new(),
             jobs: Vec::new(),
-            next: 1,
+            next_ticket: 1,
         }
     }
 
@@ -178,20 +181,20 @@
 
     /// Requests that are here.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.jobs.len()
     }
 
     /// The share of each service's requests that runs in other regions.
     #[must_use]
-    pub fn elsewhere(&self) -> Vec<(Arc<str>, f64)> {
+    pub fn spillover_shares(&self) -> Vec<(Arc<str>, f64)> {
         let share = |p: &(Arc<str>, Spillover)| (Arc::clone(&p.0), p.1.share());
         self.spillovers.iter().map(share).collect()
     }
 
     /// Requests that wait for a target.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let waiting = |j: &&Job| matches!(j.state, State::Waiting);
         self.jobs.iter().filter(waiting).count()
     }
@@ -201,20 +204,23 @@
     /// # Errors
     /// If its route has no service, no region is home to both its route and its
     /// team, or it has crashed targets before.
-    pub fn arrive(&mut self, now: Time, ask: Ask) -> Result<Ticket, Why> {
+    pub fn submit(&mut self, now: Time, ask: Request) -> Result<Ticket, Rejection> {
         if self.suspects.strikes(ask.print) >= STRIKES {
-            return Err(Why::Poison);
+            return Err(Rejection::Poison);
         }
         if !self.has_region(&ask) {
-            return Err(Why::NoHome);
+            return Err(Rejection::NoRegion);
         }
-        let offset = unit(hash(self.home.name.as_bytes()));
-        let service = self.splits.next(&ask.route, offset).ok_or(Why::NoTarget)?;
+        let offset = unit_interval(hash(self.home.name.as_bytes()));
+        let service = self
+            .splits
+            .next(&ask.route, offset)
+            .ok_or(Rejection::NoTarget)?;
         let rule = self.bounds.repeats;
-        self.budget(&service).request(now, &rule);
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        let limit = (ask.deadline - SPARE).min(now + ask.route.timeout);
+        self.budget(&service).record_request(now, &rule);
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        let limit = (ask.deadline - ANSWER_RESERVE).min(now + ask.route.timeout);
         self.jobs.push(Job {
             ticket,
             ask,
@@ -234,12 +240,12 @@
 
     /// The end of the time that caller and operator allow a request.
     #[must_use]
-    pub fn limit(&self, ticket: Ticket) -> Option<Time> {
+    pub fn time_limit(&self, ticket: Ticket) -> Option<Time> {
         self.find(ticket).ok().map(|at| self.jobs[at].limit)
     }
 
     /// Whether any region may serve a request, by its route and its team.
-    fn has_region(&self, ask: &Ask) -> bool {
+    fn has_region(&self, ask: &Request) -> bool {
         let mut regions = self.roster.regions().peekable();
         regions.peek().is_none() || regions.any(|region| ask.allows(region))
     }
@@ -273,7 +279,7 @@
 }
 
 /// Time after which a target's report of others' requests has faded.
-const FADE: Duration = Duration::from_millis(400);
+const REPORT_DECAY_TIME: Duration = Duration::from_millis(400);
 
 /// Longest time between two calls of [`Direct::step`] while something waits.
-pub const TICK: Duration = Duration::from_millis(25);
+pub const STEP_INTERVAL_MAX: Duration = Duration::from_millis(25);
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use super::Direct;
-use super::message::{Ask, Why};
+use super::message::{Rejection, Request};
 use crate::clock::Time;
 use crate::version::routes::{Route, Routes};
 use crate::version::teams::{KeyDigest, Team};
@@ -30,9 +30,9 @@
 
 /// What a caller shows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presented {
+pub enum Credential {
     /// No key.
-    Nothing,
+    Missing,
     /// Something that is no key, or more than one.
     Malformed,
     /// A key.
@@ -41,7 +41,7 @@
 
 /// A team's request, and the key that made it one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pass {
+pub struct Authorized {
     /// Whose it is.
     pub team: Arc<Team>,
     /// The key.
@@ -54,11 +54,11 @@
     /// It needs no key.
     Open,
     /// It is a team's.
-    Granted(Pass),
+    Granted(Authorized),
     /// It bears no key of any team.
     Denied,
     /// Not known: this instance may lie behind the configuration.
-    Unsure,
+    KeysStale,
 }
 
 /// Kept free of the bound on keys taken away, for clocks that don't run alike.
@@ -123,7 +123,7 @@
     /// within the bound on keys by any other.
     #[must_use]
     pub fn is_sure(&self, now: Time) -> bool {
-        let away = self.failed.has_store_within(now, AWAY);
+        let away = self.failed_upstreams.has_store_within(now, AWAY);
         let lag = self.lag().filter(|_| !away);
         self.is_younger(now, |bound| {
             lag.unwrap_or(bound).min(bound).saturating_sub(MARGIN)
@@ -164,34 +164,34 @@
         now: Time,
         routes: &Routes,
         route: &Route,
-        presented: Presented,
+        presented: Credential,
     ) -> Access {
         if routes.teams.is_empty() {
             return Access::Open;
         }
         let held = match presented {
-            Presented::Key(key) => routes.teams.find(&key).map(|team| (key, team)),
-            Presented::Nothing | Presented::Malformed => None,
+            Credential::Key(key) => routes.teams.find(&key).map(|team| (key, team)),
+            Credential::Missing | Credential::Malformed => None,
         };
         match held {
-            Some((key, team)) if route.open || self.is_sure(now) => Access::Granted(Pass {
+            Some((key, team)) if route.open || self.is_sure(now) => Access::Granted(Authorized {
                 team: Arc::clone(team),
                 key,
             }),
             None if route.open => Access::Open,
             None if self.is_fresh(now) => Access::Denied,
-            _ => Access::Unsure,
+            _ => Access::KeysStale,
         }
     }
 
     /// Why a request that was let in may not be sent now.
-    pub(super) fn withheld(&self, now: Time, ask: &Ask) -> Option<Why> {
+    pub(super) fn withheld(&self, now: Time, ask: &Request) -> Option<Rejection> {
         let pass = ask.pass.as_ref().filter(|_| !ask.route.open)?;
         let held = self.routes.as_ref().and_then(|r| r.teams.find(&pass.key));
         if held.is_none_or(|team| team.name != pass.team.name) {
-            return Some(Why::Denied);
+            return Some(Rejection::Denied);
         }
-        (!self.is_sure(now)).then_some(Why::Unsure)
+        (!self.is_sure(now)).then_some(Rejection::KeysStale)
     }
 
     /// The bound on keys taken away, if there are keys, or may be.
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -13,7 +13,7 @@
 use super::job::Job;
 use super::mechanisms::Mechanism;
 use super::target::{COLD_SPAN, Target};
-use super::{Direct, FADE, hash, short_hash, unit};
+use super::{Direct, REPORT_DECAY_TIME, hash, short_hash, unit_interval};
 use crate::clock::Time;
 
 /// A target for a request.
@@ -104,7 +104,7 @@
     /// object cold in two regions.
     pub(super) fn pressure(&self, now: Time, job: &Job) -> (Option<bool>, f64) {
         let position = match job.ask.object {
-            Some(object) => unit(hash(&object.to_le_bytes())),
+            Some(object) => unit_interval(hash(&object.to_le_bytes())),
             None => 0.5,
         };
         let near = self.best(now, job, true);
@@ -195,14 +195,17 @@
         let goal = route.goal.as_secs_f64();
         let work = self.estimate(job);
         let mechanisms = self.mechanisms;
-        let object = job.ask.object.filter(|_| mechanisms.has(Mechanism::First));
+        let object = job
+            .ask
+            .object
+            .filter(|_| mechanisms.has(Mechanism::PreferredTargets));
         let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
-        let vain = if mechanisms.has(Mechanism::Vain) {
+        let vain = if mechanisms.has(Mechanism::WastedWork) {
             SOCIAL
         } else {
             0.0
         };
-        let extra = if mechanisms.has(Mechanism::Hold) {
+        let extra = if mechanisms.has(Mechanism::LocalQueue) {
             EXTRA
         } else {
             f64::INFINITY
@@ -244,7 +247,7 @@
             let far = if near { 0.0 } else { FAR };
             // An ill target fails that share of its requests, each of which
             // has to begin anew elsewhere. Load breaks ties.
-            let illness = if mechanisms.has(Mechanism::Illness) {
+            let illness = if mechanisms.has(Mechanism::FailureRate) {
                 (target.health.refusal_rate(now) + target.health.failure_rate(now) * lost) * goal
             } else {
                 0.0
@@ -273,8 +276,8 @@
 
     /// Requests believed to be at a target.
     pub(super) fn load(&self, now: Time, target: &Target) -> f64 {
-        if self.mechanisms.has(Mechanism::Counts) {
-            target.load(now, FADE)
+        if self.mechanisms.has(Mechanism::PeerLoad) {
+            target.load(now, REPORT_DECAY_TIME)
         } else {
             f64::from(target.in_flight + target.reserved)
         }
@@ -321,7 +324,7 @@
             reason = "a small count"
         )]
         let total = (total * COLD_USED).max(0.0) as usize;
-        target.sent_within(now, COLD_SPAN) < self.part(total, target)
+        target.sent_within(now, COLD_SPAN) < self.allotment(total, target)
     }
 
     /// The targets of a region that an object belongs to, the first one first:
@@ -342,7 +345,7 @@
                 && job.ask.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
-        let shared = self.mechanisms.has(Mechanism::Health);
+        let shared = self.mechanisms.has(Mechanism::SharedHealth);
         let fit = self.roster.of(&job.service).filter(|(_, t)| fits(t));
         let fit: Vec<(usize, &Target)> = fit.collect();
         let usual = Baseline::of(now, fit.iter().map(|(_, t)| &t.health));
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -5,9 +5,11 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::direct::access::{self, Access, Pass, Presented};
+use steer::process::direct::access::{self, Access, Authorized, Credential};
 use steer::process::direct::upstream::Upstream;
-use steer::process::direct::{Ask, Bounds, Direct, Ending, Next, Order, Why};
+use steer::process::direct::{
+    AttemptOutcome, Bounds, Decision, Direct, FollowUp, Rejection, Request,
+};
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::Route;
 use steer::version::teams::{Clash, KeyDigest, Team, Teams};
@@ -53,17 +55,17 @@
     bench
 }
 
-fn access(bench: &Bench, now: Time, presented: Presented) -> Access {
+fn access(bench: &Bench, now: Time, presented: Credential) -> Access {
     let routes = bench.direct.routes().expect("one is in force");
     bench.direct.access(now, routes, &bench.route, presented)
 }
 
-fn ask(bench: &Bench, now: Time, team: &str) -> Ask {
+fn ask(bench: &Bench, now: Time, team: &str) -> Request {
     let routes = bench.direct.routes().expect("one is in force");
     let team = routes.teams.get(team).expect("it is there");
-    Ask {
+    Request {
         route: Arc::clone(&bench.route),
-        pass: Some(Pass {
+        pass: Some(Authorized {
             team: Arc::clone(team),
             key: key(&team.name),
         }),
@@ -74,11 +76,11 @@
 }
 
 #[rstest]
-#[case::key(Presented::Key(key("masons")), "granted")]
-#[case::unknown_key(Presented::Key(key("nobody")), "denied")]
-#[case::no_key(Presented::Nothing, "denied")]
-#[case::malformed(Presented::Malformed, "denied")]
-fn judge_key(#[case] presented: Presented, #[case] expected: &str) {
+#[case::key(Credential::Key(key("masons")), "granted")]
+#[case::unknown_key(Credential::Key(key("nobody")), "denied")]
+#[case::no_key(Credential::Missing, "denied")]
+#[case::malformed(Credential::Malformed, "denied")]
+fn judge_key(#[case] presented: Credential, #[case] expected: &str) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(1_000));
     let name = |access| match access {
@@ -86,7 +88,7 @@
         Access::Granted(pass) if &*pass.team.name == "masons" => "granted",
         Access::Granted(_) => "another team's",
         Access::Denied => "denied",
-        Access::Unsure => "unsure",
+        Access::KeysStale => "unsure",
     };
     assert_eq!(name(access(&bench, at(1_500), presented)), expected);
     // Too old to say that a key is unknown, but not that one is known: the store
@@ -108,15 +110,18 @@
         ..route()
     };
     let bench = bench(open, vec![team("masons", &[], None)]);
-    assert_eq!(access(&bench, at(1_000), Presented::Nothing), Access::Open);
-    let unknown = Presented::Key(key("nobody"));
+    assert_eq!(access(&bench, at(1_000), Credential::Missing), Access::Open);
+    let unknown = Credential::Key(key("nobody"));
     assert_eq!(access(&bench, at(1_000), unknown), Access::Open);
 }
 
 #[test]
 fn need_no_key_without_teams() {
     let bench = bench(route(), Vec::new());
-    assert_eq!(access(&bench, at(60_000), Presented::Nothing), Access::Open);
+    assert_eq!(
+        access(&bench, at(60_000), Credential::Missing),
+        Access::Open
+    );
     assert!(bench.direct.is_sound(at(60_000)));
 }
 
@@ -156,22 +161,22 @@
 
 /// A request waits here while its key is taken away.
 #[rstest]
-#[case::taken_away(true, Why::Denied)]
-#[case::unsure(false, Why::Unsure)]
-fn withhold_waiting_request(#[case] taken: bool, #[case] expected: Why) {
+#[case::taken_away(true, Rejection::Denied)]
+#[case::unsure(false, Rejection::KeysStale)]
+fn withhold_waiting_request(#[case] taken: bool, #[case] expected: Rejection) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     bench.direct.upstream_failed(at(3_900), &Upstream::Store);
     let held: Vec<_> = (0..8)
         .map(|_| {
             let ask = ask(&bench, at(4_000), "masons");
-            let taken = bench.direct.arrive(at(4_000), ask);
+            let taken = bench.direct.submit(at(4_000), ask);
             let ticket = taken.expect("the route has a service");
             bench.direct.step(at(4_000));
             ticket
         })
         .collect();
-    assert!(bench.direct.waiting() > 0, "the targets are full");
+    assert!(bench.direct.waiting_count() > 0, "the targets are full");
     let later = if taken {
         configure(&mut bench.direct, 3, route(), Vec::new());
         configure(
@@ -185,13 +190,13 @@
     } else {
         at(4_900)
     };
-    let waiting = bench.direct.waiting();
+    let waiting = bench.direct.waiting_count();
     let orders = bench.direct.step(later);
-    let whys: Vec<Why> = orders
+    let whys: Vec<Rejection> = orders
         .iter()
         .filter_map(|order| match order {
-            Order::Reject { why, .. } => Some(*why),
-            Order::Go(_) => None,
+            Decision::Reject { why, .. } => Some(*why),
+            Decision::Send(_) => None,
         })
         .collect();
     assert_eq!(whys, vec![expected; waiting]);
@@ -204,24 +209,26 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    bench.direct.submit(at(10), asked).expect("it is taken in");
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
-    assert!(bench.direct.may_go(at(20), &go));
+    assert!(bench.direct.may_send_request(at(20), &go));
     configure(
         &mut bench.direct,
         3,
         route(),
         vec![team("other", &[], None)],
     );
-    assert!(!bench.direct.may_go(at(20), &go));
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Withdrawn);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
+    assert!(!bench.direct.may_send_request(at(20), &go));
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::Withdrawn);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Why::Denied);
+    assert_eq!(why, Rejection::Denied);
 }
 
 /// It may have run already, so it isn't said to be refused.
@@ -230,8 +237,8 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    bench.direct.submit(at(10), asked).expect("it is taken in");
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
     configure(
@@ -240,12 +247,14 @@
         route(),
         vec![team("other", &[], None)],
     );
-    let next = bench.direct.ended(at(20), go.ticket, Ending::Broken);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Reject { why, .. }) = bench.order(at(20)) else {
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::ConnectionLost);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Why::Doubt);
+    assert_eq!(why, Rejection::OutcomeUnknown);
 }
 
 /// The homes of route and team both bind.
@@ -262,24 +271,26 @@
     let mut bench = bench(homed, vec![team("masons", of_team, None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    let taken = bench.direct.arrive(at(10), asked);
+    let taken = bench.direct.submit(at(10), asked);
     let Some(expected) = expected else {
-        assert_eq!(taken, Err(Why::NoHome));
+        assert_eq!(taken, Err(Rejection::NoRegion));
         return;
     };
     taken.expect("it is taken in");
-    let Some(Order::Go(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
     assert_eq!(&*go.target, expected);
     // Sent again, it stays where it may be.
-    let next = bench.direct.ended(at(20), go.ticket, Ending::NotRun);
-    assert_eq!(next, Next::Again);
+    let next = bench
+        .direct
+        .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
+    assert_eq!(next, FollowUp::Retry);
     match bench.order(at(20)) {
-        Some(Order::Go(go)) => {
+        Some(Decision::Send(go)) => {
             assert!(of_route.is_empty() && of_team.is_empty(), "{go:?}");
         }
-        Some(Order::Reject { .. }) | None => {}
+        Some(Decision::Reject { .. }) | None => {}
     }
 }
 
@@ -291,10 +302,10 @@
     bench.direct.confirm(at(0));
     let first = ask(&bench, at(10), "office");
     let second = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), first).expect("it is taken in");
-    let urgent = bench.direct.arrive(at(10), second).expect("it is taken in");
+    bench.direct.submit(at(10), first).expect("it is taken in");
+    let urgent = bench.direct.submit(at(10), second).expect("it is taken in");
     let orders = bench.direct.step(at(10));
-    let Some(Order::Go(go)) = orders.first() else {
+    let Some(Decision::Send(go)) = orders.first() else {
         panic!("a target is free");
     };
     assert_eq!(go.ticket, urgent);
@@ -316,7 +327,7 @@
 #[test]
 fn key_prints_as_digest() {
     let digest = key("dqiqrh4jcda9rgy35iei");
-    let printed = format!("{digest} {digest:?} {:?}", Presented::Key(digest));
+    let printed = format!("{digest} {digest:?} {:?}", Credential::Key(digest));
     assert!(!printed.contains("dqiqrh4jcda9rgy35iei"), "{printed}");
     assert_eq!(KeyDigest::parse(&digest.hex()), Some(digest));
     assert_eq!(KeyDigest::parse("dqiq"), None);
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -5,10 +5,11 @@
 
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::target::Entry;
 use steer::process::direct::{
-    Ask, Bounds, Direct, Ending, Go, Home, Next, Order, Ticket, access, limit, quota,
+    Assignment, AttemptOutcome, Bounds, Decision, Direct, FollowUp, Identity, Request, Ticket,
+    access, limit, quota,
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Part, Route, Routes, Service};
@@ -19,9 +20,9 @@
     Time::from_micros(millis * 1000)
 }
 
-pub fn row(region: &str) -> Row {
+pub fn row(region: &str) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
-    Row {
+    Registration {
         region: region.into(),
         domain: format!("{region}-a").into(),
         callers: addr,
@@ -30,8 +31,8 @@
     }
 }
 
-pub fn beat(name: &str, seq: u64) -> Beat {
-    Beat {
+pub fn beat(name: &str, seq: u64) -> Heartbeat {
+    Heartbeat {
         name: name.into(),
         life: 7,
         seq,
@@ -124,7 +125,7 @@
         targets: &[Entry],
         change: impl FnOnce(Bounds) -> Bounds,
     ) -> Self {
-        let home = Home {
+        let home = Identity {
             name: name.into(),
             region: "near".into(),
             life: 1,
@@ -156,13 +157,13 @@
     }
 
     /// A request arrives at `now`, for an object if one is named.
-    pub fn arrive(&mut self, now: Time, object: Option<u64>) -> Ticket {
-        self.arrive_until(now, object, now + Duration::from_secs(4))
+    pub fn submit(&mut self, now: Time, object: Option<u64>) -> Ticket {
+        self.submit_until(now, object, now + Duration::from_secs(4))
     }
 
     /// A request arrives whose caller waits until `deadline`.
-    pub fn arrive_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
-        let ask = Ask {
+    pub fn submit_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
+        let ask = Request {
             route: Arc::clone(&self.route),
             pass: None,
             object,
@@ -170,31 +171,33 @@
             print: Fingerprint(1),
         };
         self.direct
-            .arrive(now, ask)
+            .submit(now, ask)
             .expect("the route has a service")
     }
 
     /// The only order of a step, if there is one.
-    pub fn order(&mut self, now: Time) -> Option<Order> {
+    pub fn order(&mut self, now: Time) -> Option<Decision> {
         let mut orders = self.direct.step(now);
         assert!(orders.len() < 2, "more than one order: {orders:?}");
         orders.pop()
     }
 
     /// A request arrives and is sent at once.
-    pub fn send(&mut self, now: Time, object: Option<u64>) -> Go {
-        self.arrive(now, object);
+    pub fn send(&mut self, now: Time, object: Option<u64>) -> Assignment {
+        self.submit(now, object);
         match self.order(now) {
-            Some(Order::Go(go)) => go,
+            Some(Decision::Send(go)) => go,
             other => panic!("not sent: {other:?}"),
         }
     }
 
     /// A request arrives, is sent and answered after `took`.
-    pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Go {
+    pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Assignment {
         let go = self.send(now, Some(object));
-        let next = self.direct.ended(now + took, go.ticket, Ending::Answered);
-        assert_eq!(next, Next::Settled);
+        let next = self
+            .direct
+            .finish_attempt(now + took, go.ticket, AttemptOutcome::Answered);
+        assert_eq!(next, FollowUp::Settled);
         go
     }
 
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -5,9 +5,9 @@
 use rstest::rstest;
 use steer::clock::Time;
 use steer::process::direct::limit::{Named, Rule};
-use steer::process::direct::members::{self, Beat};
+use steer::process::direct::members::{self, Heartbeat};
 use steer::process::direct::target::{Entry, Feedback};
-use steer::process::direct::{Bounds, Ending, Order};
+use steer::process::direct::{AttemptOutcome, Bounds, Decision};
 
 use super::bench::{Bench, MS, at, beat, entry, route};
 
@@ -37,11 +37,13 @@
 fn sent(bench: &mut Bench, from: u64, upto: u64) -> usize {
     let mut sent = 0;
     for now in (from..upto).step_by(100) {
-        bench.arrive(at(now), None);
+        bench.submit(at(now), None);
         for order in bench.direct.step(at(now)) {
-            if let Order::Go(go) = order {
+            if let Decision::Send(go) = order {
                 sent += 1;
-                bench.direct.ended(at(now), go.ticket, Ending::Answered);
+                bench
+                    .direct
+                    .finish_attempt(at(now), go.ticket, AttemptOutcome::Answered);
             }
         }
     }
@@ -89,13 +91,15 @@
 /// Requests sent of three that come at once.
 fn sent_at_once(bench: &mut Bench, now: u64) -> usize {
     for _ in 0..3 {
-        bench.arrive(at(now), None);
+        bench.submit(at(now), None);
     }
     let mut sent = 0;
     for order in bench.direct.step(at(now)) {
-        if let Order::Go(go) = order {
+        if let Decision::Send(go) = order {
             sent += 1;
-            bench.direct.ended(at(now), go.ticket, Ending::Answered);
+            bench
+                .direct
+                .finish_attempt(at(now), go.ticket, AttemptOutcome::Answered);
         }
     }
     sent
@@ -134,12 +138,12 @@
 }
 
 fn named(rate: Option<f64>, age: Duration) -> Named {
-    let mark = members::mark("t1");
+    let mark = members::name_hash("t1");
     Named { mark, rate, age }
 }
 
-fn told(rate: Option<f64>, age: Duration, seq: u64) -> Beat {
-    Beat {
+fn told(rate: Option<f64>, age: Duration, seq: u64) -> Heartbeat {
+    Heartbeat {
         limits: vec![named(rate, age)],
         ..beat("near-2", seq)
     }
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use steer::process::direct::{Ending, Next, Order, Why};
+use steer::process::direct::{AttemptOutcome, Decision, FollowUp, Rejection};
 use steer::version::routes::Route;
 
 use super::bench::{Bench, MS, at, entry, route};
@@ -38,12 +38,12 @@
         held.push(bench.send(at(2_000), Some(5)));
     }
     assert!(held.iter().all(|go| go.target == warm));
-    bench.arrive(at(2_010), Some(5));
+    bench.submit(at(2_010), Some(5));
     assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
     bench
         .direct
-        .ended(at(2_100), held[0].ticket, Ending::Answered);
-    let Some(Order::Go(go)) = bench.order(at(2_100)) else {
+        .finish_attempt(at(2_100), held[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(go)) = bench.order(at(2_100)) else {
         panic!("a slot is free");
     };
     assert_eq!(go.target, warm);
@@ -61,11 +61,11 @@
         let mut bench = Bench::named(name, route(), &targets);
         bench.learn(5);
         for _ in 0..SENT {
-            bench.arrive(at(21_000), Some(5));
+            bench.submit(at(21_000), Some(5));
         }
         let mut used = Vec::new();
         for order in bench.direct.step(at(21_000)) {
-            if let Order::Go(go) = order
+            if let Decision::Send(go) = order
                 && !used.contains(&go.target)
             {
                 used.push(go.target);
@@ -103,7 +103,7 @@
         assert_eq!(&*go.target, "t2");
         bench
             .direct
-            .ended(at(1_001 + i), go.ticket, Ending::Answered);
+            .finish_attempt(at(1_001 + i), go.ticket, AttemptOutcome::Answered);
     }
 }
 
@@ -114,13 +114,15 @@
     let mut bench = Bench::new(route(), &[entry("t1", "near-a"), entry("t2", "near-b")]);
     bench.direct.evacuate(at(0), vec!["near-b".into()]);
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), Some(1))).collect();
-    bench.arrive(at(10), Some(1));
+    bench.submit(at(10), Some(1));
     assert_eq!(bench.order(at(10)), None);
     let both = vec!["near-a".into(), "near-b".into()];
     bench.direct.evacuate(at(20), both);
-    bench.direct.ended(at(30), held[0].ticket, Ending::Answered);
+    bench
+        .direct
+        .finish_attempt(at(30), held[0].ticket, AttemptOutcome::Answered);
     let order = bench.order(at(30));
-    assert!(!matches!(order, Some(Order::Go(_))), "{order:?}");
+    assert!(!matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
 
 #[test]
@@ -128,12 +130,12 @@
     let homes: Vec<Arc<str>> = vec!["near".into()];
     let only_far = [entry("t1", "far-a")];
     let mut bench = Bench::new(Route { homes, ..route() }, &only_far);
-    bench.arrive(at(0), None);
+    bench.submit(at(0), None);
     assert_eq!(bench.order(at(0)), None);
-    let Some(Order::Reject { why, .. }) = bench.order(at(100)) else {
+    let Some(Decision::Reject { why, .. }) = bench.order(at(100)) else {
         panic!("nothing can serve it");
     };
-    assert_eq!(why, Why::NoTarget);
+    assert_eq!(why, Rejection::NoTarget);
 }
 
 #[test]
@@ -152,10 +154,10 @@
     }
     let mut rejected = 0;
     for _ in 0..20 {
-        bench.arrive(at(10_000), Some(1));
+        bench.submit(at(10_000), Some(1));
         for order in bench.direct.step(at(10_000)) {
-            if let Order::Reject { after, why, .. } = order {
-                assert_eq!(why, Why::Overload);
+            if let Decision::Reject { after, why, .. } = order {
+                assert_eq!(why, Rejection::Overload);
                 assert!(after >= Duration::from_millis(100));
                 rejected += 1;
             }
@@ -173,21 +175,21 @@
     for i in 0..3 {
         bench.serve(at(i * 2_000), 1, 300 * MS);
     }
-    bench.arrive_until(at(10_000), Some(1), at(10_050));
+    bench.submit_until(at(10_000), Some(1), at(10_050));
     let order = bench.order(at(10_000));
     assert!(
         matches!(
             order,
-            Some(Order::Reject {
-                why: Why::Overload,
+            Some(Decision::Reject {
+                why: Rejection::Overload,
                 ..
             })
         ),
         "{order:?}"
     );
-    bench.arrive_until(at(10_000), Some(1), at(10_250));
+    bench.submit_until(at(10_000), Some(1), at(10_250));
     let order = bench.order(at(10_000));
-    assert!(matches!(order, Some(Order::Go(_))), "{order:?}");
+    assert!(matches!(order, Some(Decision::Send(_))), "{order:?}");
 }
 
 /// The more urgent of two that wait goes first, whichever came first.
@@ -195,7 +197,7 @@
 fn prefer_urgent_request() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
-    let patient = bench.arrive(at(1), None);
+    let patient = bench.submit(at(1), None);
     assert_eq!(bench.order(at(1)), None);
     let usual = Arc::clone(&bench.route);
     bench.route = Arc::new(Route {
@@ -203,10 +205,12 @@
         priority: 0,
         ..(*usual).clone()
     });
-    let urgent = bench.arrive(at(2), None);
+    let urgent = bench.submit(at(2), None);
     assert_eq!(bench.order(at(2)), None);
-    bench.direct.ended(at(50), held[0].ticket, Ending::Answered);
-    let Some(Order::Go(go)) = bench.order(at(50)) else {
+    bench
+        .direct
+        .finish_attempt(at(50), held[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(go)) = bench.order(at(50)) else {
         panic!("a slot is free");
     };
     assert_eq!(go.ticket, urgent);
@@ -236,9 +240,11 @@
     };
     bench.direct.roster.put(at(1_200), leaving);
     assert!(!bench.direct.may_send(&go.target));
-    let next = bench.direct.ended(at(2_400), go.ticket, Ending::Withdrawn);
-    assert_eq!(next, Next::Again);
-    let Some(Order::Go(again)) = bench.order(at(2_400)) else {
+    let next = bench
+        .direct
+        .finish_attempt(at(2_400), go.ticket, AttemptOutcome::Withdrawn);
+    assert_eq!(next, FollowUp::Retry);
+    let Some(Decision::Send(again)) = bench.order(at(2_400)) else {
         panic!("there is another target");
     };
     assert_ne!(again.target, go.target);
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -5,10 +5,11 @@
 use std::sync::Arc;
 
 use steer::clock::Time;
-use steer::process::direct::access::{self, Pass};
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::access::{self, Authorized};
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::{
-    Ask, Bounds, Direct, Ending, Home, Order, Ticket, Why, budget, limit, quota, target,
+    AttemptOutcome, Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, budget, limit,
+    quota, target,
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::teams::{KeyDigest, Quota, Team, Teams};
@@ -53,7 +54,7 @@
 }
 
 enum Message {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     Report(usize, quota::Report),
     Grant(quota::Grant),
 }
@@ -73,7 +74,7 @@
 
 pub struct Fleet {
     nodes: Vec<Node>,
-    pass: Pass,
+    pass: Authorized,
     pub quota: Quota,
     faults: Faults,
     mail: Vec<(u64, usize, Message)>,
@@ -96,9 +97,9 @@
 const REGIONS: [&str; 3] = ["near", "far", "west"];
 
 /// Each instance takes heartbeats on a port of its number.
-fn place(at: usize) -> Row {
+fn place(at: usize) -> Registration {
     let port = u16::try_from(at).expect("few") + 1;
-    Row {
+    Registration {
         beats: ([127, 0, 0, 1], port).into(),
         ..row(REGIONS[at % REGIONS.len()])
     }
@@ -114,7 +115,7 @@
         };
         let mut fleet = Self {
             nodes: Vec::new(),
-            pass: Pass {
+            pass: Authorized {
                 team: Arc::new(team),
                 key: KeyDigest::of(b"k"),
             },
@@ -139,7 +140,7 @@
 
     fn node(&mut self, at: usize, count: usize) -> Node {
         let life = self.rng.u64(1..);
-        let home = Home {
+        let home = Identity {
             name: name(at).into(),
             region: REGIONS[at % REGIONS.len()].into(),
             life,
@@ -354,7 +355,7 @@
     fn ask(&mut self, at: usize) {
         let now = self.clock(at);
         let came = self.now;
-        let ask = Ask {
+        let ask = Request {
             route: Arc::new(route()),
             pass: Some(self.pass.clone()),
             object: None,
@@ -362,7 +363,7 @@
             print: Fingerprint(self.rng.u128(..)),
         };
         self.asked += 1;
-        let taken = self.nodes[at].direct.arrive(now, ask);
+        let taken = self.nodes[at].direct.submit(now, ask);
         let ticket = taken.expect("its route has a service");
         self.nodes[at].came.push((ticket, came));
     }
@@ -373,16 +374,20 @@
         self.nodes[at].direct.in_touch(now, 1);
         for order in self.nodes[at].direct.step(now) {
             match order {
-                Order::Go(go) => {
+                Decision::Send(go) => {
                     self.admitted.push(self.now);
                     let came = &self.nodes[at].came;
                     let came = came.iter().find(|(ticket, _)| *ticket == go.ticket);
                     self.held.extend(came.map(|(_, came)| self.now - came));
                     let direct = &mut self.nodes[at].direct;
-                    direct.ended(now + Duration::from_millis(1), go.ticket, Ending::Answered);
+                    direct.finish_attempt(
+                        now + Duration::from_millis(1),
+                        go.ticket,
+                        AttemptOutcome::Answered,
+                    );
                 }
-                Order::Reject { why, .. } => {
-                    assert_eq!(why, Why::Quota);
+                Decision::Reject { why, .. } => {
+                    assert_eq!(why, Rejection::Quota);
                     self.refused.push(self.now);
                 }
             }
