--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -13,7 +13,7 @@
 use settings::direct::Settings;
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::Row;
+use steer::process::direct::members::Registration;
 use steer::process::direct::replica::Replica;
 use steer::process::direct::{
     Bounds, Decision, Direct, Identity, Rejection, Request, Ticket, access, limit, quota,
@@ -52,6 +52,7 @@
     pub(super) quota_wait: Event,
     /// Whether one has begun to wait since the last quota reports.
     is_quota_urgent: AtomicBool,
+    /// Encoded snapshot of the replica, for instances that start.
     pub(super) snapshot_cache: peer::SnapshotCache,
     /// Whether the store has deleted this instance's registration.
     pub(super) is_unlisted: AtomicBool,
@@ -59,9 +60,11 @@
     pub(super) ticker: async_channel::Sender<()>,
     /// Connections to targets.
     pub(super) target_pool: Arc<pool::Pool>,
+    /// Whether the process serves, leaves or closes connections.
     pub(super) phase: Mutex<Phase>,
     /// Its sender is closed when the process begins to close callers' connections.
     pub(super) closing: async_channel::Receiver<()>,
+    /// Closed to announce that connections are being closed.
     pub(super) close: async_channel::Sender<()>,
     /// The platform's store.
     pub(super) store: platform::store::Store,
@@ -104,13 +107,13 @@
             warm: 0,
             connect: CONNECT_TIMEOUT,
         };
-        let home = Identity {
+        let identity = Identity {
             name: Arc::clone(&settings.name),
             region: Arc::clone(&settings.region),
             life: fastrand::u64(1..),
-            row: row(&settings),
+            row: registration(&settings),
         };
-        let direct = Direct::new(home, bounds(&settings), settings.domains.clone());
+        let direct = Direct::new(identity, bounds(&settings), settings.domains.clone());
         let store = pool::Pool::new(Arc::clone(control), limits);
         let (close, closing) = async_channel::bounded(1);
         Ok(Self {
@@ -203,8 +206,8 @@
     }
 
     /// Addresses and location of this instance.
-    pub(super) fn registration(&self) -> Row {
-        row(&self.settings)
+    pub(super) fn registration(&self) -> Registration {
+        registration(&self.settings)
     }
 
     /// Records whether the store lists this instance.
@@ -243,7 +246,7 @@
     ) -> Result<(Ticket, async_channel::Receiver<Decision>), Rejection> {
         let (decisions, receiver) = async_channel::bounded(1);
         let mut steering = lock(&self.steering);
-        let ticket = steering.direct.arrive(self.now(), ask)?;
+        let ticket = steering.direct.submit(self.now(), ask)?;
         let at = steering.waiters.partition_point(|w| w.ticket < ticket);
         steering.waiters.insert(at, Waiter { ticket, decisions });
         drop(steering);
@@ -302,8 +305,8 @@
     Duration::new(seconds, nanos)
 }
 
-fn row(settings: &Settings) -> Row {
-    Row {
+fn registration(settings: &Settings) -> Registration {
+    Registration {
         region: Arc::clone(&settings.region),
         domain: Arc::clone(&settings.domain),
         callers: settings.listen.callers,
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -12,7 +12,7 @@
 
 use fastrand::Rng;
 use steer::clock::Time;
-use steer::process::direct::members::Beat;
+use steer::process::direct::members::Heartbeat;
 use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{
     Assignment, AttemptOutcome, Decision, Direct, FollowUp, Identity, Request, Ticket,
@@ -66,7 +66,7 @@
     },
     Beat {
         node: usize,
-        beat: Beat,
+        beat: Heartbeat,
     },
 }
 
@@ -441,7 +441,7 @@
             deadline: now + Duration::from_secs(4),
             print: Fingerprint(u128::from(now.as_micros()) << 64 | u128::from(object)),
         };
-        if let Ok(ticket) = direct.arrive(now, ask) {
+        if let Ok(ticket) = direct.submit(now, ask) {
             node.asks.push((ticket, self.tally.requests.len()));
         }
         self.tally.requests.push(Sent {
--- /dev/null
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -0,0 +1,341 @@
+//! What becomes of a request whose attempt ended.
+//!
+//! Invariant: an attempt that isn't the request's present one changes nothing.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+use crate::clock::Time;
+use crate::process::dispatch::Dispatch;
+use crate::process::dispatch::job::Running;
+use crate::process::dispatch::message::{Action, AttemptOutcome, Destination, Report};
+use crate::process::safeguard::Safeguard;
+use crate::process::target::health::Fault;
+use crate::process::target::{Availability, latency};
+use crate::request::admission;
+use crate::request::arrival::{AttemptId, Fingerprint, RequestId};
+use crate::request::outcome::{Reason, Refusal};
+use crate::request::poison::{self, Change};
+use crate::request::retry::{self, Doubt};
+use crate::version::view::State;
+
+impl Dispatch {
+    pub(super) fn ended(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(running) = self.running.take(id, Some(attempt)) else {
+            return;
+        };
+        self.release(&running);
+        self.record_outcome(now, &running, &outcome, out);
+        self.complete(now, running, outcome, out);
+        self.send_queued(now, out);
+    }
+
+    fn complete(
+        &mut self,
+        now: Time,
+        running: Running,
+        outcome: AttemptOutcome,
+        out: &mut Vec<Action>,
+    ) {
+        let mut job = running.job;
+        let id = job.arrival.id;
+        let Some(doubt) = retry::doubt(&outcome) else {
+            if let AttemptOutcome::Answered(answer) = outcome {
+                self.callers.remove(&job.arrival.caller);
+                self.stats.replied += 1;
+                out.push(Action::Reply { id, answer });
+            }
+            return;
+        };
+        job.is_uncertain |= doubt == Doubt::MayHaveRun;
+        job.last_failure = Some(retry::reason(&outcome));
+        if self.is_poisoned(&job) {
+            let refusal = Refusal::unknown(Reason::Poison, None);
+            return self.finish_job(&job, refusal, out);
+        }
+        if let AttemptOutcome::PeerRefused(refusal) = outcome
+            && doubt == Doubt::MayHaveRun
+        {
+            return self.finish_job(&job, refusal, out);
+        }
+        let Some(service) = self.find_service(&job.arrival.service) else {
+            let refusal = job.refusal(Reason::UnknownService, None);
+            return self.finish_job(&job, refusal, out);
+        };
+        let safe = doubt == Doubt::NotRun || self.services[service].is_idempotent;
+        let wait = self.services[service].outlook().wait();
+        if !safe || now >= job.deadline {
+            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
+        }
+        if !self.budget.spend(retry::cost(&outcome))
+            && self.tuning.safeguards.has(Safeguard::Budget)
+        {
+            self.stats.budget_denied += 1;
+            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
+        }
+        self.place(now, service, job, out);
+    }
+
+    pub(super) fn disconnected(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+        if let Some(running) = self.running.take(id, None) {
+            self.release(&running);
+            self.callers.remove(&running.job.arrival.caller);
+            let attempt = running.attempt;
+            out.push(Action::Cancel { id, attempt });
+            return self.send_queued(now, out);
+        }
+        for service in &mut self.services {
+            let Some(at) = service.queue.iter().position(|j| j.arrival.id == id) else {
+                continue;
+            };
+            if let Some(job) = service.queue.remove(at) {
+                self.callers.remove(&job.arrival.caller);
+            }
+            return;
+        }
+    }
+
+    /// Takes an attempt off the counts.
+    fn release(&mut self, running: &Running) {
+        let service_name = &running.job.arrival.service;
+        if let Ok(at) = self.endpoints.find(
+            running.destination.kind(),
+            running.destination.name(),
+            service_name,
+        ) {
+            let endpoint = &mut self.endpoints.as_mut_slice()[at];
+            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+            endpoint.is_reserved &= !running.is_exclusive;
+        }
+        if let Some(service) = self.find_service(service_name) {
+            let local = matches!(running.destination, Destination::Target { .. });
+            let state = &mut self.services[service];
+            state.in_flight = state.in_flight.saturating_sub(1);
+            state.local_running = state.local_running.saturating_sub(u32::from(local));
+        }
+    }
+
+    /// Takes what an attempt's end says about its place and its request.
+    fn record_outcome(
+        &mut self,
+        now: Time,
+        running: &Running,
+        outcome: &AttemptOutcome,
+        out: &mut Vec<Action>,
+    ) {
+        let service_name = &running.job.arrival.service;
+        let name = running.destination.name();
+        let sent_at = running.sent_at;
+        let Ok(at) = self
+            .endpoints
+            .find(running.destination.kind(), name, service_name)
+        else {
+            return;
+        };
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
+        match outcome {
+            AttemptOutcome::Answered(answer) => {
+                self.record_answer(now, running, at, answer.status, out)
+            }
+            AttemptOutcome::Refused { after, leaving } => {
+                endpoint.window.record_refusal(
+                    now,
+                    sent_at,
+                    after.unwrap_or_default(),
+                    &mut self.rng,
+                );
+                if *leaving {
+                    endpoint.mark_leaving(now);
+                }
+            }
+            AttemptOutcome::PeerRefused(refusal) => {
+                let after = refusal.after.unwrap_or_default();
+                endpoint
+                    .window
+                    .record_refusal(now, sent_at, after, &mut self.rng);
+                if refusal.reason == Reason::Leaving {
+                    endpoint.mark_leaving(now);
+                }
+            }
+            AttemptOutcome::Unreachable => self.record_fault(now, at, sent_at, Fault::Hard),
+            AttemptOutcome::BadAnswer => self.record_fault(now, at, sent_at, Fault::Soft),
+            AttemptOutcome::TimedOut => {
+                self.note_early_timeout(running);
+                self.record_fault(now, at, sent_at, Fault::Soft);
+            }
+            AttemptOutcome::Broken => {
+                self.record_fault(now, at, sent_at, Fault::Hard);
+                self.record_break(now, running, out);
+            }
+        }
+    }
+
+    /// An attempt timed out; nothing may be known yet of how long one takes.
+    fn note_early_timeout(&mut self, running: &Running) {
+        if let Some(service) = self.find_service(&running.job.arrival.service) {
+            let state = &mut self.services[service];
+            state.early_timeouts += usize::from(state.latency.high().is_none());
+        }
+    }
+
+    fn record_answer(
+        &mut self,
+        now: Time,
+        running: &Running,
+        at: usize,
+        status: u16,
+        out: &mut Vec<Action>,
+    ) {
+        let took = now.since(running.sent_at);
+        let service = self.find_service(&running.job.arrival.service);
+        let local = matches!(running.destination, Destination::Target { .. });
+        let best = service.map_or(0, |s| self.services[s].best_mean);
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        // A target that fails fast must not attract requests by its speed.
+        if status < 500 || latency::micros(took) >= best {
+            endpoint.latency.record(now, took, 16);
+            if let Some(service) = service.filter(|_| local) {
+                self.services[service].latency.record(now, took, 32);
+            }
+        }
+        endpoint.window.record_answer();
+        endpoint
+            .reported
+            .update_trust(endpoint.slots, latency::micros(took) <= best);
+        if endpoint.health.record_success(running.sent_at) {
+            endpoint.mark_cold(now);
+        }
+        let mut changes = Vec::new();
+        if local && !self.suspects.is_empty() {
+            changes.extend(self.suspects.clear(running.job.arrival.fingerprint));
+            let name = running.destination.name();
+            self.suspects.survived(name, running.sent_at, &mut changes);
+        }
+        out.extend(changes.into_iter().map(suspect_action));
+    }
+
+    fn record_fault(&mut self, now: Time, at: usize, sent_at: Time, fault: Fault) {
+        let on = self.tuning.safeguards;
+        let service_name = &self.endpoints.as_slice()[at].service;
+        let spare = !on.has(Safeguard::LastTarget)
+            || self
+                .find_service(service_name)
+                .is_some_and(|service| self.has_half_left(now, service, at));
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        if endpoint
+            .health
+            .record_fault(now, sent_at, fault, spare, &mut self.rng)
+        {
+            self.stats.ejected += 1;
+        }
+    }
+
+    /// Whether half the targets of a service would still be in use without one.
+    fn has_half_left(&self, now: Time, service: usize, without: usize) -> bool {
+        let on = self.tuning.safeguards;
+        let endpoints = self.endpoints.as_slice();
+        let locals = &self.services[service].locals;
+        let used = |endpoint: usize| {
+            matches!(
+                endpoints[endpoint].availability(now, on),
+                Availability::Free | Availability::Busy
+            )
+        };
+        let left = locals
+            .iter()
+            .filter(|l| l.endpoint != without && used(l.endpoint));
+        left.count() * 2 >= locals.len()
+    }
+
+    /// A target broke under a request: a strike against it.
+    fn record_break(&mut self, now: Time, running: &Running, out: &mut Vec<Action>) {
+        let local = matches!(running.destination, Destination::Target { .. });
+        if !local || !self.tuning.safeguards.has(Safeguard::Poison) {
+            return;
+        }
+        let fingerprint = running.job.arrival.fingerprint;
+        let name = running.destination.name();
+        let change = self
+            .suspects
+            .strike(now, running.strikes, fingerprint, name);
+        out.push(suspect_action(change));
+        self.refuse_poisoned(change.print, out);
+    }
+
+    pub(super) fn suspected(
+        &mut self,
+        now: Time,
+        fingerprint: Fingerprint,
+        strikes: u8,
+        out: &mut Vec<Action>,
+    ) {
+        self.suspects.told(now, fingerprint, strikes);
+        self.refuse_poisoned(fingerprint, out);
+    }
+
+    /// Refuses the waiting copies of a request that is refused for good.
+    fn refuse_poisoned(&mut self, fingerprint: Fingerprint, out: &mut Vec<Action>) {
+        let on = self.tuning.safeguards.has(Safeguard::Poison);
+        if !on || self.suspects.strikes(fingerprint) < poison::STRIKES {
+            return;
+        }
+        for service in 0..self.services.len() {
+            let queue = core::mem::take(&mut self.services[service].queue);
+            let (bad, good): (VecDeque<_>, VecDeque<_>) = queue
+                .into_iter()
+                .partition(|j| j.arrival.fingerprint == fingerprint);
+            self.services[service].queue = good;
+            for job in bad {
+                self.finish_job(&job, Refusal::unknown(Reason::Poison, None), out);
+            }
+        }
+    }
+
+    pub(super) fn report(&mut self, now: Time, name: &Arc<str>, report: Report) {
+        let Some(at) = self.endpoints.target(name) else {
+            return;
+        };
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
+        endpoint
+            .reported
+            .record(now, report.load, endpoint.in_flight);
+        if report.state == State::Leaving {
+            endpoint.mark_leaving(now);
+        }
+    }
+
+    pub(super) fn probed(&mut self, now: Time, name: &Arc<str>, report: Option<Report>) {
+        let Some(at) = self.endpoints.target(name) else {
+            return;
+        };
+        let endpoint = &mut self.endpoints.as_mut_slice()[at];
+        endpoint.last_evidence = now;
+        if let Some(report) = report {
+            endpoint.health.note_probe();
+            self.report(now, name, report);
+        } else {
+            self.record_fault(now, at, now, Fault::Hard);
+        }
+    }
+
+    /// When to come back where nothing is known of the waiting time.
+    pub(super) fn default_retry_after(&mut self) -> core::time::Duration {
+        admission::jitter(admission::COME_BACK.0, &mut self.rng)
+    }
+}
+
+pub(super) const fn suspect_action(change: Change) -> Action {
+    Action::Suspect {
+        fingerprint: change.print,
+        strikes: change.strikes,
+    }
+}
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use steer::clock::Time;
-use steer::process::direct::access::{self, Access, Pass, Presented};
+use steer::process::direct::access::{self, Access, Authorized, Credential};
 use steer::process::direct::upstream::Upstream;
 use steer::process::direct::{
     AttemptOutcome, Bounds, Decision, Direct, FollowUp, Rejection, Request,
@@ -55,7 +55,7 @@
     bench
 }
 
-fn access(bench: &Bench, now: Time, presented: Presented) -> Access {
+fn access(bench: &Bench, now: Time, presented: Credential) -> Access {
     let routes = bench.direct.routes().expect("one is in force");
     bench.direct.access(now, routes, &bench.route, presented)
 }
@@ -65,7 +65,7 @@
     let team = routes.teams.get(team).expect("it is there");
     Request {
         route: Arc::clone(&bench.route),
-        pass: Some(Pass {
+        pass: Some(Authorized {
             team: Arc::clone(team),
             key: key(&team.name),
         }),
@@ -76,11 +76,11 @@
 }
 
 #[rstest]
-#[case::key(Presented::Key(key("masons")), "granted")]
-#[case::unknown_key(Presented::Key(key("nobody")), "denied")]
-#[case::no_key(Presented::Nothing, "denied")]
-#[case::malformed(Presented::Malformed, "denied")]
-fn judge_key(#[case] presented: Presented, #[case] expected: &str) {
+#[case::key(Credential::Key(key("masons")), "granted")]
+#[case::unknown_key(Credential::Key(key("nobody")), "denied")]
+#[case::no_key(Credential::Missing, "denied")]
+#[case::malformed(Credential::Malformed, "denied")]
+fn judge_key(#[case] presented: Credential, #[case] expected: &str) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(1_000));
     let name = |access| match access {
@@ -88,7 +88,7 @@
         Access::Granted(pass) if &*pass.team.name == "masons" => "granted",
         Access::Granted(_) => "another team's",
         Access::Denied => "denied",
-        Access::Unsure => "unsure",
+        Access::KeysStale => "unsure",
     };
     assert_eq!(name(access(&bench, at(1_500), presented)), expected);
     // Too old to say that a key is unknown, but not that one is known: the store
@@ -110,15 +110,18 @@
         ..route()
     };
     let bench = bench(open, vec![team("masons", &[], None)]);
-    assert_eq!(access(&bench, at(1_000), Presented::Nothing), Access::Open);
-    let unknown = Presented::Key(key("nobody"));
+    assert_eq!(access(&bench, at(1_000), Credential::Missing), Access::Open);
+    let unknown = Credential::Key(key("nobody"));
     assert_eq!(access(&bench, at(1_000), unknown), Access::Open);
 }
 
 #[test]
 fn need_no_key_without_teams() {
     let bench = bench(route(), Vec::new());
-    assert_eq!(access(&bench, at(60_000), Presented::Nothing), Access::Open);
+    assert_eq!(
+        access(&bench, at(60_000), Credential::Missing),
+        Access::Open
+    );
     assert!(bench.direct.is_sound(at(60_000)));
 }
 
@@ -167,7 +170,7 @@
     let held: Vec<_> = (0..8)
         .map(|_| {
             let ask = ask(&bench, at(4_000), "masons");
-            let taken = bench.direct.arrive(at(4_000), ask);
+            let taken = bench.direct.submit(at(4_000), ask);
             let ticket = taken.expect("the route has a service");
             bench.direct.step(at(4_000));
             ticket
@@ -206,7 +209,7 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
+    bench.direct.submit(at(10), asked).expect("it is taken in");
     let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
@@ -234,7 +237,7 @@
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), asked).expect("it is taken in");
+    bench.direct.submit(at(10), asked).expect("it is taken in");
     let Some(Decision::Send(go)) = bench.order(at(10)) else {
         panic!("a target is free");
     };
@@ -268,7 +271,7 @@
     let mut bench = bench(homed, vec![team("masons", of_team, None)]);
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
-    let taken = bench.direct.arrive(at(10), asked);
+    let taken = bench.direct.submit(at(10), asked);
     let Some(expected) = expected else {
         assert_eq!(taken, Err(Rejection::NoRegion));
         return;
@@ -299,8 +302,8 @@
     bench.direct.confirm(at(0));
     let first = ask(&bench, at(10), "office");
     let second = ask(&bench, at(10), "masons");
-    bench.direct.arrive(at(10), first).expect("it is taken in");
-    let urgent = bench.direct.arrive(at(10), second).expect("it is taken in");
+    bench.direct.submit(at(10), first).expect("it is taken in");
+    let urgent = bench.direct.submit(at(10), second).expect("it is taken in");
     let orders = bench.direct.step(at(10));
     let Some(Decision::Send(go)) = orders.first() else {
         panic!("a target is free");
@@ -324,7 +327,7 @@
 #[test]
 fn key_prints_as_digest() {
     let digest = key("dqiqrh4jcda9rgy35iei");
-    let printed = format!("{digest} {digest:?} {:?}", Presented::Key(digest));
+    let printed = format!("{digest} {digest:?} {:?}", Credential::Key(digest));
     assert!(!printed.contains("dqiqrh4jcda9rgy35iei"), "{printed}");
     assert_eq!(KeyDigest::parse(&digest.hex()), Some(digest));
     assert_eq!(KeyDigest::parse("dqiq"), None);
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -5,7 +5,7 @@
 
 use steer::clock::Time;
 use steer::process::direct::budget::Rule;
-use steer::process::direct::members::{Beat, Row};
+use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::target::Entry;
 use steer::process::direct::{
     Assignment, AttemptOutcome, Bounds, Decision, Direct, FollowUp, Identity, Request, Ticket,
@@ -20,9 +20,9 @@
     Time::from_micros(millis * 1000)
 }
 
-pub fn row(region: &str) -> Row {
+pub fn row(region: &str) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
-    Row {
+    Registration {
         region: region.into(),
         domain: format!("{region}-a").into(),
         callers: addr,
@@ -31,8 +31,8 @@
     }
 }
 
-pub fn beat(name: &str, seq: u64) -> Beat {
-    Beat {
+pub fn beat(name: &str, seq: u64) -> Heartbeat {
+    Heartbeat {
         name: name.into(),
         life: 7,
         seq,
@@ -157,12 +157,12 @@
     }
 
     /// A request arrives at `now`, for an object if one is named.
-    pub fn arrive(&mut self, now: Time, object: Option<u64>) -> Ticket {
-        self.arrive_until(now, object, now + Duration::from_secs(4))
+    pub fn submit(&mut self, now: Time, object: Option<u64>) -> Ticket {
+        self.submit_until(now, object, now + Duration::from_secs(4))
     }
 
     /// A request arrives whose caller waits until `deadline`.
-    pub fn arrive_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
+    pub fn submit_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
         let ask = Request {
             route: Arc::clone(&self.route),
             pass: None,
@@ -171,7 +171,7 @@
             print: Fingerprint(1),
         };
         self.direct
-            .arrive(now, ask)
+            .submit(now, ask)
             .expect("the route has a service")
     }
 
@@ -184,7 +184,7 @@
 
     /// A request arrives and is sent at once.
     pub fn send(&mut self, now: Time, object: Option<u64>) -> Assignment {
-        self.arrive(now, object);
+        self.submit(now, object);
         match self.order(now) {
             Some(Decision::Send(go)) => go,
             other => panic!("not sent: {other:?}"),
