--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -36,7 +36,7 @@
     /// Request id set by the caller; the answer must carry the same.
     pub id: Option<HeaderValue>,
     /// Whether the request may run more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
 }
 
 /// Result of an attempt.
@@ -74,7 +74,7 @@
     let pool = &shared.target_pool;
     // A request that must not run twice gets a new connection: on a reused one that
     // the target is just closing, it would stay unknown whether it was received.
-    let sent = if forwarded.idempotent {
+    let sent = if forwarded.is_idempotent {
         pool.send(assignment.addr, request).await
     } else {
         pool.send_alone(assignment.addr, request).await
@@ -98,7 +98,7 @@
     };
     let info = headers::answer(&head.headers);
     let outcome = classify(head.status, &info, forwarded);
-    if outcome != AttemptOutcome::InvalidResponse && forwarded.idempotent {
+    if outcome != AttemptOutcome::InvalidResponse && forwarded.is_idempotent {
         rest.put_back();
     }
     let mut fields = head.headers;
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -201,12 +201,12 @@
         }
         return meta.own_answer(&shared, "", StatusCode::NOT_FOUND, "no-route");
     };
-    let presented = headers::presented(request.headers());
-    let pass = match shared.read(|now, d| d.access(now, &routes, &route, presented)) {
+    let credential = headers::presented(request.headers());
+    let authorized = match shared.read(|now, d| d.access(now, &routes, &route, credential)) {
         Access::Open => None,
-        Access::Granted(pass) => Some(pass),
+        Access::Granted(authorized) => Some(authorized),
         Access::Denied => {
-            let reason = denial_reason(presented);
+            let reason = denial_reason(credential);
             return meta.own_answer(&shared, &route.name, StatusCode::UNAUTHORIZED, reason);
         }
         Access::KeysStale => return meta.reject(&shared, &route.name, "unsure-of-keys"),
@@ -217,9 +217,9 @@
     let mut fields = head.headers;
     headers::strip(&mut fields);
     if !routes.teams.is_empty() {
-        headers::authorize(&mut fields, pass.as_ref().map(|p| &*p.team.name));
+        headers::authorize(&mut fields, authorized.as_ref().map(|p| &*p.team.name));
     }
-    let team = pass.as_ref().map(|p| Arc::clone(&p.team.name));
+    let team = authorized.as_ref().map(|p| Arc::clone(&p.team.name));
     let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
     let object = caller.object.as_ref().filter(|_| route.affinity);
     let object = object.map(|o| object_hash(&route, o.as_bytes()));
@@ -228,7 +228,7 @@
         object,
         deadline: arrived + max_wait,
         route: Arc::clone(&route),
-        pass,
+        pass: authorized,
     };
     let outgoing = RoutedRequest {
         shared,
@@ -238,7 +238,7 @@
             headers: fields,
             body,
             id: caller.id,
-            idempotent: route.idempotent,
+            is_idempotent: route.idempotent,
         },
         route,
         team,
@@ -250,8 +250,8 @@
 }
 
 /// Reason for a 401, as counted and logged.
-const fn denial_reason(presented: Credential) -> &'static str {
-    match presented {
+const fn denial_reason(credential: Credential) -> &'static str {
+    match credential {
         Credential::Missing => "no-key",
         Credential::Malformed => "malformed-key",
         Credential::Key(_) => "unknown-key",
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -26,9 +26,9 @@
 /// Calls that an instance serves to other instances.
 #[tarpc::service]
 pub trait Peer {
-    /// Changes of the store after revision `known`. If there are none yet, answers at
-    /// the next update from the store, which may confirm that nothing changed, or
-    /// after `wait_ms` at the latest.
+    /// Changes of the store after revision `known`. If there are none yet, answers when
+    /// the called instance gets its next update, which may only confirm that nothing
+    /// changed, or after `wait_ms` at the latest.
     async fn changes(known: u64, wait_ms: u32) -> Changes;
 }
 
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -33,7 +33,7 @@
 };
 
 /// Each of these listeners accepts 1/n of the maximum of callers' connections, on top
-/// of them. Its connections are short-lived: most send a single request.
+/// of them. A connection usually sends a single request.
 const CONNECTIONS_DIVISOR: usize = 8;
 
 /// Accepts and serves connections on one listener.
@@ -112,9 +112,9 @@
             domain: settings.domain.as_ref().to_owned(),
             version: Some(version),
         };
-        let other = |(name, row, version): (&Arc<str>, &Registration, _)| StatusEntry {
+        let other = |(name, instance, version): (&Arc<str>, &Registration, _)| StatusEntry {
             name: name.as_ref().to_owned(),
-            domain: row.domain.as_ref().to_owned(),
+            domain: instance.domain.as_ref().to_owned(),
             version,
         };
         let mut entries: Vec<StatusEntry> = direct.versions(now).map(other).collect();
@@ -149,29 +149,32 @@
 /// need no key.
 fn addresses(shared: &Shared, from: &Where) -> Vec<SocketAddr> {
     let ready = shared.is_ready().then(|| shared.registration());
-    let (mut rows, homes) = shared.read(|now, direct| {
-        let serving = direct.serving(now).map(|(_, row)| row.clone());
-        let rows: Vec<Registration> = ready.into_iter().chain(serving).collect();
+    let (mut candidates, home_regions) = shared.read(|now, direct| {
+        let serving = direct.serving(now).map(|(_, instance)| instance.clone());
+        let candidates: Vec<Registration> = ready.into_iter().chain(serving).collect();
         let routes = direct.routes();
-        (rows, routes.map_or_else(Vec::new, |r| r.homes(&from.host)))
+        (
+            candidates,
+            routes.map_or_else(Vec::new, |r| r.homes(&from.host)),
+        )
     });
-    if rows.is_empty() && shared.is_serving() {
-        rows = shared.read(|now, direct| {
-            let others = direct.others(now).map(|(_, row)| row.clone());
+    if candidates.is_empty() && shared.is_serving() {
+        candidates = shared.read(|now, direct| {
+            let others = direct.others(now).map(|(_, instance)| instance.clone());
             others.chain([shared.registration()]).collect()
         });
     }
     let select = |matches: &dyn Fn(&Registration) -> bool| -> Vec<SocketAddr> {
-        let rows = rows.iter().filter(|row| matches(row));
-        rows.map(|row| row.callers).collect()
+        let candidates = candidates.iter().filter(|instance| matches(instance));
+        candidates.map(|instance| instance.callers).collect()
     };
-    let local = select(&|row| *row.region == *from.region);
+    let local = select(&|instance| *instance.region == *from.region);
     if !local.is_empty() {
         return local;
     }
-    let homes = select(&|row| homes.contains(&row.region));
-    if !homes.is_empty() {
-        return homes;
+    let home = select(&|instance| home_regions.contains(&instance.region));
+    if !home.is_empty() {
+        return home;
     }
     select(&|_| true)
 }
--- a/crates/auburnrouter/src/direct/socket.rs
+++ b/crates/auburnrouter/src/direct/socket.rs
@@ -15,7 +15,7 @@
 /// core.
 pub struct Socket {
     stream: Arc<Async<TcpStream>>,
-    readable: bool,
+    is_readable: bool,
 }
 
 impl Socket {
@@ -23,19 +23,19 @@
     pub fn new(stream: net::TcpStream) -> Self {
         Self {
             stream: stream.into(),
-            readable: true,
+            is_readable: true,
         }
     }
 
     /// Reads available bytes; 0 at end of stream.
     pub fn poll_read(&mut self, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
-            if !self.readable {
+            if !self.is_readable {
                 ready!(self.stream.poll_readable(cx))?;
-                self.readable = true;
+                self.is_readable = true;
             }
             match self.stream.get_ref().read(bytes) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.readable = false,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_readable = false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 result => return Poll::Ready(result),
             }
