--- a/crates/steer/src/process/target.rs
+++ b/crates/steer/src/process/target.rs
@@ -1,7 +1,7 @@
-//! What this instance knows of a place from its own traffic.
+//! State of each target and peer, measured from this instance's own traffic.
 //!
-//! Invariant: a [`Endpoint`] is kept by name across views, and nothing a target
-//! says of itself can make the endpoint look better than the own count does.
+//! Invariant: an [`Endpoint`] is kept by name across views, and no report of a
+//! target makes it look less loaded than this instance's own in-flight count.
 
 pub mod choose;
 pub mod health;
@@ -16,33 +16,34 @@
 use crate::process::safeguard::{Safeguard, Safeguards};
 use crate::version::view::{Incarnation, State};
 
-/// How long a sign of leaving outweighs a view that says otherwise. The list
-/// lags by seconds; a target that changed its mind loses no more than this.
+/// Time for which a report or refusal that says "leaving" outweighs a view in
+/// which the target is live. Views lag by seconds; a target that does not leave
+/// after all gets no requests for at most this long.
 pub const LEAVING_HOLD_TIME: Duration = Duration::from_secs(30);
 
-/// Time over which a cold target is brought to its full share.
+/// Time over which the limit of a cold target rises to its full value.
 pub const RAMP_TIME: Duration = Duration::from_secs(10);
 
-/// Share in thousandths that a cold target starts with.
+/// Share of the full limit at which a cold target starts, in thousandths.
 const RAMP_START_PERMILLE: u64 = 250;
 
-/// Whether a place may be given a request now.
+/// Whether an endpoint may be sent a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It has room.
+    /// Healthy and below its limit.
     Free,
-    /// Its ejection is over; one request may try it.
+    /// The ejection time is over; one request at a time may try it.
     Trial,
-    /// It works but has no room.
+    /// Healthy, but at its limit, paused by a refusal, or reserved.
     Busy,
-    /// It is ejected; only a request with no other place may try it.
+    /// Ejected; only a request without any other endpoint may try it.
     Ejected,
-    /// It leaves or has left.
+    /// Shutting down or gone.
     Leaving,
 }
 
-/// What a place is. Targets and entry instances are named apart, so one of each
-/// may have the same name.
+/// Kind of an endpoint. Targets and entry instances have separate name spaces,
+/// so one of each may have the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// A target.
@@ -51,44 +52,45 @@
     Peer,
 }
 
-/// One place for one service.
+/// State of one target or peer for one service.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What it is.
+    /// Target or peer.
     pub kind: Kind,
     /// Name of the target or entry instance.
     pub name: Arc<str>,
     /// Name of the service.
     pub service: Arc<str>,
-    /// Which process, where the place is an entry instance.
+    /// Incarnation of the process, if this is an entry instance.
     pub incarnation: Incarnation,
-    /// Requests it runs at a time, as configured; for an entry instance the
-    /// most that may be outstanding there.
+    /// Requests that it runs at a time, as configured; for an entry instance
+    /// the maximum that may be outstanding there.
     pub slots: u32,
-    /// What the view says.
+    /// State in the view in force.
     pub state: State,
     /// Requests of this instance in flight there.
     pub in_flight: u32,
-    /// Measured time per request.
+    /// Measured latency of its answers.
     pub latency: latency::Latency,
-    /// Evidence of failures.
+    /// Recent faults, and the ejection that they led to.
     pub health: health::Health,
-    /// How much of the place this instance may use.
+    /// Concurrency limit learned from its answers and refusals.
     pub window: window::Window,
-    /// What the place says of itself.
+    /// Load that other instances cause, as the target reports it.
     pub reported: report::ReportedLoad,
-    /// Set while a suspected request has or awaits the target for itself.
+    /// Whether the target is kept for one suspected request, which runs or is
+    /// to run there alone.
     pub is_reserved: bool,
-    /// When it last showed a sign of life or death.
+    /// Time of the last attempt's end, report or probe.
     pub last_evidence: Time,
-    /// Whether the view in force has it.
+    /// Whether the view in force contains it.
     pub in_view: bool,
     leaving_since: Option<Time>,
     cold_since: Option<Time>,
 }
 
 impl Endpoint {
-    /// A place without history.
+    /// Creates an endpoint without history.
     #[must_use]
     pub fn new(
         kind: Kind,
@@ -118,19 +120,19 @@
         }
     }
 
-    /// Starts the ramp of a target that is new or has come back.
+    /// Restarts the ramp, for a target that is new or has come back.
     pub const fn mark_cold(&mut self, now: Time) {
         self.cold_since = Some(now);
     }
 
-    /// Notes a sign of leaving that came before the view's.
+    /// Records that a report or refusal said "leaving", ahead of the view.
     pub const fn mark_leaving(&mut self, now: Time) {
         self.leaving_since = Some(now);
     }
 
-    /// Takes the view's word. Only a view that went from leaving to live takes
-    /// back what a report or refusal said: one that was live all along may be
-    /// older than they are.
+    /// Sets the state that the view gives. Only a change from leaving to live
+    /// cancels what a report or refusal said: a view in which the target was
+    /// live all along may be older than they are.
     pub fn set_view_state(&mut self, now: Time, state: State) {
         if self.state == State::Leaving && state == State::Live {
             self.leaving_since = None;
@@ -139,8 +141,8 @@
         self.state = state;
     }
 
-    /// Ends what time ends: a target that said it was leaving, and is still in
-    /// the view as live, is taken for a new one.
+    /// Cancels a report of leaving after [`LEAVING_HOLD_TIME`]. The target then
+    /// counts as new, with a cold cache.
     pub fn expire_leaving(&mut self, now: Time) {
         if self
             .leaving_since
@@ -151,7 +153,8 @@
         }
     }
 
-    /// Whether any sign says that the place is leaving.
+    /// Returns whether the view says that the endpoint is leaving, or a recent
+    /// report or refusal does.
     #[must_use]
     pub fn is_leaving(&self, now: Time, on: Safeguards) -> bool {
         let is_reported = self
@@ -160,7 +163,8 @@
         self.state == State::Leaving || (is_reported && on.has(Safeguard::Leaving))
     }
 
-    /// Share of full use in thousandths, below 1000 while cold.
+    /// Share of the slots that may be used, in thousandths; below 1000 while
+    /// the endpoint is cold.
     #[must_use]
     pub fn ramp_permille(&self, now: Time, on: Safeguards) -> u64 {
         let Some(cold) = self.cold_since.filter(|_| on.has(Safeguard::Ramp)) else {
@@ -171,7 +175,7 @@
         RAMP_START_PERMILLE + (1000 - RAMP_START_PERMILLE) * age / full
     }
 
-    /// Requests this instance may have in flight there.
+    /// Requests that this instance may have in flight there, at least one.
     #[must_use]
     pub fn limit(&self, now: Time, on: Safeguards) -> u32 {
         if !on.has(Safeguard::OwnCount) {
@@ -182,7 +186,7 @@
         self.window.limit().min(warm).max(1)
     }
 
-    /// Whether the place may be given a request now.
+    /// Returns whether the endpoint may be sent a request now.
     #[must_use]
     pub fn availability(&self, now: Time, on: Safeguards) -> Availability {
         if self.is_leaving(now, on) {
@@ -202,7 +206,7 @@
     }
 
     /// Cost of one more request there; lower is better. `best` is the lowest
-    /// mean time among the places it is compared with, in microseconds.
+    /// mean latency among the endpoints compared, in microseconds.
     #[must_use]
     pub fn score(&self, now: Time, best: u64, on: Safeguards) -> u64 {
         let reported = self.reported.extra_load(now, self.slots, on);
@@ -221,17 +225,18 @@
 }
 
 impl EndpointTable {
-    /// Where the endpoint of a place is, or where it belongs.
+    /// Returns the index of an endpoint.
     ///
     /// # Errors
-    /// The place to insert at, if there is no such endpoint.
+    /// The index to insert it at, if there is no such endpoint.
     pub fn find(&self, kind: Kind, name: &str, service: &str) -> Result<usize, usize> {
         self.endpoints
             .binary_search_by(|t| (t.kind, &*t.name, &*t.service).cmp(&(kind, name, service)))
     }
 
-    /// Where the endpoint of a target is, by its name alone. A target that was
-    /// given to another service while it had work has two; the present counts.
+    /// Returns the index of a target by its name alone. A target that moved to
+    /// another service while it had requests in flight has two entries; the one
+    /// in the view is returned.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<usize> {
         let first = self
@@ -252,18 +257,18 @@
             .sort_by(|a, b| (a.kind, &a.name, &a.service).cmp(&(b.kind, &b.name, &b.service)));
     }
 
-    /// Forgets the endpoints that `keep` refuses.
+    /// Removes the endpoints for which `keep` returns false.
     pub fn retain(&mut self, keep: impl FnMut(&Endpoint) -> bool) {
         self.endpoints.retain(keep);
     }
 
-    /// All endpoints in order.
+    /// Returns all endpoints in order.
     #[must_use]
     pub fn as_slice(&self) -> &[Endpoint] {
         &self.endpoints
     }
 
-    /// All endpoints in order, to change.
+    /// Returns all endpoints in order, mutably.
     pub fn as_mut_slice(&mut self) -> &mut [Endpoint] {
         &mut self.endpoints
     }
--- a/crates/steer/src/process/target/choose.rs
+++ b/crates/steer/src/process/target/choose.rs
@@ -1,68 +1,69 @@
-//! Which of several places gets a request.
+//! Choice of one endpoint among several by their scores.
 //!
-//! Invariant: none of the ways looks at anything but the scores it is given.
+//! Invariant: a policy uses nothing but the scores and the random generator.
 
-/// How to choose among places that have room.
+/// Load balancing policy among endpoints that are available.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
     /// The lowest score; ties are broken at random.
     LowestScore,
-    /// The lower score of two places drawn at random. Entry instances that
-    /// share targets have the same stale reports; taking the lowest of all,
-    /// they would all go to the same target.
+    /// The lower score of two endpoints drawn at random. Entry instances that
+    /// share targets see the same stale reports; with the lowest score of all
+    /// they would all choose the same target.
     #[default]
     TwoChoices,
-    /// Drawn at random, in inverse proportion to the score.
+    /// One drawn at random, with a weight inverse to its score.
     Weighted,
 }
 
 impl Policy {
-    /// Chooses one of `places`, each with its score.
+    /// Chooses one of `candidates`, pairs of index and score; `None` if empty.
     pub fn choose(
         self,
-        places: impl Iterator<Item = (usize, u64)> + Clone,
+        candidates: impl Iterator<Item = (usize, u64)> + Clone,
         rng: &mut fastrand::Rng,
     ) -> Option<usize> {
         match self {
-            Self::LowestScore => lowest_score(places, rng),
-            Self::TwoChoices => two_choices(&places, rng),
-            Self::Weighted => weighted(&places, rng),
+            Self::LowestScore => lowest_score(candidates, rng),
+            Self::TwoChoices => two_choices(&candidates, rng),
+            Self::Weighted => weighted(&candidates, rng),
         }
     }
 }
 
 fn lowest_score(
-    places: impl Iterator<Item = (usize, u64)>,
+    candidates: impl Iterator<Item = (usize, u64)>,
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
     let mut best = None;
     let mut ties = 0;
-    for (place, score) in places {
+    for (index, score) in candidates {
         match best {
             Some((_, low)) if score > low => continue,
             Some((_, low)) if score == low => ties += 1,
             _ => ties = 1,
         }
-        // The n-th of equals takes the lead with chance 1/n: all the same.
+        // The n-th of equal scores replaces the choice with probability 1/n,
+        // so each of them is chosen with the same probability.
         if ties == 1 || rng.u32(..ties) == 0 {
-            best = Some((place, score));
+            best = Some((index, score));
         }
     }
-    best.map(|(place, _)| place)
+    best.map(|(index, _)| index)
 }
 
 fn two_choices(
-    places: &(impl Iterator<Item = (usize, u64)> + Clone),
+    candidates: &(impl Iterator<Item = (usize, u64)> + Clone),
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
-    let count = places.clone().count();
+    let count = candidates.clone().count();
     if count < 2 {
-        return places.clone().next().map(|p| p.0);
+        return candidates.clone().next().map(|p| p.0);
     }
     let first = rng.usize(..count);
     let second = (first + rng.usize(1..count)) % count;
-    let first = places.clone().nth(first)?;
-    let second = places.clone().nth(second)?;
+    let first = candidates.clone().nth(first)?;
+    let second = candidates.clone().nth(second)?;
     Some(if second.1 < first.1 {
         second.0
     } else {
@@ -71,19 +72,19 @@
 }
 
 fn weighted(
-    places: &(impl Iterator<Item = (usize, u64)> + Clone),
+    candidates: &(impl Iterator<Item = (usize, u64)> + Clone),
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
     let weight = |score: u64| 1_000_000 / score.max(1) + 1;
-    let sum: u64 = places.clone().map(|p| weight(p.1)).sum();
+    let sum: u64 = candidates.clone().map(|p| weight(p.1)).sum();
     if sum == 0 {
         return None;
     }
     let mut left = rng.u64(..sum);
-    for (place, score) in places.clone() {
+    for (index, score) in candidates.clone() {
         let weight = weight(score);
         if left < weight {
-            return Some(place);
+            return Some(index);
         }
         left -= weight;
     }
--- a/crates/steer/src/process/target/health.rs
+++ b/crates/steer/src/process/target/health.rs
@@ -1,43 +1,45 @@
-//! Failure evidence: when a place is taken out, and how it comes back.
+//! Outlier ejection: faults eject an endpoint, and a trial request brings it
+//! back.
 //!
-//! Invariant: an ejected place gets one request at a time until one succeeds,
-//! and each failed trial makes the next wait longer, up to a bound.
+//! Invariant: an ejected endpoint gets one request at a time until one
+//! succeeds, and each failed trial doubles the ejection time, up to a bound.
 
 use core::time::Duration;
 
 use crate::clock::Time;
 use crate::process::target::latency;
 
-/// What an attempt showed.
+/// Severity of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nobody listens, or the process died: two of these suffice.
+    /// The connection was refused or broke; two of these eject.
     Hard,
-    /// Too late, or a malformed answer: may be the request's fault.
+    /// A time-out or malformed answer, which the request may have caused; four
+    /// of these eject.
     Soft,
 }
 
-/// Whether the place may be used.
+/// Ejection state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing speaks against it.
+    /// Not ejected.
     Healthy,
-    /// Ejected, and not to be tried yet.
+    /// Ejected, and the ejection time is not over.
     Ejected,
-    /// Ejected, and due for a trial.
+    /// Ejected, and a trial request may be sent.
     TrialDue,
 }
 
-/// Points at which a place is ejected.
+/// Fault points at which an endpoint is ejected.
 const EJECTION_POINTS: u32 = 4;
-/// Points of a hard fault.
+/// Fault points of a hard fault; a soft one has one.
 const HARD_FAULT_POINTS: u32 = 2;
-/// First ejection.
+/// Mean time of the first ejection.
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
-/// Ejections double up to this many times: 16 s.
+/// Number of times that the ejection time doubles, up to 16 s.
 const EJECTION_DOUBLINGS_MAX: u32 = 6;
 
-/// Failure evidence of one place.
+/// Fault points and ejection of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     points: u32,
@@ -48,7 +50,7 @@
 }
 
 impl Health {
-    /// Whether the place may be used.
+    /// Returns the ejection state at `now`.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
         match self.ejected_until {
@@ -58,21 +60,21 @@
         }
     }
 
-    /// Notes that a probe reached the place.
+    /// Records that a probe reached the endpoint.
     pub const fn note_probe(&mut self) {
         self.is_probed = true;
     }
 
-    /// Whether a probe has reached the place since its ejection.
+    /// Returns whether a probe has reached the endpoint since its ejection.
     #[must_use]
     pub const fn has_passed_probe(&self) -> bool {
         self.is_probed
     }
 
-    /// Takes a fault of an attempt sent at `sent_at`. `has_spare` says that another
-    /// place would remain; without one soft evidence doesn't eject, because an
-    /// overload that delays all targets alike must not take them all out.
-    /// Returns whether the place was ejected by it.
+    /// Records a fault of an attempt sent at `sent_at`; returns whether it
+    /// ejects the endpoint. `has_spare` says that enough others would remain.
+    /// Without them soft faults do not eject, because an overload that delays
+    /// all targets alike must not eject them all.
     pub fn record_fault(
         &mut self,
         now: Time,
@@ -82,7 +84,7 @@
         rng: &mut fastrand::Rng,
     ) -> bool {
         if self.ejected_until.is_some() {
-            // The others that were in flight when it failed say nothing new.
+            // Attempts sent before the ejection are no new evidence.
             let is_trial = sent_at >= self.ejected_at;
             if is_trial {
                 self.eject(now, rng);
@@ -101,8 +103,8 @@
         is_ejected
     }
 
-    /// Takes an answer to an attempt sent at `sent_at`. Returns whether it ends
-    /// an ejection.
+    /// Records an answer to an attempt sent at `sent_at`; returns whether it
+    /// ends an ejection.
     pub fn record_success(&mut self, sent_at: Time) -> bool {
         if self.ejected_until.is_some() && sent_at < self.ejected_at {
             return false;
@@ -110,8 +112,8 @@
         let is_back = self.ejected_until.take().is_some();
         self.points = 0;
         if !is_back {
-            // A place that fails its first requests after each return keeps
-            // its streak; one that goes on working loses it.
+            // An endpoint that fails its first requests after each return keeps
+            // its streak; one that goes on answering loses it.
             self.streak = self.streak.saturating_sub(1);
         }
         is_back
@@ -119,8 +121,8 @@
 
     fn eject(&mut self, now: Time, rng: &mut fastrand::Rng) {
         let span = latency::micros(FIRST_EJECTION) << self.streak.min(EJECTION_DOUBLINGS_MAX);
-        // Entry instances eject at the same moment; without jitter they would
-        // all try the place at the same moment too.
+        // Entry instances eject an endpoint at about the same time; without
+        // jitter their trial requests would also arrive together.
         let span = Duration::from_micros(rng.u64(span / 2..=span * 3 / 2));
         self.streak = (self.streak + 1).min(EJECTION_DOUBLINGS_MAX);
         self.is_probed = false;
--- a/crates/steer/src/process/target/latency.rs
+++ b/crates/steer/src/process/target/latency.rs
@@ -1,30 +1,32 @@
-//! Smoothed time per request, and how it compares.
+//! Smoothed latency of an endpoint, and its comparison with the fastest one.
 //!
-//! Invariant: a measurement fades, so that a place once slow is tried again.
+//! Invariant: excess latency decays without new measurements, so that an
+//! endpoint that was slow is tried again.
 
 use core::time::Duration;
 
 use crate::clock::Time;
 
-/// Time in which the memory of slowness halves while there is nothing new.
+/// Half-life of excess latency while no new answers are measured.
 const FADE_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// Below this ratio, in thousandths, two places count as equally fast: their
-/// difference is noise, and preferring one would send it all the traffic.
+/// Ratio of mean latencies, in thousandths, below which two endpoints count as
+/// equally fast. The difference is noise; preferring the faster one would send
+/// it all the traffic.
 const NOISE_RATIO: u64 = 1500;
 
-/// Whether a place is fast enough.
+/// Speed of an endpoint compared with the fastest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Speed {
-    /// As far as known.
+    /// Fast enough, or not measured yet.
     Good,
-    /// It was too slow, long enough ago to be tried again.
+    /// Too slow when last measured, long enough ago to be tried again.
     Uncertain,
-    /// Waiting for another one is faster.
+    /// So slow that waiting for another endpoint is faster.
     Slow,
 }
 
-/// Mean and mean deviation, weighted to the newest.
+/// Exponentially weighted mean and mean deviation, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Latency {
     mean: u64,
@@ -34,7 +36,7 @@
 }
 
 impl Latency {
-    /// Takes a measurement, the newest weighing `1 / weight` of the mean.
+    /// Records a measurement, which gets `1 / weight` of the mean.
     pub fn record(&mut self, now: Time, took: Duration, weight: u64) {
         let took = micros(took);
         if !self.is_known {
@@ -46,7 +48,7 @@
             };
             return;
         }
-        // After a silence the old mean says little.
+        // After a pause the old mean is out of date: the new value gets half.
         let weight = if now.since(self.updated) > FADE_HALF_LIFE {
             2
         } else {
@@ -58,21 +60,22 @@
         self.updated = now;
     }
 
-    /// Mean time, once measured.
+    /// Mean latency; `None` before the first measurement.
     #[must_use]
     pub fn mean(&self) -> Option<Duration> {
         self.is_known.then(|| Duration::from_micros(self.mean))
     }
 
-    /// A time that few requests exceed, once measured.
+    /// Latency that few requests exceed: the mean and four mean deviations.
+    /// `None` before the first measurement.
     #[must_use]
     pub fn high(&self) -> Option<Duration> {
         self.is_known
             .then(|| Duration::from_micros(self.mean + 4 * self.dev))
     }
 
-    /// How a request sent now would fare, against one that first waits for
-    /// `wait` microseconds and then takes twice `best`.
+    /// Compares a request sent now with one that first waits for `wait`
+    /// microseconds and then takes twice `best` microseconds elsewhere.
     #[must_use]
     pub fn speed(&self, now: Time, best: u64, wait: u64) -> Speed {
         let bound = best.saturating_mul(2).saturating_add(wait);
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Mean over `best` in thousandths; 1000 if within noise or unknown.
+    /// Mean latency divided by `best`, in thousandths, with decay. Returns 1000
+    /// if the difference is noise or one of the two is unknown.
     #[must_use]
     pub fn ratio(&self, now: Time, best: u64) -> u64 {
         if !self.is_known || best == 0 {
@@ -101,7 +105,7 @@
     }
 }
 
-/// Whole microseconds of a span.
+/// Converts a duration to whole microseconds, saturating.
 #[must_use]
 pub fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
--- a/crates/steer/src/process/target/report.rs
+++ b/crates/steer/src/process/target/report.rs
@@ -1,22 +1,23 @@
-//! What a target says of its load, and how far that is believed.
+//! Load that a target reports, and the trust put in its reports.
 //!
-//! Invariant: a report only ever adds to the own count, by no more than the
-//! target's slots, and for no longer than [`REPORT_TTL`].
+//! Invariant: a report only adds to this instance's own in-flight count, by no
+//! more than the target's slots, and for no longer than [`REPORT_TTL`].
 
 use core::time::Duration;
 
 use crate::clock::Time;
 use crate::process::safeguard::{Safeguard, Safeguards};
 
-/// Age at which a report no longer counts.
+/// Age above which a report is ignored.
 pub const REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// The load that is not this instance's, as last reported.
+/// Load that other instances put on a target, derived from its reports.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
-    /// Thousandths of a request, smoothed.
+    /// Smoothed, in thousandths of a request.
     load: u64,
     reported_at: Option<Time>,
+    /// Share of the load that is counted, in thousandths.
     trust: u64,
 }
 
@@ -31,8 +32,8 @@
 }
 
 impl ReportedLoad {
-    /// Takes a reported `load`, of which `own` requests are this instance's.
-    /// The report is of another moment than `own`, so their difference is
+    /// Records a reported `load`, of which `own` requests are this instance's.
+    /// The two counts are not of the same moment, so their difference is
     /// smoothed.
     pub fn record(&mut self, now: Time, load: u32, own: u32) {
         let load = u64::from(load.saturating_sub(own)) * 1000;
@@ -47,7 +48,7 @@
         self.reported_at = Some(now);
     }
 
-    /// Load to add to the own count, in thousandths of a request.
+    /// Load to add to this instance's own count, in thousandths of a request.
     #[must_use]
     pub fn extra_load(&self, now: Time, slots: u32, on: Safeguards) -> u64 {
         let Some(at) = self.reported_at else { return 0 };
@@ -60,8 +61,9 @@
         self.load.min(u64::from(slots) * 1000) * self.trust / 1000
     }
 
-    /// Compares the claim with an answer. A target that says others fill it,
-    /// and answers as `is_quick` as an idle one, loses trust; else it regains it.
+    /// Compares the reports with an answer. A target that reports that others
+    /// fill all its slots, but answers as fast as an idle one (`is_quick`),
+    /// loses trust; any other answer restores some.
     pub fn update_trust(&mut self, slots: u32, is_quick: bool) {
         let is_full = self.reported_at.is_some() && self.load >= u64::from(slots) * 1000;
         self.trust = if is_full && is_quick {
