--- a/crates/steer/src/process/dispatch/dump.rs
+++ b/crates/steer/src/process/dispatch/dump.rs
@@ -1,4 +1,6 @@
-//! The dispatcher's state as text, for dumps on request.
+//! Text form of the dispatcher's state, for dumps on request.
+//!
+//! Invariant: a dump changes nothing.
 
 use core::fmt;
 
@@ -7,7 +9,7 @@
 use crate::process::safeguard::Safeguards;
 use crate::process::target::{Availability, Endpoint};
 
-/// A dispatcher's state at a point in time; one line per service and place.
+/// Dispatcher state at a point in time: a line per service and endpoint.
 pub struct Dump<'a> {
     pub(super) dispatch: &'a Dispatch,
     pub(super) now: crate::clock::Time,
@@ -42,20 +44,20 @@
             "{name}: {in_flight} in flight, {queue} waiting, {limit} at home, mean {mean} ms"
         )?;
         for local in &service.locals {
-            self.place(f, "target", &endpoints[local.endpoint])?;
+            self.endpoint(f, "target", &endpoints[local.endpoint])?;
         }
-        // Peers without a part in it would fill pages.
+        // Idle peers are left out: there are too many of them.
         let busy = |endpoint: &&Endpoint| endpoint.in_flight > 0;
         let peers = service.remotes.iter().map(|r| &endpoints[r.endpoint]);
         for endpoint in peers.filter(busy) {
-            self.place(f, "peer", endpoint)?;
+            self.endpoint(f, "peer", endpoint)?;
         }
         Ok(())
     }
 
-    fn place(&self, f: &mut fmt::Formatter<'_>, kind: &str, endpoint: &Endpoint) -> fmt::Result {
+    fn endpoint(&self, f: &mut fmt::Formatter<'_>, kind: &str, endpoint: &Endpoint) -> fmt::Result {
         let on: Safeguards = self.dispatch.tuning.safeguards;
-        let word = match endpoint.availability(self.now, on) {
+        let status = match endpoint.availability(self.now, on) {
             Availability::Free => "free",
             Availability::Trial => "due for a trial",
             Availability::Busy => "busy",
@@ -67,7 +69,7 @@
         let name = &endpoint.name;
         writeln!(
             f,
-            "  {kind} {name}: {word}, {in_flight} of {limit}, mean {mean} ms"
+            "  {kind} {name}: {status}, {in_flight} of {limit}, mean {mean} ms"
         )
     }
 }
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -1,4 +1,7 @@
-//! What goes into the dispatcher and what comes out.
+//! Events and actions of the dispatcher.
+//!
+//! Invariant: each [`Action::Send`] is followed by one [`Event::Ended`] of the
+//! same attempt, or by its [`Action::Cancel`].
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -13,29 +16,29 @@
 use crate::request::record::AskId;
 use crate::version::view::{Incarnation, State, View};
 
-/// Where an attempt is sent.
+/// Target or peer that an attempt is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// A target of this instance's failure domain.
     Target {
-        /// Its name.
+        /// Name of the target.
         name: Arc<str>,
-        /// Where it listens.
+        /// Address on which it listens.
         addr: SocketAddr,
     },
     /// An entry instance of another failure domain.
     Member {
-        /// Its name.
+        /// Name of the instance.
         name: Arc<str>,
-        /// Which process.
+        /// Incarnation of its process.
         incarnation: Incarnation,
-        /// Where it listens for peers.
+        /// Address on which it listens for peers.
         peer: SocketAddr,
     },
 }
 
 impl Destination {
-    /// What it is.
+    /// Kind of the endpoint.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self {
@@ -53,97 +56,97 @@
     }
 }
 
-/// What a target says of itself, in an answer's headers or to a probe. It may
-/// lag or mislead.
+/// Load and state that a target reports in the headers of an answer or in
+/// answer to a probe. It may be out of date or wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests it says it is running.
+    /// Requests that it reports to be running.
     pub load: u32,
-    /// Whether it says it takes new work.
+    /// Live if it takes new requests, leaving if not.
     pub state: State,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// A complete answer was received.
     Answered(Arc<Answer>),
-    /// The place refused it: certainly not run there.
+    /// The destination refused the request: certainly not run there.
     Refused {
-        /// When the place wants to be asked again.
+        /// Time after which it asks to be tried again.
         after: Option<Duration>,
-        /// Whether the place said that it is leaving.
+        /// True if it reported that it is leaving.
         leaving: bool,
     },
-    /// A peer gave up on it and says what is certain.
+    /// A peer refused the request; the refusal says whether it may have run.
     PeerRefused(Refusal),
     /// No connection could be opened: certainly not run there.
     Unreachable,
-    /// The connection broke after some byte of the request may have left.
+    /// The connection broke after a byte of the request may have been sent.
     Broken,
-    /// The answer was cut short or broke the protocol: the request ran.
+    /// The answer was truncated or malformed: the request ran.
     BadAnswer,
-    /// Nothing came before the attempt's budget ran out; it was cancelled.
+    /// No answer was received within the attempt's budget; it was cancelled.
     TimedOut,
 }
 
-/// What happens to the dispatcher.
+/// Event that the dispatcher handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request that may run has arrived.
+    /// A request arrived that the gate lets run.
     Arrive(Arrival),
     /// An attempt ended.
     Ended {
-        /// The request it was for.
+        /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
     /// A target reported its load.
     Report {
         /// Name of the target.
         target: Arc<str>,
-        /// What it says.
+        /// Load and state that it reports.
         report: Report,
     },
     /// A probe ended.
     Probed {
         /// Name of the target.
         target: Arc<str>,
-        /// What it said; `None` if it couldn't be reached.
+        /// Load and state that it reports; `None` if it could not be reached.
         report: Option<Report>,
     },
-    /// A peer says how many targets broke under a request.
+    /// A peer reports how many targets broke while they ran a request.
     Suspected {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Targets that broke; zero clears it.
+        /// Number of targets that broke; zero clears the request.
         strikes: u8,
     },
-    /// Control says whether this process holds its part of every cap. Due every
-    /// two seconds; an old word doesn't count.
+    /// Control reports whether this process holds its slot, and so its share of
+    /// every cap. Due every two seconds; an older report is ignored.
     SlotHeld(bool),
-    /// A peer lent a part of a cap, as [`Action::Borrow`] asked.
+    /// A peer lent a part of its share of a cap, as [`Action::Borrow`] asked.
     LoanGranted {
-        /// The cap.
+        /// Route of the cap.
         route: Route,
-        /// How much of it.
+        /// Amount lent, per second.
         amount: u64,
-        /// When it was asked for.
+        /// Time of the request, as in [`Action::Borrow`].
         asked_at: Time,
     },
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
     LoanRequested {
-        /// The driver's name for the question.
+        /// The driver's id of the request.
         ask: AskId,
-        /// The cap.
+        /// Route of the cap.
         route: Route,
-        /// How much of it.
+        /// Amount requested, per second.
         amount: u64,
     },
-    /// The caller left without waiting for its answer.
+    /// The caller disconnected without waiting for its answer.
     Disconnected(RequestId),
     /// A new view is in force.
     View(Arc<View>),
@@ -151,21 +154,21 @@
     Tick,
 }
 
-/// Longest time between two [`Event::Tick`]s.
+/// Maximum time between two [`Event::Tick`]s.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// What the dispatcher wants done.
+/// Action that the driver is to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to a place; report back by [`Event::Ended`].
+    /// Send the request to a target or peer; report back by [`Event::Ended`].
     Send {
         /// The request.
         id: RequestId,
-        /// Name of this try.
+        /// Id of the attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// Target or peer to send to.
         destination: Destination,
-        /// Time after which the driver gives the attempt up.
+        /// Time after which the driver cancels the attempt.
         budget: Duration,
     },
     /// Stop an attempt; no [`Event::Ended`] is due for it, and its connection
@@ -173,63 +176,63 @@
     Cancel {
         /// The request.
         id: RequestId,
-        /// The try to stop.
+        /// The attempt to stop.
         attempt: AttemptId,
     },
     /// Give the caller a target's answer.
     Reply {
         /// The request.
         id: RequestId,
-        /// The whole answer.
+        /// The complete answer.
         answer: Arc<Answer>,
     },
     /// Give the caller a final refusal.
     Refuse {
         /// The request.
         id: RequestId,
-        /// What to say.
+        /// Reason, outcome and time after which to ask again.
         refusal: Refusal,
     },
-    /// Ask a target how it is; report back by [`Event::Probed`].
+    /// Probe a target; report back by [`Event::Probed`].
     Probe {
-        /// Its name.
+        /// Name of the target.
         target: Arc<str>,
-        /// Where it listens.
+        /// Address on which it listens.
         addr: SocketAddr,
     },
     /// Ask a peer for a part of a cap; report back by [`Event::LoanGranted`] if it
     /// lends any.
     Borrow {
-        /// The peer's address.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// The cap.
+        /// Route of the cap.
         route: Route,
-        /// How much of it.
+        /// Amount requested, per second.
         amount: u64,
-        /// To be given back with the answer.
+        /// Time of the request, to be returned in [`Event::LoanGranted`].
         asked_at: Time,
     },
-    /// Answer a peer that asked for a part of a cap; zero is "nothing".
+    /// Answer a peer that asked for a part of a cap.
     Lend {
-        /// The driver's name for the question.
+        /// The driver's id of the request.
         ask: AskId,
-        /// How much it gets.
+        /// Amount lent, per second; zero if none is.
         amount: u64,
     },
-    /// Tell all peers how many targets broke under a request.
+    /// Report to all peers how many targets broke while they ran a request.
     Suspect {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Targets that broke; zero clears it.
+        /// Number of targets that broke; zero clears the request.
         strikes: u8,
     },
 }
 
-/// Where this instance stands.
+/// Name and failure domain of this instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its configured name.
+    /// Configured name of the instance.
     pub name: Arc<str>,
-    /// Name of its failure domain.
+    /// Name of the failure domain that it is in.
     pub domain: Arc<str>,
 }
--- a/crates/steer/src/process/dispatch/service.rs
+++ b/crates/steer/src/process/dispatch/service.rs
@@ -1,7 +1,7 @@
-//! What one service has here: its targets, peers that serve it, its queue.
+//! Dispatcher state of one service: its targets, its peers, its queue.
 //!
-//! Invariant: references into the table of endpoints are renewed with each view;
-//! the queue and what was measured are carried over by the service's name.
+//! Invariant: indices into the table of endpoints are rebuilt with each view;
+//! the queue and the measurements are carried over by the service's name.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -18,72 +18,73 @@
 /// A target of this failure domain.
 #[derive(Clone, Debug)]
 pub struct Local {
-    /// Its endpoint.
+    /// Index in the table of endpoints.
     pub endpoint: usize,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
 }
 
 /// An entry instance of another failure domain that serves the service.
 #[derive(Clone, Debug)]
 pub struct Remote {
-    /// Its endpoint.
+    /// Index in the table of endpoints.
     pub endpoint: usize,
-    /// Which process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub peer: SocketAddr,
-    /// Its reference in the view in force.
+    /// Key in the view in force.
     pub member: Member,
-    /// Its region.
+    /// Region of the instance.
     pub region: Region,
-    /// Whether that is this instance's region.
+    /// Whether that is this instance's own region.
     pub is_same_region: bool,
 }
 
-/// One service.
+/// State of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceState {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Index of its class; lower goes first.
+    /// Index of the service's class; a lower one is served first.
     pub class: usize,
     /// Share of the queue that the class may fill, in percent.
     pub queue_share: usize,
     /// Whether running a request twice does no harm.
     pub is_idempotent: bool,
-    /// Time a request has when its caller states no deadline.
+    /// Default deadline of a request whose caller gives none.
     pub deadline: Duration,
     /// Targets of this failure domain.
     pub locals: Vec<Local>,
-    /// Targets, from the first, that this instance prefers.
+    /// Number of targets, from the first, that this instance prefers.
     pub subset: usize,
-    /// Peers, the near ones in front.
+    /// Peers, those of this instance's region first.
     pub remotes: Vec<Remote>,
-    /// Number of near peers.
+    /// Number of peers in this instance's region.
     pub same_region: usize,
-    /// Requests that wait, oldest in front.
+    /// Requests that wait, oldest in front, except that those sent before go to
+    /// the front.
     pub queue: VecDeque<Job>,
-    /// Since when the queue hasn't been empty.
+    /// Time since which the queue has not been empty.
     pub queued_since: Time,
-    /// Measured time per request on the local targets.
+    /// Measured latency of all local targets together.
     pub latency: latency::Latency,
-    /// Attempts that timed out before any answer told how long one takes.
+    /// Number of attempts that timed out before any latency was measured.
     pub early_timeouts: usize,
-    /// Lowest mean time of a local target, in microseconds; zero if unknown.
+    /// Lowest mean latency of a local target, in microseconds; zero if unknown.
     pub best_mean: u64,
-    /// Requests that the local targets may run at a time.
+    /// Sum of the limits of the usable local targets, in requests.
     pub limit: u32,
-    /// Local targets that are ejected.
+    /// Number of local targets that are ejected.
     pub ejected: usize,
     /// Requests of this instance in flight on local targets.
     pub local_running: u32,
-    /// Requests of this service in flight anywhere.
+    /// Requests of this instance in flight, on local targets and peers.
     pub in_flight: usize,
 }
 
 impl ServiceState {
-    /// Renews what is derived from the endpoints.
+    /// Recomputes the fields that are derived from the endpoints.
     pub fn refresh(&mut self, now: Time, table: &EndpointTable, on: Safeguards) {
         let endpoints = table.as_slice();
         let means = self
@@ -108,7 +109,7 @@
         }
     }
 
-    /// What waiting here would mean for the next request.
+    /// Returns the figures from which the next request's waiting time follows.
     #[must_use]
     pub fn outlook(&self) -> Outlook {
         Outlook {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Requests of this service here.
+    /// Requests of the service at this instance, in flight or waiting.
     #[must_use]
     pub fn total(&self) -> usize {
         self.in_flight + self.queue.len()
--- a/crates/steer/src/process/dispatch/stats.rs
+++ b/crates/steer/src/process/dispatch/stats.rs
@@ -1,30 +1,32 @@
 //! Counters of the dispatcher, for metrics and dumps.
+//!
+//! Invariant: counters only grow.
 
 use core::fmt;
 
 use crate::process::dispatch::message::Destination;
 use crate::request::outcome::Reason;
 
-/// Counts since the process's start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Attempts sent to targets.
     pub local: u64,
     /// Attempts sent to peers.
     pub remote: u64,
-    /// Attempts that were repeats.
+    /// Attempts that were retries.
     pub retries: u64,
-    /// Whole answers passed on.
+    /// Complete answers given to callers.
     pub replied: u64,
-    /// Requests taken from the queue.
+    /// Requests sent from the queue to a local target.
     pub dequeued: u64,
-    /// Ejections.
+    /// Ejections of targets and peers.
     pub ejected: u64,
-    /// Probes sent.
+    /// Probes sent to targets.
     pub probes: u64,
-    /// Repeats that the budget stopped.
+    /// Retries that the retry budget did not allow.
     pub budget_denied: u64,
-    /// Refusals by reason, sorted.
+    /// Refusals per reason, sorted by reason.
     pub refusals: Vec<(Reason, u64)>,
 }
 
--- a/crates/steer/src/process/dispatch/tuning.rs
+++ b/crates/steer/src/process/dispatch/tuning.rs
@@ -1,4 +1,4 @@
-//! Limits of one instance, and everything else that can be set about it.
+//! Limits, policy and safeguards of one dispatcher.
 //!
 //! Invariant: with [`Tuning::default`] every safeguard is on.
 
@@ -7,19 +7,21 @@
 use crate::process::safeguard::Safeguards;
 use crate::process::target::choose::Policy;
 
-/// Bounds of one instance.
+/// Limits of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests in flight.
+    /// Maximum of requests in flight.
     pub in_flight: usize,
-    /// Requests waiting.
+    /// Maximum of requests that wait, over all services.
     pub queue: usize,
-    /// Share of both that one caller may have, in percent.
+    /// Share of `in_flight` and `queue` together that one caller may use, in
+    /// percent.
     pub caller_percent: usize,
-    /// Share of both that one service may have, in percent.
+    /// Share of `in_flight` and `queue` together that one service may use, in
+    /// percent.
     pub service_percent: usize,
-    /// Longest expected time in the queue. Past it waiting adds latency and no
-    /// throughput; short where latency counts, longer where refusals do.
+    /// Maximum of the expected time in the queue. A longer wait adds latency
+    /// and no throughput. Low values favour latency, high ones fewer refusals.
     pub wait_max: Duration,
 }
 
@@ -36,26 +38,26 @@
 }
 
 impl Limits {
-    /// Requests that one caller may have here.
+    /// Requests that one caller may have in flight or waiting.
     #[must_use]
     pub const fn per_caller(&self) -> usize {
         (self.in_flight + self.queue) * self.caller_percent / 100
     }
 
-    /// Requests that one service may have here.
+    /// Requests that one service may have in flight or waiting.
     #[must_use]
     pub const fn per_service(&self) -> usize {
         (self.in_flight + self.queue) * self.service_percent / 100
     }
 }
 
-/// Everything that can be set about a dispatcher.
+/// Settings of a dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tuning {
-    /// Bounds.
+    /// Limits of the instance.
     pub limits: Limits,
-    /// How targets are chosen.
+    /// Load balancing policy among targets.
     pub policy: Policy,
-    /// Safeguards that are on.
+    /// Safeguards that are enabled.
     pub safeguards: Safeguards,
 }
