--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -1,9 +1,10 @@
-//! Sends admitted requests to places and settles what becomes of them.
+//! Dispatcher: admits requests, sends them to targets and peers, queues them,
+//! and retries or refuses them.
 //!
 //! Invariant: every request that arrives gets exactly one [`Action::Reply`] or
-//! [`Action::Refuse`], unless its caller left; a request of a service that is
-//! not idempotent is never sent again once it may have run; and a refusal that
-//! says "not run" is given only while no attempt may have run.
+//! [`Action::Refuse`], unless its caller disconnects; a request of a service
+//! that is not idempotent is never sent again once it may have run; and a
+//! refusal says "not run" only while no attempt may have run.
 
 mod caps;
 mod completion;
@@ -34,7 +35,7 @@
 use service::ServiceState;
 use tuning::Tuning;
 
-/// The dispatcher's state.
+/// State of the dispatcher.
 pub struct Dispatch {
     identity: Identity,
     tuning: Tuning,
@@ -44,14 +45,14 @@
     endpoints: target::EndpointTable,
     /// Services, sorted by name.
     services: Vec<ServiceState>,
-    /// Indices of `services`, the class served first in front.
+    /// Indices of `services`, sorted by class, highest first.
     class_order: Vec<usize>,
     running: RunningRequests,
     callers: admission::Counts,
     budget: retry::Budget,
     suspects: poison::Suspects,
     shares: share::Shares,
-    /// Loans to ask for; empty between events.
+    /// Loan requests to send; empty between events.
     loan_requests: Vec<Action>,
     last_attempt: u64,
     last_probe: Time,
@@ -60,13 +61,13 @@
 }
 
 impl Dispatch {
-    /// A dispatcher with nothing in flight and an empty view.
+    /// Creates a dispatcher with no requests and an empty view.
     #[must_use]
     pub fn new(identity: Identity, rng: fastrand::Rng) -> Self {
         Self::with_tuning(identity, Tuning::default(), rng)
     }
 
-    /// The same with limits and safeguards of choice.
+    /// Creates a dispatcher with the given limits, policy and safeguards.
     #[must_use]
     pub fn with_tuning(identity: Identity, tuning: Tuning, rng: fastrand::Rng) -> Self {
         Self {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done to `out`.
+    /// Handles one event and appends the actions to perform to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
@@ -134,13 +135,13 @@
         self.services.iter().map(|s| s.queue.len()).sum()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub const fn stats(&self) -> &stats::Stats {
         &self.stats
     }
 
-    /// The state as text, at a point in time.
+    /// Returns the state at `now`, to be written as text.
     #[must_use]
     pub const fn dump(&self, now: Time) -> dump::Dump<'_> {
         dump::Dump {
@@ -176,7 +177,8 @@
         self.place(now, service, job, out);
     }
 
-    /// Checks that don't depend on time left; returns the service's group.
+    /// Checks the limits that do not depend on the deadline; returns the index
+    /// of the service.
     fn admit(&mut self, arrival: &Arrival) -> Result<usize, Refusal> {
         if self.view.version.0 == 0 {
             let after = Some(self.default_retry_after());
@@ -188,24 +190,24 @@
         let on = self.tuning.safeguards;
         let strikes = self.suspects.strikes(arrival.fingerprint);
         if on.has(Safeguard::Poison) && strikes >= poison::STRIKES {
-            // Earlier tries of the same request ran, so "not run" won't do.
+            // Earlier attempts of the same request ran: "not run" is wrong.
             return Err(Refusal::unknown(Reason::Poison, None));
         }
         let limits = self.tuning.limits;
-        let caller_full = self.callers.get(&arrival.caller) >= limits.per_caller();
-        if on.has(Safeguard::CallerLimit) && caller_full {
+        let is_caller_full = self.callers.get(&arrival.caller) >= limits.per_caller();
+        if on.has(Safeguard::CallerLimit) && is_caller_full {
             let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::CallerLimit, after));
         }
-        let service_full = self.services[service].total() >= limits.per_service();
-        if on.has(Safeguard::ServiceLimit) && service_full {
+        let is_service_full = self.services[service].total() >= limits.per_service();
+        if on.has(Safeguard::ServiceLimit) && is_service_full {
             let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::Overloaded, after));
         }
         Ok(service)
     }
 
-    /// Sends a job, lets it wait, or refuses it at once.
+    /// Sends a job, queues it, or refuses it at once.
     fn place(&mut self, now: Time, service: usize, job: Job, out: &mut Vec<Action>) {
         let left = job.deadline.since(now);
         let on = self.tuning.safeguards;
@@ -214,57 +216,57 @@
             let reason = job.last_failure.unwrap_or(Reason::Deadline);
             return self.refuse_job(&job, reason, wait, out);
         }
-        let first = self.services[service].queue.is_empty() || !job.tried.is_empty();
-        let room = self.has_room(service);
-        let suspect = self.is_suspect(&job);
-        if (first || suspect)
-            && room
-            && let Some(pick) = self.pick_target(now, service, &job, suspect)
+        let is_next = self.services[service].queue.is_empty() || !job.tried.is_empty();
+        let has_room = self.has_room(service);
+        let is_suspect = self.is_suspect(&job);
+        if (is_next || is_suspect)
+            && has_room
+            && let Some(pick) = self.pick_target(now, service, &job, is_suspect)
         {
             return self.send(now, service, job, pick, out);
         }
         let outlook = self.services[service].outlook();
         if job.arrival.origin == Origin::Peer {
-            // Only the instance that callers asked lets requests wait: a
-            // request that waits here could have been placed elsewhere.
+            // Only the instance that the caller reached queues requests: one
+            // that waits here could be served by another peer.
             return self.refuse_job(&job, Reason::Overloaded, outlook.wait(), out);
         }
-        let short = outlook.wait() <= self.wait_limit(now, service);
-        let hope = !on.has(Safeguard::Admission) || (short && outlook.hopeful(left));
-        let stay =
-            hope && self.has_open_target(now, service, &job) && self.has_queue_share(service);
-        let patience = if stay { outlook.wait() } else { left };
-        // What a cap allows counts as used, so it is asked only where the
-        // request would then go.
-        let remote = if room {
-            self.pick_peer(now, service, &job, patience, left)
+        let is_short = outlook.wait() <= self.wait_limit(now, service);
+        let is_hopeful = !on.has(Safeguard::Admission) || (is_short && outlook.hopeful(left));
+        let can_wait =
+            is_hopeful && self.has_open_target(now, service, &job) && self.has_queue_share(service);
+        let wait_max = if can_wait { outlook.wait() } else { left };
+        // A request that a cap admits counts as used: caps are only checked for
+        // the peer that the request is then sent to.
+        let remote = if has_room {
+            self.pick_peer(now, service, &job, wait_max, left)
         } else {
             Ok(None)
         };
-        let capped = match remote {
+        let cap_wait = match remote {
             Ok(Some(pick)) => return self.send(now, service, job, pick, out),
             Ok(None) => None,
             Err(after) => Some(after),
         };
-        if stay && self.make_room(service, out) {
+        if can_wait && self.make_room(service, out) {
             return self.enqueue(now, service, job);
         }
         if outlook.limit == 0
-            && room
+            && has_room
             && let Some(pick) = self.pick_ejected(now, service, &job)
         {
             return self.send(now, service, job, pick, out);
         }
         let reason = match job.last_failure {
-            _ if capped.is_some() => Reason::Cap,
+            _ if cap_wait.is_some() => Reason::Cap,
             Some(failed) => failed,
             None if outlook.limit == 0 => Reason::NoTarget,
-            // Short of time only if its own deadline is the reason: a wait that
-            // the instance's limits rule out is the instance's overload.
+            // The reason is the deadline only if the expected wait and run
+            // time exceed it. A wait that the limits exclude is overload.
             None if outlook.hopeful(left) => Reason::Overloaded,
             None => Reason::Deadline,
         };
-        let wait = match capped {
+        let wait = match cap_wait {
             Some(after) => after,
             None if outlook.limit == 0 => admission::COME_BACK.0 * 10,
             None => outlook.wait(),
@@ -272,15 +274,15 @@
         self.refuse_job(&job, reason, wait, out);
     }
 
-    /// Whether even an idle target would hardly answer in time. What starts
-    /// nevertheless takes a slot and is thrown away. While nothing runs one may
-    /// try: the time known may be of a brownout that is over, and without
-    /// answers it would never be known better.
+    /// Returns whether even an idle target would hardly answer in time. Such a
+    /// request would take a slot for an answer that is discarded. One is let
+    /// through while none runs: the measured latency may be of a brownout that
+    /// is over, and is only corrected by answers.
     fn is_too_late(&self, service: usize, left: core::time::Duration) -> bool {
-        let least = core::time::Duration::from_micros(self.services[service].best_mean / 2);
-        let on = self.tuning.safeguards.has(Safeguard::Admission);
-        let busy = self.services[service].local_running > 0;
-        left.is_zero() || (on && busy && left < least)
+        let run_min = core::time::Duration::from_micros(self.services[service].best_mean / 2);
+        let is_on = self.tuning.safeguards.has(Safeguard::Admission);
+        let is_busy = self.services[service].local_running > 0;
+        left.is_zero() || (is_on && is_busy && left < run_min)
     }
 
     fn send(
@@ -320,7 +322,8 @@
         });
     }
 
-    /// Gives a job up: its final answer goes out at once.
+    /// Refuses a job. `wait` is the expected wait, from which the time to ask
+    /// again follows.
     fn refuse_job(
         &mut self,
         job: &Job,
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -1,11 +1,12 @@
-//! Where the caps on traffic between regions are asked for.
+//! Admission by the caps on traffic between regions.
 //!
-//! A request shifts when it is served in another region than its caller's: it
-//! came straight to an instance of that region, or is passed on to one. A peer
-//! that passes a request on has asked for it already.
+//! A request is shifted if it is served in another region than its caller's:
+//! the caller sent it to an instance of that region, or a peer forwarded it to
+//! one. A peer that forwards a request has counted it against the caps already.
 //!
 //! Invariant: no request is served in another region than its caller's, and
-//! none crosses a link, unless this process's part of the cap had room for it.
+//! none crosses a capped link, unless this process's share of the cap had room
+//! for it.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -17,41 +18,40 @@
 use crate::request::arrival::{Arrival, Origin};
 use crate::version::view::{Member, Region, State};
 
-/// Bytes that a message between regions has besides its request or answer.
+/// Size of a message between regions without its request, in bytes.
 const MESSAGE_OVERHEAD_BYTES: u64 = 512;
 
-/// Peers asked for a loan at a time.
+/// Maximum number of peers asked for a loan at a time.
 const LENDERS_MAX: usize = 2;
 
 impl Dispatch {
-    /// This process's parts of the caps.
+    /// This process's shares of the caps.
     pub const fn shares(&mut self) -> &mut Shares {
         &mut self.shares
     }
 
-    /// An answer lacks room on a link: asks for loans.
+    /// Requests loans for an answer of `bytes` that has no room on `link`.
     pub fn request_link_loan(&mut self, now: Time, link: &Route, bytes: u64) {
         self.request_loans(now, link, bytes);
     }
 
-    /// Name of this process's region, once known.
+    /// Name of this process's region; `None` until a view contains its domain.
     #[must_use]
     pub fn region(&self) -> Option<&Arc<str>> {
         Some(&self.view.regions.get(self.region?)?.name)
     }
 
-    /// Whether a request that came from another region's caller may be served
-    /// here.
+    /// Counts a request of another region's caller that is to be served here.
     ///
     /// # Errors
-    /// The time after which it may be.
+    /// The time after which the cap may have room, if it has none.
     pub(super) fn admit_inbound(&mut self, now: Time, arrival: &Arrival) -> Result<(), Duration> {
         let (Some(caller_region), Some(here)) = (&arrival.home, self.region) else {
             return Ok(());
         };
         let here = &self.view.regions[here].name;
-        let passed_on = arrival.origin == Origin::Peer;
-        if passed_on || caller_region == here || !self.tuning.safeguards.has(Safeguard::Caps) {
+        let is_forwarded = arrival.origin == Origin::Peer;
+        if is_forwarded || caller_region == here || !self.tuning.safeguards.has(Safeguard::Caps) {
             return Ok(());
         }
         let route = Route::Shift {
@@ -62,10 +62,11 @@
         self.take(now, &[(&route, 1)])
     }
 
-    /// Whether a request may be passed on to a peer; if so, it is counted.
+    /// Counts a request that is to be sent to the peer `to`, against the caps on
+    /// the shift and on the link.
     ///
     /// # Errors
-    /// The time after which it may be.
+    /// The time after which the caps may have room, if they have none.
     pub(super) fn admit_shift(
         &mut self,
         now: Time,
@@ -88,7 +89,7 @@
         };
         let bytes = arrival.bytes + MESSAGE_OVERHEAD_BYTES;
         if caller_region == there {
-            // It goes back to its caller's own region: no shift.
+            // Served in its caller's own region: no shift.
             return self.take(now, &[(&link, bytes)]);
         }
         let shift = Route::Shift {
@@ -99,11 +100,11 @@
         self.take(now, &[(&shift, 1), (&link, bytes)])
     }
 
-    /// Whether a request of so many bytes may be passed to its key's owner. Its
-    /// shift is the owner's to ask for.
+    /// Counts a request of `bytes` that is to be forwarded to its key's owner,
+    /// against the cap on the link. The owner counts the shift.
     ///
     /// # Errors
-    /// The time after which it may be.
+    /// The time after which the link may have room, if it has none.
     pub fn admit_forward(&mut self, now: Time, owner: &str, bytes: u64) -> Result<(), Duration> {
         let member = self.view.member(owner);
         let (Some(here), Some(member)) = (self.region, member) else {
@@ -118,13 +119,14 @@
             to: Arc::clone(&self.view.regions[there].name),
         };
         if !self.shares.has(&link) {
-            // The configuration sets no limit on it.
+            // The configuration has no cap on this link.
             return Ok(());
         }
         self.take(now, &[(&link, bytes + MESSAGE_OVERHEAD_BYTES)])
     }
 
-    /// Takes of all routes or of none, and asks for loans where room lacks.
+    /// Takes the amounts of all routes or of none, and requests loans for the
+    /// routes without room.
     fn take(&mut self, now: Time, uses: &[(&Route, u64)]) -> Result<(), Duration> {
         let taken = self.shares.take(now, uses);
         if taken.is_err() {
@@ -137,7 +139,7 @@
         taken
     }
 
-    /// Asks a few of the instances that have a part of the same cap.
+    /// Requests loans from a few random instances with a share of the same cap.
     fn request_loans(&mut self, now: Time, route: &Route, amount: u64) {
         let wish = self.shares.want(now, route, amount, LENDERS_MAX);
         if wish.asked.is_empty() {
@@ -148,13 +150,13 @@
             Route::Link { from, .. } => [from, from],
         };
         let view = Arc::clone(&self.view);
-        let fits = |member: &Member| {
+        let is_lender = |member: &Member| {
             let data = &view.members[*member];
             let region = &view.regions[view.domains[data.domain].region].name;
-            let other = data.name != self.identity.name && data.state == State::Live;
-            other && regions.contains(&region)
+            let is_other = data.name != self.identity.name && data.state == State::Live;
+            is_other && regions.contains(&region)
         };
-        let lenders: Vec<Member> = view.members.keys().filter(fits).collect();
+        let lenders: Vec<Member> = view.members.keys().filter(is_lender).collect();
         let lenders = self.rng.choose_multiple(lenders, LENDERS_MAX);
         for (lender, asked) in lenders.into_iter().zip(wish.asked) {
             self.loan_requests.push(Action::Borrow {
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -1,6 +1,8 @@
-//! What becomes of a request whose attempt ended.
+//! Completion of attempts: answer, retry or refusal, and what is learned from
+//! the outcome.
 //!
-//! Invariant: an attempt that isn't the request's present one changes nothing.
+//! Invariant: the outcome of an attempt that is not the request's current one
+//! changes nothing.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -69,9 +71,9 @@
             let refusal = job.refusal(Reason::UnknownService, None);
             return self.finish_job(&job, refusal, out);
         };
-        let safe = doubt == Doubt::NotRun || self.services[service].is_idempotent;
+        let is_safe = doubt == Doubt::NotRun || self.services[service].is_idempotent;
         let wait = self.services[service].outlook().wait();
-        if !safe || now >= job.deadline {
+        if !is_safe || now >= job.deadline {
             return self.refuse_job(&job, retry::reason(&outcome), wait, out);
         }
         if !self.budget.spend(retry::cost(&outcome))
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes an attempt off the counts.
+    /// Removes an attempt from the in-flight counts, and ends its reservation.
     fn release(&mut self, running: &Running) {
         let service_name = &running.job.arrival.service;
         if let Ok(at) = self.endpoints.find(
@@ -115,14 +117,14 @@
             endpoint.is_reserved &= !running.is_exclusive;
         }
         if let Some(service) = self.find_service(service_name) {
-            let local = matches!(running.destination, Destination::Target { .. });
+            let is_local = matches!(running.destination, Destination::Target { .. });
             let state = &mut self.services[service];
             state.in_flight = state.in_flight.saturating_sub(1);
-            state.local_running = state.local_running.saturating_sub(u32::from(local));
+            state.local_running = state.local_running.saturating_sub(u32::from(is_local));
         }
     }
 
-    /// Takes what an attempt's end says about its place and its request.
+    /// Updates the endpoint and the strikes of the request by an outcome.
     fn record_outcome(
         &mut self,
         now: Time,
@@ -178,7 +180,7 @@
         }
     }
 
-    /// An attempt timed out; nothing may be known yet of how long one takes.
+    /// Counts a time-out if no latency of the service is measured yet.
     fn note_early_timeout(&mut self, running: &Running) {
         if let Some(service) = self.find_service(&running.job.arrival.service) {
             let state = &mut self.services[service];
@@ -196,13 +198,13 @@
     ) {
         let took = now.since(running.sent_at);
         let service = self.find_service(&running.job.arrival.service);
-        let local = matches!(running.destination, Destination::Target { .. });
+        let is_local = matches!(running.destination, Destination::Target { .. });
         let best = service.map_or(0, |s| self.services[s].best_mean);
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
-        // A target that fails fast must not attract requests by its speed.
+        // A target that fails fast must not attract requests by low latency.
         if status < 500 || latency::micros(took) >= best {
             endpoint.latency.record(now, took, 16);
-            if let Some(service) = service.filter(|_| local) {
+            if let Some(service) = service.filter(|_| is_local) {
                 self.services[service].latency.record(now, took, 32);
             }
         }
@@ -214,7 +216,7 @@
             endpoint.mark_cold(now);
         }
         let mut changes = Vec::new();
-        if local && !self.suspects.is_empty() {
+        if is_local && !self.suspects.is_empty() {
             changes.extend(self.suspects.clear(running.job.arrival.fingerprint));
             let name = running.destination.name();
             self.suspects.survived(name, running.sent_at, &mut changes);
@@ -225,25 +227,26 @@
     fn record_fault(&mut self, now: Time, at: usize, sent_at: Time, fault: Fault) {
         let on = self.tuning.safeguards;
         let service_name = &self.endpoints.as_slice()[at].service;
-        let spare = !on.has(Safeguard::LastTarget)
+        let has_spare = !on.has(Safeguard::LastTarget)
             || self
                 .find_service(service_name)
                 .is_some_and(|service| self.has_half_left(now, service, at));
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
         if endpoint
             .health
-            .record_fault(now, sent_at, fault, spare, &mut self.rng)
+            .record_fault(now, sent_at, fault, has_spare, &mut self.rng)
         {
             self.stats.ejected += 1;
         }
     }
 
-    /// Whether half the targets of a service would still be in use without one.
+    /// Returns whether half the targets of a service would be usable without
+    /// one of them.
     fn has_half_left(&self, now: Time, service: usize, without: usize) -> bool {
         let on = self.tuning.safeguards;
         let endpoints = self.endpoints.as_slice();
         let locals = &self.services[service].locals;
-        let used = |endpoint: usize| {
+        let is_used = |endpoint: usize| {
             matches!(
                 endpoints[endpoint].availability(now, on),
                 Availability::Free | Availability::Busy
@@ -251,14 +254,14 @@
         };
         let left = locals
             .iter()
-            .filter(|l| l.endpoint != without && used(l.endpoint));
+            .filter(|l| l.endpoint != without && is_used(l.endpoint));
         left.count() * 2 >= locals.len()
     }
 
-    /// A target broke under a request: a strike against it.
+    /// Records a strike against a request whose target broke while it ran.
     fn record_break(&mut self, now: Time, running: &Running, out: &mut Vec<Action>) {
-        let local = matches!(running.destination, Destination::Target { .. });
-        if !local || !self.tuning.safeguards.has(Safeguard::Poison) {
+        let is_local = matches!(running.destination, Destination::Target { .. });
+        if !is_local || !self.tuning.safeguards.has(Safeguard::Poison) {
             return;
         }
         let fingerprint = running.job.arrival.fingerprint;
@@ -281,19 +284,19 @@
         self.refuse_poisoned(fingerprint, out);
     }
 
-    /// Refuses the waiting copies of a request that is refused for good.
+    /// Refuses the waiting copies of a request that is always refused.
     fn refuse_poisoned(&mut self, fingerprint: Fingerprint, out: &mut Vec<Action>) {
-        let on = self.tuning.safeguards.has(Safeguard::Poison);
-        if !on || self.suspects.strikes(fingerprint) < poison::STRIKES {
+        let is_on = self.tuning.safeguards.has(Safeguard::Poison);
+        if !is_on || self.suspects.strikes(fingerprint) < poison::STRIKES {
             return;
         }
         for service in 0..self.services.len() {
             let queue = core::mem::take(&mut self.services[service].queue);
-            let (bad, good): (VecDeque<_>, VecDeque<_>) = queue
+            let (refused, kept): (VecDeque<_>, VecDeque<_>) = queue
                 .into_iter()
                 .partition(|j| j.arrival.fingerprint == fingerprint);
-            self.services[service].queue = good;
-            for job in bad {
+            self.services[service].queue = kept;
+            for job in refused {
                 self.finish_job(&job, Refusal::unknown(Reason::Poison, None), out);
             }
         }
@@ -327,7 +330,7 @@
         }
     }
 
-    /// When to come back where nothing is known of the waiting time.
+    /// Time after which to ask again if no waiting time is known, with jitter.
     pub(super) fn default_retry_after(&mut self) -> core::time::Duration {
         admission::jitter(admission::COME_BACK.0, &mut self.rng)
     }
--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -1,7 +1,8 @@
-//! Where a request goes.
+//! Selection of the target or peer that a request is sent to.
 //!
-//! Invariant: a place that leaves, is ejected or has no room is never picked,
-//! but for one trial at a time and for requests that have no other place.
+//! Invariant: an endpoint that is leaving, ejected or without room is never
+//! picked, except for one trial at a time and for requests without any other
+//! endpoint.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -16,23 +17,27 @@
 use crate::request::{poison, retry};
 use crate::version::view::Region;
 
-/// Time that passing a request to a peer of the same region costs.
+/// Time that sending a request to a peer of the same region takes.
 pub const SAME_REGION_HOP: Duration = Duration::from_millis(2);
-/// Time that passing a request to another region costs.
+/// Time that sending a request to a peer of another region takes.
 pub const CROSS_REGION_HOP: Duration = Duration::from_millis(75);
 
-/// Targets looked at per decision, as long as one of them has room. The least
-/// loaded of so many, drawn anew each time, is as good as the least of all.
+/// Maximum number of targets considered per decision, as long as one of them
+/// has room. The least loaded of this many, drawn anew each time, is as good as
+/// the least loaded of all.
 const TARGET_CANDIDATES_MAX: usize = 48;
 
-/// Peers looked at per decision. More would cost time and find little better.
+/// Maximum number of peers considered per decision. More would cost time and
+/// hardly find a better one.
 const PEER_CANDIDATES_MAX: usize = 8;
 
-/// A chosen place.
+/// Endpoint picked for a request.
 pub(super) struct Pick {
+    /// Index in the table of endpoints.
     pub endpoint: usize,
+    /// Target or peer to send to.
     pub destination: Destination,
-    /// Whether the request has the target for itself.
+    /// Whether the request is to run alone on the target.
     pub is_exclusive: bool,
 }
 
@@ -43,7 +48,8 @@
 }
 
 impl Dispatch {
-    /// Whether a request may have crashed a target.
+    /// Returns whether the request may have crashed a target, and so has to run
+    /// alone.
     pub(super) fn is_suspect(&self, job: &Job) -> bool {
         let on = self.tuning.safeguards;
         on.has(Safeguard::Poison)
@@ -51,15 +57,16 @@
             && self.suspects.strikes(job.arrival.fingerprint) > 0
     }
 
-    /// A target of this failure domain with room.
+    /// Picks a target of this failure domain with room; for a suspect, an empty
+    /// one.
     pub(super) fn pick_target(
         &mut self,
         now: Time,
         service: usize,
         job: &Job,
-        suspect: bool,
+        is_suspect: bool,
     ) -> Option<Pick> {
-        if suspect {
+        if is_suspect {
             return self.pick_empty_target(now, service, job);
         }
         let on = self.tuning.safeguards;
@@ -70,15 +77,15 @@
         {
             return None;
         }
-        let other = on.has(Safeguard::OtherPlace);
-        let open = |endpoint: &Endpoint| !(other && job.was_sent_to(endpoint));
+        let skips_tried = on.has(Safeguard::OtherPlace);
+        let is_open = |endpoint: &Endpoint| !(skips_tried && job.was_sent_to(endpoint));
         if state.ejected > 0
-            && let Some(pick) = self.pick_trial(now, state, &open)
+            && let Some(pick) = self.pick_trial(now, state, &is_open)
         {
             return Some(pick);
         }
         let wait = latency::micros(state.outlook().wait());
-        let brisk = |endpoint: &Endpoint| {
+        let is_fast = |endpoint: &Endpoint| {
             !on.has(Safeguard::SlowTarget)
                 || match endpoint.latency.speed(now, state.best_mean, wait) {
                     latency::Speed::Good => true,
@@ -86,8 +93,8 @@
                     latency::Speed::Slow => false,
                 }
         };
-        let fits = |endpoint: &Endpoint| match endpoint.availability(now, on) {
-            Availability::Free => brisk(endpoint),
+        let is_usable = |endpoint: &Endpoint| match endpoint.availability(now, on) {
+            Availability::Free => is_fast(endpoint),
             Availability::Trial | Availability::Ejected | Availability::Busy => {
                 !on.has(Safeguard::Ejection) && !endpoint.is_reserved
             }
@@ -101,59 +108,62 @@
             0
         };
         let endpoints = self.endpoints.as_slice();
-        let places = |at: core::ops::Range<usize>| {
+        let scored = |at: core::ops::Range<usize>| {
             at.map(|i| (start + i) % count)
                 .map(|at| (at, &endpoints[state.locals[at].endpoint]))
-                .filter(|&(_, endpoint)| open(endpoint) && fits(endpoint))
+                .filter(|&(_, endpoint)| is_open(endpoint) && is_usable(endpoint))
                 .map(|(at, endpoint)| (at, endpoint.score(now, state.best_mean, on)))
         };
         let policy = self.tuning.policy;
-        let found = policy.choose(places(0..first), &mut self.rng);
+        let found = policy.choose(scored(0..first), &mut self.rng);
         let found = found.or_else(|| {
             let rest = first..count;
-            policy.choose(places(rest), &mut self.rng)
+            policy.choose(scored(rest), &mut self.rng)
         });
         Some(target_at(state, endpoints, found?, false))
     }
 
-    /// An ejected target that is due for its trial.
+    /// Picks an ejected target that is due for a trial. A request that is not
+    /// idempotent tries it only after a successful probe.
     fn pick_trial(
         &self,
         now: Time,
         state: &ServiceState,
-        open: &impl Fn(&Endpoint) -> bool,
+        is_open: &impl Fn(&Endpoint) -> bool,
     ) -> Option<Pick> {
         let on = self.tuning.safeguards;
         let endpoints = self.endpoints.as_slice();
         let at = state.locals.iter().position(|local| {
             let endpoint = &endpoints[local.endpoint];
-            let may = state.is_idempotent || endpoint.health.has_passed_probe();
-            may && open(endpoint) && endpoint.availability(now, on) == Availability::Trial
+            let may_try = state.is_idempotent || endpoint.health.has_passed_probe();
+            may_try && is_open(endpoint) && endpoint.availability(now, on) == Availability::Trial
         })?;
         on.has(Safeguard::Ejection)
             .then(|| target_at(state, endpoints, at, false))
     }
 
-    /// Whether a target in use is left that the request wasn't sent to.
+    /// Returns whether there is a usable target, with or without room, that the
+    /// request was not sent to.
     pub(super) fn has_open_target(&self, now: Time, service: usize, job: &Job) -> bool {
         let on = self.tuning.safeguards;
-        let other = on.has(Safeguard::OtherPlace);
+        let skips_tried = on.has(Safeguard::OtherPlace);
         let endpoints = self.endpoints.as_slice();
         let mut locals = self.services[service]
             .locals
             .iter()
             .map(|l| &endpoints[l.endpoint]);
         locals.any(|endpoint| {
-            let used = matches!(
+            let is_used = matches!(
                 endpoint.availability(now, on),
                 Availability::Free | Availability::Busy
             );
-            used && !(other && job.was_sent_to(endpoint))
+            is_used && !(skips_tried && job.was_sent_to(endpoint))
         })
     }
 
-    /// A target that a suspect can have for itself. If none is empty, one is
-    /// kept from new work until it is.
+    /// Picks an idle target on which a suspect can run alone. If there is none,
+    /// reserves the one with the fewest requests in flight: it gets no new ones
+    /// until it is idle. Copies of a suspect run one at a time.
     fn pick_empty_target(&mut self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
         let fingerprint = job.arrival.fingerprint;
@@ -164,7 +174,7 @@
         }
         let state = &self.services[service];
         let endpoints = self.endpoints.as_mut_slice();
-        let usable = |endpoint: &Endpoint| {
+        let is_usable = |endpoint: &Endpoint| {
             !job.was_sent_to(endpoint)
                 && (endpoint.is_reserved
                     || matches!(
@@ -172,11 +182,11 @@
                         Availability::Free | Availability::Busy
                     ))
         };
-        let ready = |endpoint: &Endpoint| endpoint.in_flight == 0 && usable(endpoint);
+        let is_ready = |endpoint: &Endpoint| endpoint.in_flight == 0 && is_usable(endpoint);
         if let Some(at) = state
             .locals
             .iter()
-            .position(|l| ready(&endpoints[l.endpoint]))
+            .position(|l| is_ready(&endpoints[l.endpoint]))
         {
             return Some(target_at(state, endpoints, at, true));
         }
@@ -185,33 +195,34 @@
             .iter()
             .all(|l| !endpoints[l.endpoint].is_reserved)
         {
-            let least = state
+            let least_loaded = state
                 .locals
                 .iter()
-                .filter(|l| usable(&endpoints[l.endpoint]))
+                .filter(|l| is_usable(&endpoints[l.endpoint]))
                 .min_by_key(|l| endpoints[l.endpoint].in_flight);
-            if let Some(local) = least {
+            if let Some(local) = least_loaded {
                 endpoints[local.endpoint].is_reserved = true;
             }
         }
         None
     }
 
-    /// A peer that can take the request within `patience` and answer within
-    /// `left`.
+    /// Picks a peer that the request reaches within `wait_max` and that can
+    /// answer it within `left`. Peers of this instance's region are preferred.
     ///
     /// # Errors
-    /// Only caps stood against one: when they may allow it.
+    /// The time after which caps may allow it, if only caps exclude the peers.
     pub(super) fn pick_peer(
         &mut self,
         now: Time,
         service: usize,
         job: &Job,
-        patience: Duration,
+        wait_max: Duration,
         left: Duration,
     ) -> Result<Option<Pick>, Duration> {
         let state = &self.services[service];
-        // A suspect is held where its strikes are known, as long as it can be.
+        // A suspect stays where its strikes are known as long as a local target
+        // is usable.
         if job.arrival.origin == Origin::Peer || (self.is_suspect(job) && state.limit > 0) {
             return Ok(None);
         }
@@ -220,23 +231,24 @@
             (SAME_REGION_HOP, 0..state.same_region),
             (CROSS_REGION_HOP, state.same_region..state.remotes.len()),
         ];
-        let mut capped: Option<Duration> = None;
-        let mut closed = Vec::new();
-        for (cost, tier) in tiers {
-            if cost > patience || cost + run > left {
+        let mut cap_wait: Option<Duration> = None;
+        let mut closed_regions = Vec::new();
+        for (hop, tier) in tiers {
+            if hop > wait_max || hop + run > left {
                 continue;
             }
-            while let Some(at) = self.choose_peer(now, service, job, tier.clone(), &closed) {
+            while let Some(at) = self.choose_peer(now, service, job, tier.clone(), &closed_regions)
+            {
                 let to = self.services[service].remotes[at].clone();
                 match self.admit_shift(now, &job.arrival, to.member) {
                     Ok(()) => return Ok(Some(self.peer_at(&to))),
-                    Err(after) => capped = Some(capped.map_or(after, |c| c.min(after))),
+                    Err(after) => cap_wait = Some(cap_wait.map_or(after, |c| c.min(after))),
                 }
-                // Caps are between regions: another one may still be open.
-                closed.push(to.region);
+                // Caps apply between regions: another region may have room.
+                closed_regions.push(to.region);
             }
         }
-        capped.map_or(Ok(None), Err)
+        cap_wait.map_or(Ok(None), Err)
     }
 
     fn peer_at(&self, to: &Remote) -> Pick {
@@ -257,7 +269,7 @@
         service: usize,
         job: &Job,
         tier: core::ops::Range<usize>,
-        closed: &[Region],
+        closed_regions: &[Region],
     ) -> Option<usize> {
         let on = self.tuning.safeguards;
         let count = tier.len();
@@ -271,9 +283,9 @@
         };
         let state = &self.services[service];
         let endpoints = self.endpoints.as_slice();
-        let places = (0..count.min(PEER_CANDIDATES_MAX))
+        let scored = (0..count.min(PEER_CANDIDATES_MAX))
             .map(|i| tier.start + (start + i) % count)
-            .filter(|&at| !closed.contains(&state.remotes[at].region))
+            .filter(|&at| !closed_regions.contains(&state.remotes[at].region))
             .map(|at| (at, &endpoints[state.remotes[at].endpoint]))
             .filter(|(_, endpoint)| !job.was_sent_to(endpoint))
             .filter(|(_, endpoint)| {
@@ -283,35 +295,36 @@
                 )
             })
             .map(|(at, endpoint)| (at, u64::from(endpoint.in_flight)));
-        choose::Policy::LowestScore.choose(places, &mut self.rng)
+        choose::Policy::LowestScore.choose(scored, &mut self.rng)
     }
 
-    /// An ejected target, for a request that has no other place. When all are
-    /// ejected the evidence may be at fault, and trying costs nothing; one
-    /// request at a time keeps a target that is really ill from more.
+    /// Picks an idle ejected target for a request without any other endpoint.
+    /// When all targets are ejected the ejections may be wrong, and trying costs
+    /// nothing. One request at a time bounds the load on a target that does
+    /// fail.
     pub(super) fn pick_ejected(&self, now: Time, service: usize, job: &Job) -> Option<Pick> {
         let on = self.tuning.safeguards;
         let state = &self.services[service];
         let endpoints = self.endpoints.as_slice();
         let at = state.locals.iter().position(|local| {
             let endpoint = &endpoints[local.endpoint];
-            let ejected = matches!(
+            let is_ejected = matches!(
                 endpoint.availability(now, on),
                 Availability::Ejected | Availability::Trial
             );
-            ejected && endpoint.in_flight == 0 && !job.was_sent_to(endpoint)
+            is_ejected && endpoint.in_flight == 0 && !job.was_sent_to(endpoint)
         })?;
         Some(target_at(state, endpoints, at, false))
     }
 
-    /// Time given to an attempt. An idempotent request that could be tried
-    /// elsewhere doesn't spend all its time on a target that hangs.
+    /// Time-out of an attempt. An idempotent request that could be sent to
+    /// another endpoint does not spend all its time on a target that hangs.
     ///
-    /// Before any answer has told how long one takes, the first attempt gets
-    /// half of the time, so that a target that hangs leaves the other half for
-    /// another. A service that is as slow as that would then never be answered:
-    /// once as many such attempts have timed out as there are targets, the
-    /// service is taken to be slow, and attempts get all the time.
+    /// Before any latency is measured, the first attempt gets half of the time
+    /// left, so that a retry elsewhere has the other half. A service slower than
+    /// that would then never be answered: once as many such attempts have timed
+    /// out as there are targets, the service counts as slow, and attempts get
+    /// all the time left.
     pub(super) fn attempt_budget(
         &self,
         service: usize,
@@ -321,20 +334,21 @@
     ) -> Duration {
         let on = self.tuning.safeguards;
         let state = &self.services[service];
-        let others = state.locals.len() + state.remotes.len() > 1;
-        let bound = on.has(Safeguard::AttemptBound)
+        let has_others = state.locals.len() + state.remotes.len() > 1;
+        let is_bounded = on.has(Safeguard::AttemptBound)
             && state.is_idempotent
-            && others
+            && has_others
             && pick.is_local()
             && self.budget.any();
-        match state.latency.high().filter(|_| bound) {
+        match state.latency.high().filter(|_| is_bounded) {
             Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
-            None if bound && is_first_unmeasured(state, job) => left / 2,
+            None if is_bounded && is_first_unmeasured(state, job) => left / 2,
             None => left,
         }
     }
 
-    /// Strikes at which the job's request is refused for good.
+    /// Returns whether the request has so many strikes that it is always
+    /// refused.
     pub(super) fn is_poisoned(&self, job: &Job) -> bool {
         self.tuning.safeguards.has(Safeguard::Poison)
             && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES
@@ -342,24 +356,24 @@
 }
 
 fn is_first_unmeasured(state: &ServiceState, job: &Job) -> bool {
-    let known = state.latency.high().is_some();
-    !known && job.tried.is_empty() && state.early_timeouts < state.locals.len()
+    let is_known = state.latency.high().is_some();
+    !is_known && job.tried.is_empty() && state.early_timeouts < state.locals.len()
 }
 
-/// Whether the service has room for work from peers: the first class may fill
-/// the targets, the others leave a quarter to this instance's own callers.
+/// Returns whether the service has room for requests from peers: the highest
+/// class may fill the targets, the others leave a quarter to this instance's
+/// own callers.
 ///
-/// Failure: all targets of the service were ejected, and only peers ask for it.
-/// Symptom: with a limit of nothing no work of theirs is taken, so no target is
-/// ever tried again and the service stays refused. One request at a time is
-/// enough: it is the trial.
+/// One request at a time is accepted even with a limit of zero. If all targets
+/// are ejected and only peers send requests, no target would be tried again
+/// otherwise, and the service would stay unavailable.
 fn has_spare_capacity(state: &ServiceState) -> bool {
-    let most = if state.class == 0 {
+    let max = if state.class == 0 {
         state.limit
     } else {
         state.limit - state.limit / 4
     };
-    state.queue.is_empty() && state.local_running < most.max(1)
+    state.queue.is_empty() && state.local_running < max.max(1)
 }
 
 fn target_at(state: &ServiceState, endpoints: &[Endpoint], at: usize, is_exclusive: bool) -> Pick {
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -1,6 +1,8 @@
-//! What time brings: expired hopes, probes, forgetting.
+//! Periodic work: refusing waiting requests that are out of time, spillover,
+//! probes, expiry.
 //!
-//! Invariant: a request past hope doesn't wait for its deadline to be told.
+//! Invariant: a waiting request that can no longer be answered in time is
+//! refused before its deadline.
 
 use core::mem;
 use core::time::Duration;
@@ -14,11 +16,12 @@
 use crate::process::target::{Availability, Endpoint};
 use crate::request::outcome::Reason;
 
-/// Shortest time between two probes of one instance. A probe costs a target
-/// 6 ms; at this rate all 12 targets of a service together lose 0.6 %.
+/// Minimum time between two probes of one instance. A probe costs a target
+/// 6 ms; at this rate the 12 targets of a service lose 0.6 % together.
 pub const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
-/// Silence after which a target is probed. Traffic is the better evidence.
+/// Time without attempts, reports and probes after which a target is probed.
+/// While there is traffic, its outcomes are better evidence than probes.
 pub const PROBE_SILENCE: Duration = Duration::from_secs(10);
 
 impl Dispatch {
@@ -38,7 +41,7 @@
         self.send_probe(now, out);
     }
 
-    /// Refuses the waiting requests that can't be answered in time any more.
+    /// Refuses the waiting requests that can no longer be answered in time.
     fn refuse_expired(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         let on = self.tuning.safeguards;
         let outlook = self.services[service].outlook();
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Places anew what waits for targets that are no longer there.
+    /// Places again the requests that wait but have no target left.
     fn place_stuck(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         let stuck = |d: &Self, job: &Job| !d.has_open_target(now, service, job);
         if !self.services[service].queue.iter().any(|j| stuck(self, j)) {
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Passes to peers what would wait longer than the way there takes.
+    /// Sends waiting requests to peers, newest first, as long as the expected
+    /// wait here is longer than the way to a peer.
     fn spill_over(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         while self.has_room(service) {
             let wait = self.services[service].outlook().wait();
@@ -97,7 +101,8 @@
         }
     }
 
-    /// Lets go of targets that were kept empty for a suspect that has left.
+    /// Releases the targets that are reserved for suspects, where no suspect
+    /// waits and none runs.
     fn release_reserved(&mut self) {
         if self.endpoints.as_slice().iter().all(|t| !t.is_reserved) {
             return;
@@ -114,8 +119,9 @@
         }
     }
 
-    /// Probes the target that has been silent longest, or one that must be
-    /// vouched for before a request that can't be repeated tries it.
+    /// Sends at most one probe: to the target that has been silent longest
+    /// among those that are idle, or that need a probe before a request that is
+    /// not idempotent may try them after an ejection.
     fn send_probe(&mut self, now: Time, out: &mut Vec<Action>) {
         if now.since(self.last_probe) < PROBE_INTERVAL_MIN {
             return;
--- a/crates/steer/src/process/dispatch/view_update.rs
+++ b/crates/steer/src/process/dispatch/view_update.rs
@@ -1,7 +1,7 @@
-//! A new view comes into force.
+//! Replacement of the view in force.
 //!
-//! Invariant: what was learned of a place is kept by its name, and no request
-//! is lost: those of a service that is gone get their final answer.
+//! Invariant: the state of an endpoint is kept by its name, and no request is
+//! lost: those waiting for a service that is gone are refused.
 
 use core::mem;
 use std::collections::VecDeque;
@@ -19,26 +19,26 @@
 use crate::request::outcome::Reason;
 use crate::version::view::{Domain, MemberData, Service, State, TargetData, View};
 
-/// Requests outstanding at a peer for one service, at first and at most. Large
-/// moves thus ramp, and a peer says by its refusals when it has enough.
+/// Initial and maximum requests in flight at a peer for one service. Large
+/// shifts thus ramp up, and a peer limits them by refusals.
 const PEER_WINDOW: (u32, u32) = (2, 64);
 
-/// Targets that an instance prefers at least: with one alone its failure or a
-/// burst would always lead elsewhere.
+/// Minimum number of targets that an instance prefers. With a single one, its
+/// failure or a burst would always send requests outside the subset.
 const SUBSET_MIN: usize = 2;
 
 impl Dispatch {
     pub(super) fn apply_view(&mut self, now: Time, view: Arc<View>, out: &mut Vec<Action>) {
-        let first = self.view.version.0 == 0;
+        let is_first = self.view.version.0 == 0;
         let own_domain = view.domain(&self.identity.domain);
         self.region = own_domain.map(|h| view.domains[h].region);
-        let newcomers = has_newcomers(&self.view, &view);
+        let has_joined = has_new_member(&self.view, &view);
         self.view = view;
-        if newcomers {
+        if has_joined {
             self.announce_poisoned(out);
         }
         self.shares.configure(now, &self.view, &self.identity.name);
-        self.renew_tracks(now, own_domain, first);
+        self.update_endpoints(now, own_domain, is_first);
         let mut old = mem::take(&mut self.services);
         for service in self.view.services.keys() {
             let state = self.build_service(service, own_domain, &mut old);
@@ -56,9 +56,8 @@
         self.send_queued(now, out);
     }
 
-    /// Tells the peers again which requests are refused for good. An instance
-    /// that wasn't there when they were found would let each take two more
-    /// targets.
+    /// Reports again to all peers which requests are always refused. An instance
+    /// that joined after they were found would let each break two more targets.
     fn announce_poisoned(&self, out: &mut Vec<Action>) {
         out.extend(
             self.suspects
@@ -67,7 +66,7 @@
         );
     }
 
-    /// Renews what the services derive from the endpoints.
+    /// Recomputes the fields of all services that are derived from endpoints.
     pub(super) fn refresh(&mut self, now: Time) {
         let on = self.tuning.safeguards;
         for state in &mut self.services {
@@ -75,42 +74,46 @@
         }
     }
 
-    fn renew_tracks(&mut self, now: Time, own_domain: Option<Domain>, first: bool) {
+    fn update_endpoints(&mut self, now: Time, own_domain: Option<Domain>, is_first: bool) {
         for endpoint in self.endpoints.as_mut_slice() {
             endpoint.in_view = false;
         }
         let view = Arc::clone(&self.view);
-        let mut fresh = Vec::new();
+        let mut added = Vec::new();
         for (key, data) in view.targets.iter() {
             if Some(view.target_domain(key)) == own_domain {
-                fresh.extend(self.update_target(now, &view, data, first));
+                added.extend(self.update_target(now, &view, data, is_first));
             }
         }
         for service in view.services.keys() {
             let domains = serving(&view, service);
             for data in view.members.values() {
-                let serves = domains.binary_search(&data.domain).is_ok();
-                if serves && Some(data.domain) != own_domain {
-                    fresh.extend(self.update_peer(now, &view, service, data));
+                let is_serving = domains.binary_search(&data.domain).is_ok();
+                if is_serving && Some(data.domain) != own_domain {
+                    added.extend(self.update_peer(now, &view, service, data));
                 }
             }
         }
         self.endpoints.retain(|t| t.in_view || t.in_flight > 0);
-        self.endpoints.merge(fresh);
+        self.endpoints.merge(added);
     }
 
-    /// Brings a target's endpoint up to date; returns a new one if there is none.
+    /// Updates the endpoint of a target; returns a new one if there is none.
     fn update_target(
         &mut self,
         now: Time,
         view: &View,
         data: &TargetData,
-        first: bool,
+        is_first: bool,
     ) -> Option<Endpoint> {
         let service = &view.services[data.service];
-        let drained = view.sites[data.site].state == State::Leaving
+        let is_drained = view.sites[data.site].state == State::Leaving
             || service.sites.binary_search(&data.site).is_err();
-        let state = if drained { State::Leaving } else { data.state };
+        let state = if is_drained {
+            State::Leaving
+        } else {
+            data.state
+        };
         if let Ok(at) = self.endpoints.find(Kind::Target, &data.name, &service.name) {
             let endpoint = &mut self.endpoints.as_mut_slice()[at];
             endpoint.in_view = true;
@@ -123,9 +126,9 @@
         let window = Window::new(data.slots, data.slots, window::TARGET_ADJUSTMENT);
         let mut endpoint = Endpoint::new(Kind::Target, name, service, data.slots, window, now);
         endpoint.state = state;
-        // A process that has just started knows none of the targets, which are
-        // no colder for that.
-        if !first {
+        // To a process that has just started all targets are new, but that does
+        // not mean that their caches are cold.
+        if !is_first {
             endpoint.mark_cold(now);
         }
         Some(endpoint)
@@ -152,7 +155,7 @@
         };
         let endpoint = &mut self.endpoints.as_mut_slice()[at];
         if endpoint.incarnation != data.incarnation {
-            // A replacement has nothing of its predecessor but the name.
+            // A replacement shares only the name with its predecessor.
             let in_flight = endpoint.in_flight;
             *endpoint = make();
             endpoint.in_flight = in_flight;
@@ -210,27 +213,27 @@
         }
     }
 
-    /// Turns the targets so that this instance's part is in front; returns how
-    /// many that are.
+    /// Rotates the targets so that this instance's subset is in front; returns
+    /// the size of the subset.
     ///
-    /// With each instance using every target, each knows little of any: its
-    /// requests there are few, its reports old. Each instance of the domain
-    /// therefore prefers a part, by its place among them, and takes another
-    /// target when its own have no room.
+    /// If each instance used every target, it would know little of each: few
+    /// requests there, and old reports. Each instance of the domain therefore
+    /// prefers a subset, by its position among them, and uses other targets
+    /// when those have no room.
     fn subset(&self, own_domain: Option<Domain>, locals: &mut [Local]) -> usize {
         let count = locals.len();
         if count == 0 || !self.tuning.safeguards.has(Safeguard::Subset) {
             return count;
         }
-        let here = |m: &&MemberData| Some(m.domain) == own_domain && m.state == State::Live;
-        let members = self.view.members.values().filter(here);
+        let is_local = |m: &&MemberData| Some(m.domain) == own_domain && m.state == State::Live;
+        let members = self.view.members.values().filter(is_local);
         let names: Vec<&Arc<str>> = members.map(|m| &m.name).collect();
-        let place = names.binary_search(&&self.identity.name).unwrap_or(0);
+        let position = names.binary_search(&&self.identity.name).unwrap_or(0);
         let subset = count
             .div_ceil(names.len().max(1))
             .max(SUBSET_MIN)
             .min(count);
-        locals.rotate_left(place * subset % count);
+        locals.rotate_left(position * subset % count);
         subset
     }
 
@@ -273,7 +276,7 @@
     }
 }
 
-/// Failure domains with a site that serves a service, sorted.
+/// Failure domains with a live site that serves a service, sorted.
 fn serving(view: &View, service: Service) -> Vec<Domain> {
     let sites = view.services[service].sites.iter();
     let live = sites.filter(|&&s| view.sites[s].state == State::Live);
@@ -283,11 +286,11 @@
     domains
 }
 
-/// Whether a process is a member now that wasn't before.
-fn has_newcomers(before: &View, now: &View) -> bool {
-    let known = |data: &MemberData| {
+/// Returns whether a process is a member in `now` that was none in `before`.
+fn has_new_member(before: &View, now: &View) -> bool {
+    let is_known = |data: &MemberData| {
         let member = before.member(&data.name);
         member.is_some_and(|m| before.members[m].incarnation == data.incarnation)
     };
-    !now.members.values().all(known)
+    !now.members.values().all(is_known)
 }
