--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -233,9 +233,9 @@
         }
         let is_short = outlook.wait() <= self.wait_limit(now, service);
         let is_hopeful = !on.has(Safeguard::Admission) || (is_short && outlook.hopeful(left));
-        let can_wait =
+        let is_queueable =
             is_hopeful && self.has_open_target(now, service, &job) && self.has_queue_share(service);
-        let wait_max = if can_wait { outlook.wait() } else { left };
+        let wait_max = if is_queueable { outlook.wait() } else { left };
         // A request that a cap admits counts as used: caps are only checked for
         // the peer that the request is then sent to.
         let remote = if has_room {
@@ -248,7 +248,7 @@
             Ok(None) => None,
             Err(after) => Some(after),
         };
-        if can_wait && self.make_room(service, out) {
+        if is_queueable && self.make_room(service, out) {
             return self.enqueue(now, service, job);
         }
         if outlook.limit == 0
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -145,7 +145,7 @@
         endpoint.last_evidence = now;
         match outcome {
             AttemptOutcome::Answered(answer) => {
-                self.record_answer(now, running, at, answer.status, out)
+                self.record_answer(now, running, at, answer.status, out);
             }
             AttemptOutcome::Refused { after, leaving } => {
                 endpoint.window.record_refusal(
