--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -119,7 +119,7 @@
         };
         match Message::decode(&bytes[..len]) {
             Ok(Message::Beat(heartbeat)) => {
-                shared.update(|now, direct| direct.hear(now, (*heartbeat).into()))
+                shared.update(|now, direct| direct.hear(now, (*heartbeat).into()));
             }
             Ok(Message::Report(report)) => {
                 let grant = {
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -256,7 +256,7 @@
             match order {
                 Decision::Send(go) => self.go(number, &go),
                 Decision::Reject { ticket, why, after } => {
-                    self.turn_away(number, ticket, why, after)
+                    self.turn_away(number, ticket, why, after);
                 }
             }
         }
@@ -417,7 +417,7 @@
                 }
             }
             FollowUp::Reject { after } => {
-                self.turn_away(number, ticket, Rejection::Overload, after)
+                self.turn_away(number, ticket, Rejection::Overload, after);
             }
         }
         self.pump(number);
--- a/crates/measure/src/sums/fleet.rs
+++ b/crates/measure/src/sums/fleet.rs
@@ -462,7 +462,7 @@
             for order in direct.step(now) {
                 match order {
                     Decision::Reject { ticket, .. } => {
-                        self.nodes[at].asks.retain(|a| a.0 != ticket)
+                        self.nodes[at].asks.retain(|a| a.0 != ticket);
                     }
                     Decision::Send(go) => self.send(at, life, home, go),
                 }
