--- a/crates/auburnrouter/tests/direct/pipeline.rs
+++ b/crates/auburnrouter/tests/direct/pipeline.rs
@@ -205,7 +205,7 @@
 /// start while the first is unanswered, and once the caller reads, all are answered in
 /// order.
 #[test]
-fn bound_what_is_sent_ahead() {
+fn bound_pipelined_requests() {
     const SENT: usize = 400;
     let harness = Harness::start(4);
     let mut caller = Caller::connect(&harness);
@@ -251,7 +251,7 @@
 
 /// A caller that expects `100 Continue` gets it before it sends its body.
 #[test]
-fn tell_caller_to_go_on() {
+fn send_continue_before_body() {
     let harness = Harness::start(1);
     let mut caller = Caller::connect(&harness);
     let head = format!(
--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -95,7 +95,7 @@
 /// An instance that starts before there is a configuration answers 503 and not 404: after
 /// a 404 the caller would not try again.
 #[test]
-fn ask_back_without_configuration() {
+fn reject_without_configuration() {
     let store = Store::start().expect("a port is free");
     let entry = Entry::start("near-1", "near-a", store.addr(), &[]);
     wait_until("the instance listens", || {
@@ -144,7 +144,7 @@
 /// disconnects. When the process continues, the look-up must not run: its bytes and the
 /// end of stream are both readable by then, and have to be read before a request starts.
 #[test]
-fn forget_who_left_unread() {
+fn drop_request_of_disconnected_caller() {
     let harness = Harness::start(1);
     for round in 0..5 {
         harness.entry.signal(Signal::STOP);
