--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -227,8 +227,8 @@
     }
 }
 
-/// Steps steering every [`STEP_INTERVAL_MAX`] while a request waits: load estimates decay with
-/// time, so a target may become available without an event.
+/// Steps steering every [`STEP_INTERVAL_MAX`] while a request waits: load estimates
+/// decay with time, so a target may become available without an event.
 async fn tick(shared: Arc<Shared>, ticks: async_channel::Receiver<()>) {
     while ticks.recv().await.is_ok() {
         smol::Timer::after(STEP_INTERVAL_MAX).await;
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -118,9 +118,7 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(heartbeat)) => {
-                shared.update(|now, direct| direct.hear(now, (*heartbeat).into()))
-            }
+            Ok(Message::Beat(beat)) => shared.update(|now, d| d.hear(now, (*beat).into())),
             Ok(Message::Report(report)) => {
                 let grant = {
                     let mut steering = lock(&shared.steering);
