--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -204,35 +204,35 @@
     /// # Errors
     /// If its route has no service, no region is home to both its route and its
     /// team, or it has crashed targets before.
-    pub fn submit(&mut self, now: Time, ask: Request) -> Result<Ticket, Rejection> {
-        if self.suspects.strikes(ask.print) >= STRIKES {
+    pub fn submit(&mut self, now: Time, request: Request) -> Result<Ticket, Rejection> {
+        if self.suspects.strikes(request.print) >= STRIKES {
             return Err(Rejection::Poison);
         }
-        if !self.has_region(&ask) {
+        if !self.has_region(&request) {
             return Err(Rejection::NoRegion);
         }
         let offset = unit_interval(hash(self.home.name.as_bytes()));
         let service = self
             .splits
-            .next(&ask.route, offset)
+            .next(&request.route, offset)
             .ok_or(Rejection::NoTarget)?;
         let rule = self.bounds.repeats;
         self.budget(&service).record_request(now, &rule);
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let limit = (ask.deadline - ANSWER_RESERVE).min(now + ask.route.timeout);
+        let time_limit = (request.deadline - ANSWER_RESERVE).min(now + request.route.timeout);
         self.jobs.push(Job {
             ticket,
-            ask,
+            request,
             service,
             arrived: now,
-            limit,
+            time_limit,
             tried: Vec::new(),
             may_have_run: false,
             strikes: 0,
-            elsewhere: None,
+            is_remote: None,
             admission: Admission::New,
-            spare: false,
+            has_spare_slots: false,
             state: State::Waiting,
         });
         Ok(ticket)
@@ -241,18 +241,18 @@
     /// The end of the time that caller and operator allow a request.
     #[must_use]
     pub fn time_limit(&self, ticket: Ticket) -> Option<Time> {
-        self.find(ticket).ok().map(|at| self.jobs[at].limit)
+        self.find(ticket).ok().map(|at| self.jobs[at].time_limit)
     }
 
     /// Whether any region may serve a request, by its route and its team.
-    fn has_region(&self, ask: &Request) -> bool {
+    fn has_region(&self, request: &Request) -> bool {
         let mut regions = self.roster.regions().peekable();
-        regions.peek().is_none() || regions.any(|region| ask.allows(region))
+        regions.peek().is_none() || regions.any(|region| request.allows(region))
     }
 
     /// What a request takes at a service.
     fn estimate(&self, job: &Job) -> latency::Estimate {
-        let route = &job.ask.route;
+        let route = &job.request.route;
         let goal = route.goal.as_secs_f64();
         if self.mechanisms.has(Mechanism::Learning) {
             self.latency.estimate(&job.service, &route.name, goal)
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -20,7 +20,7 @@
         let Ok(at) = self.find(ticket) else { return };
         let job = self.jobs.remove(at);
         match &job.state {
-            State::At { target, .. } => self.landed(target),
+            State::InFlight { target, .. } => self.landed(target),
             State::Waiting => self.give_back(now, &job),
         }
     }
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn may_send_request(&self, now: Time, go: &Assignment) -> bool {
         let job = self.find(go.ticket).map(|at| &self.jobs[at]);
-        let kept = job.is_ok_and(|job| self.withheld(now, &job.ask).is_none());
+        let kept = job.is_ok_and(|job| self.withheld(now, &job.request).is_none());
         kept && self.may_send(&go.target)
     }
 
@@ -52,10 +52,10 @@
         let Ok(at) = self.find(ticket) else {
             return FollowUp::Settled;
         };
-        let State::At {
+        let State::InFlight {
             target,
-            since,
-            expected,
+            sent_at,
+            service_time,
             warm,
             queued,
         } = mem::replace(&mut self.jobs[at].state, State::Waiting)
@@ -63,10 +63,10 @@
             return FollowUp::Settled;
         };
         self.landed(&target);
-        self.judge(now, &self.jobs[at].clone(), &target, since, ending);
-        let took = now.since(since).as_secs_f64();
-        let object = self.jobs[at].ask.object;
-        let ratio = (!queued).then_some(took / expected.max(0.001));
+        self.judge(now, &self.jobs[at].clone(), &target, sent_at, ending);
+        let took = now.since(sent_at).as_secs_f64();
+        let object = self.jobs[at].request.object;
+        let ratio = (!queued).then_some(took / service_time.max(0.001));
         match ending {
             AttemptOutcome::Answered if self.estimate(&self.jobs[at]).is_reliable => {
                 self.note_slow(&target, ratio);
@@ -102,7 +102,7 @@
             if !queued {
                 let job = &self.jobs[at];
                 self.latency
-                    .add(&job.service, &job.ask.route.name, warm, took);
+                    .add(&job.service, &job.request.route.name, warm, took);
             }
             self.jobs.remove(at);
             return FollowUp::Settled;
@@ -117,10 +117,10 @@
         now: Time,
         job: &Job,
         target: &Arc<str>,
-        since: Time,
+        sent_at: Time,
         ending: AttemptOutcome,
     ) {
-        let print = job.ask.print;
+        let print = job.request.print;
         match ending {
             AttemptOutcome::ConnectionLost => {
                 self.suspects.strike(now, job.strikes, print, target);
@@ -128,7 +128,7 @@
             AttemptOutcome::Answered if !self.suspects.is_empty() => {
                 self.suspects.clear(print);
                 // What follows is told by the next heartbeats.
-                self.suspects.survived(target, since, &mut Vec::new());
+                self.suspects.survived(target, sent_at, &mut Vec::new());
             }
             _ => {}
         }
@@ -158,10 +158,10 @@
         let job = &mut self.jobs[at];
         job.may_have_run |= !not_run;
         let allowed = self.mechanisms.has(Mechanism::Retry);
-        let crashes = self.suspects.strikes(job.ask.print) >= STRIKES;
-        let again = allowed && !crashes && (!job.may_have_run || job.ask.route.idempotent);
-        let left = job.tried.len() < job.ask.route.attempts.max(1);
-        let time = now + ANSWER_RESERVE < job.limit;
+        let crashes = self.suspects.strikes(job.request.print) >= STRIKES;
+        let again = allowed && !crashes && (!job.may_have_run || job.request.route.idempotent);
+        let left = job.tried.len() < job.request.route.attempts.max(1);
+        let time = now + ANSWER_RESERVE < job.time_limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
         let arrived = !matches!(ending, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
@@ -189,7 +189,7 @@
         let Some(target) = self.roster.get(target) else {
             return;
         };
-        if !warm || !job.ask.is_free() {
+        if !warm || !job.request.is_free() {
             return;
         }
         let elsewhere = target.region != self.home.region;
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -273,15 +273,15 @@
         let mut seen = core::mem::take(&mut self.observations);
         let mut overdue = Vec::new();
         for job in &self.jobs {
-            if let State::At {
+            if let State::InFlight {
                 target,
-                since,
+                sent_at,
                 queued: false,
                 ..
             } = &job.state
             {
                 let work = self.estimate(job);
-                let ratio = now.since(*since).as_secs_f64() / work.not_warm;
+                let ratio = now.since(*sent_at).as_secs_f64() / work.not_warm;
                 if work.is_reliable && ratio >= OVERDUE {
                     overdue.push((target.clone(), ratio));
                 }
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -11,7 +11,7 @@
 
 use core::time::Duration;
 
-use super::target::{COLD_SPAN, Target};
+use super::target::{COLD_WINDOW, Target};
 use super::{Direct, allotment, members, unit_interval};
 use crate::clock::Time;
 
@@ -177,7 +177,7 @@
     /// Span of requests to a target that has to be remembered.
     pub(super) fn remembered(&self, target: &Target) -> Duration {
         let limit = target.limit().map(|rate| self.bounds.limit.counted(rate));
-        limit.unwrap_or_default().max(COLD_SPAN)
+        limit.unwrap_or_default().max(COLD_WINDOW)
     }
 
     /// What heartbeats tell of limits: all that targets have told this instance, in
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -12,7 +12,7 @@
 use super::health::Baseline;
 use super::job::Job;
 use super::mechanisms::Mechanism;
-use super::target::{COLD_SPAN, Target};
+use super::target::{COLD_WINDOW, Target};
 use super::{Direct, REPORT_DECAY_TIME, hash, short_hash, unit_interval};
 use crate::clock::Time;
 
@@ -85,7 +85,7 @@
 impl Direct {
     /// The best target for a request now, if any can be used.
     pub(super) fn place(&self, now: Time, job: &Job) -> Option<Place> {
-        let near = job.elsewhere != Some(true);
+        let near = job.is_remote != Some(true);
         if let Some(place) = self.best(now, job, near) {
             return Some(place);
         }
@@ -103,7 +103,7 @@
     /// late because its object is cold is as late elsewhere, and leaves its
     /// object cold in two regions.
     pub(super) fn pressure(&self, now: Time, job: &Job) -> (Option<bool>, f64) {
-        let position = match job.ask.object {
+        let position = match job.request.object {
             Some(object) => unit_interval(hash(&object.to_le_bytes())),
             None => 0.5,
         };
@@ -114,7 +114,7 @@
             (None, Some(_)) if self.is_home_limited(now, job) => return (Some(true), position),
             _ => return (None, position),
         };
-        let goal = job.ask.route.goal.as_secs_f64();
+        let goal = job.request.route.goal.as_secs_f64();
         let late = near.cost > goal;
         let gain = far.cost <= goal || far.cost * FAR_GAIN < near.cost;
         (Some(late && near.wait > FAR && gain), position)
@@ -153,9 +153,9 @@
     /// The same of the regions where a request is to run.
     pub(super) fn used_for(&self, now: Time, job: &Job, elsewhere: bool) -> f64 {
         let home = &self.home.region;
-        let far = elsewhere || !job.ask.allows(home);
+        let far = elsewhere || !job.request.allows(home);
         self.used_where(now, &job.service, |target| {
-            (target.region != *home) == far && job.ask.allows(&target.region)
+            (target.region != *home) == far && job.request.allows(&target.region)
         })
     }
 
@@ -176,7 +176,7 @@
         let home = |t: &Target| {
             t.region == self.home.region
                 && t.is_available()
-                && job.ask.allows(&t.region)
+                && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
                 && !job.tried.contains(&t.entry.id)
         };
@@ -191,12 +191,12 @@
     }
 
     fn best(&self, now: Time, job: &Job, near: bool) -> Option<Place> {
-        let route = &job.ask.route;
+        let route = &job.request.route;
         let goal = route.goal.as_secs_f64();
         let work = self.estimate(job);
         let mechanisms = self.mechanisms;
         let object = job
-            .ask
+            .request
             .object
             .filter(|_| mechanisms.has(Mechanism::PreferredTargets));
         let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
@@ -217,7 +217,7 @@
                 continue;
             }
             let object = job
-                .ask
+                .request
                 .object
                 .filter(|_| mechanisms.has(Mechanism::Affinity));
             let warm = object.is_some_and(|o| target.has_object(now, short_hash(o)));
@@ -255,7 +255,7 @@
             let cost = wait + seconds + far + illness + load * 0.002;
             let vain = match place {
                 Some(0) => 0.0,
-                Some(_) if work.is_reliable && job.spare => vain.min(SECOND),
+                Some(_) if work.is_reliable && job.has_spare_slots => vain.min(SECOND),
                 _ => vain,
             };
             let rank = cost + (base - work.warm) * vain;
@@ -292,7 +292,7 @@
         (target.region == self.home.region) == near
             && target.is_available()
             && !target.is_ejected(now)
-            && job.ask.allows(&target.region)
+            && job.request.allows(&target.region)
             && !self.roster.is_evacuated(&target.entry.domain)
             && !job.tried.contains(&target.entry.id)
             && (!self.may_be_cold(now, target) || self.has_cold_room(now, target))
@@ -309,7 +309,7 @@
     fn has_cold_room(&self, now: Time, target: &Target) -> bool {
         // A process that has just started may have an earlier one's requests
         // behind it, and doesn't know yet whom it shares the sum with.
-        if now < Time::ZERO + COLD_SPAN {
+        if now < Time::ZERO + COLD_WINDOW {
             return false;
         }
         let rate = self
@@ -324,7 +324,7 @@
             reason = "a small count"
         )]
         let total = (total * COLD_USED).max(0.0) as usize;
-        target.sent_within(now, COLD_SPAN) < self.allotment(total, target)
+        target.sent_within(now, COLD_WINDOW) < self.allotment(total, target)
     }
 
     /// The targets of a region that an object belongs to, the first one first:
@@ -342,7 +342,7 @@
         let fits = |t: &Target| {
             (t.region == self.home.region) == near
                 && t.is_available()
-                && job.ask.allows(&t.region)
+                && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
         let shared = self.mechanisms.has(Mechanism::SharedHealth);
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -44,7 +44,7 @@
             if matches!(job.state, State::Waiting) {
                 let late = now > job.objective();
                 let priority = if self.mechanisms.has(Mechanism::Priority) {
-                    job.ask.priority()
+                    job.request.priority()
                 } else {
                     (0, 0)
                 };
@@ -70,14 +70,14 @@
 
     fn decide(&mut self, now: Time, ticket: Ticket) -> Option<Decision> {
         let at = self.find(ticket).ok()?;
-        if let Some(why) = self.withheld(now, &self.jobs[at].ask) {
+        if let Some(why) = self.withheld(now, &self.jobs[at].request) {
             return Some(self.reject(now, at, why, None));
         }
         if let Some(held) = self.admit(now, at) {
             let (why, after) = held.verdict()?;
             return Some(self.reject(now, at, why, Some(after)));
         }
-        if self.jobs[at].elsewhere.is_none() {
+        if self.jobs[at].is_remote.is_none() {
             self.choose_side(now, at);
         }
         if self.is_too_late(now, &self.jobs[at]) {
@@ -91,10 +91,10 @@
             return Some(Decision::Send(self.send(now, at, &best)));
         }
         let held = now.since(job.arrived).as_secs_f64();
-        let goal = job.ask.route.goal.as_secs_f64();
+        let goal = job.request.route.goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
-        let hopeless = finish + ANSWER_RESERVE > job.limit || self.outlasts(now, &best);
-        let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.limit;
+        let hopeless = finish + ANSWER_RESERVE > job.time_limit || self.outlasts(now, &best);
+        let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.time_limit;
         let reject = self.mechanisms.has(Mechanism::EarlyReject);
         if reject && (hopeless || (far_off && held <= goal * HOLD)) {
             let after = Self::after(&self.jobs[at], best.wait);
@@ -115,16 +115,16 @@
     /// Whether even a free target that holds the object would answer too late.
     fn is_too_late(&self, now: Time, job: &Job) -> bool {
         let work = self.estimate(job);
-        now + Duration::from_secs_f64(work.warm * LEAST) > job.limit
+        now + Duration::from_secs_f64(work.warm * LEAST) > job.time_limit
     }
 
     /// No target can be used now.
     fn without_place(&mut self, now: Time, at: usize) -> Option<Decision> {
         let job = &self.jobs[at];
-        let goal = job.ask.route.goal.mul_f64(HOLD);
+        let goal = job.request.route.goal.mul_f64(HOLD);
         // One that was sent already, or has just come, waits for a target that
         // is only set aside for a moment.
-        if now < job.arrived + goal && now + ANSWER_RESERVE < job.limit {
+        if now < job.arrived + goal && now + ANSWER_RESERVE < job.time_limit {
             return None;
         }
         Some(self.reject(now, at, Rejection::NoTarget, None))
@@ -142,7 +142,7 @@
         self.give_back(now, &job);
         Decision::Reject {
             ticket: job.ticket,
-            why: job.why(why),
+            why: job.rejection(why),
             after: match after {
                 Some(after) => after,
                 None => Self::after(&job, 0.0),
@@ -162,12 +162,12 @@
         let limit = target.limit();
         let version = self.version();
         let job = &mut self.jobs[at];
-        job.strikes = self.suspects.strikes(job.ask.print);
+        job.strikes = self.suspects.strikes(job.request.print);
         job.tried.push(Arc::clone(&id));
-        job.state = State::At {
+        job.state = State::InFlight {
             target: Arc::clone(&id),
-            since: now,
-            expected: best.work,
+            sent_at: now,
+            service_time: best.work,
             warm: best.warm,
             queued,
         };
@@ -189,7 +189,7 @@
     /// done. The spread keeps callers rejected together from returning so.
     pub(super) fn after(job: &Job, wait: f64) -> Duration {
         let spread = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let goal = job.ask.route.goal.as_secs_f64();
+        let goal = job.request.route.goal.as_secs_f64();
         let seconds = wait.max(goal * 0.2) * (0.75 + spread * 0.75);
         Duration::from_secs_f64(seconds).clamp(AFTER_LEAST, AFTER_MOST)
     }
@@ -217,7 +217,7 @@
                 .1
                 .choose_remote(now, pressure, used, position)
         });
-        self.jobs[at].elsewhere = Some(side);
-        self.jobs[at].spare = self.used_for(now, &self.jobs[at], side) < SPARE_USED;
+        self.jobs[at].is_remote = Some(side);
+        self.jobs[at].has_spare_slots = self.used_for(now, &self.jobs[at], side) < SPARE_USED;
     }
 }
--- a/crates/steer/src/process/direct/quota.rs
+++ b/crates/steer/src/process/direct/quota.rs
@@ -104,7 +104,7 @@
     /// Takes a token for the request at `at`. `Some` if it may not go on now.
     pub(super) fn admit(&mut self, now: Time, at: usize) -> Option<Held> {
         let job = &self.jobs[at];
-        let team = Arc::clone(&job.ask.pass.as_ref()?.team);
+        let team = Arc::clone(&job.request.pass.as_ref()?.team);
         let (Some(quota), Admission::New | Admission::Waiting) = (team.quota, job.admission) else {
             return None;
         };
@@ -132,7 +132,7 @@
     /// Gives a token back for a request that hasn't run and will not.
     pub(super) fn give_back(&mut self, now: Time, job: &super::job::Job) {
         let unused = job.admission == Admission::Admitted && !job.may_have_run;
-        if let Some(pass) = job.ask.pass.as_ref().filter(|_| unused) {
+        if let Some(pass) = job.request.pass.as_ref().filter(|_| unused) {
             let since = now.since(job.arrived);
             self.quotas.stock.give_back(&pass.team.name, since);
         }
@@ -203,7 +203,7 @@
             .jobs
             .iter()
             .filter(|j| j.admission == Admission::Waiting)
-            .filter_map(|j| j.ask.pass.as_ref().map(|p| team_hash(&p.team.name)))
+            .filter_map(|j| j.request.pass.as_ref().map(|p| team_hash(&p.team.name)))
             .collect();
         self.settle_links(now);
         let (name, life) = (Arc::clone(&self.home.name), self.home.life);
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -56,7 +56,7 @@
 
 /// Span over which requests to a cold target are counted. The bound is on what
 /// arrives within one second; the rest covers different delays on the way.
-pub const COLD_SPAN: Duration = Duration::from_millis(1250);
+pub const COLD_WINDOW: Duration = Duration::from_millis(1250);
 
 /// First pause after a failure to reach a target; doubles with each further one.
 const ASIDE_FIRST: Duration = Duration::from_millis(400);
@@ -264,7 +264,7 @@
         self.objects.iter().filter(own).map(|h| h.object)
     }
 
-    /// Requests of this instance sent to it within `span`, which is [`COLD_SPAN`] or
+    /// Requests of this instance sent to it within `span`, which is [`COLD_WINDOW`] or
     /// that of its limit.
     #[must_use]
     pub fn sent_within(&self, now: Time, span: Duration) -> usize {
