--- a/crates/steer/src/process/direct/job.rs
+++ b/crates/steer/src/process/direct/job.rs
@@ -47,7 +47,7 @@
         if self.may_have_run {
             Rejection::OutcomeUnknown
         } else {
-            why
+            reason
         }
     }
 
