--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -1,13 +1,13 @@
-//! Steering straight to targets: any instance sends to any target that it
-//! knows of, without a hop by a peer.
+//! Direct steering: each instance sends requests straight to any target that it
+//! knows, without a hop over another instance.
 //!
-//! Requests wait here and not at the targets, so that a more urgent one can
-//! still go first and one that can't be answered in time is rejected at once.
+//! Requests queue at the instance instead of at targets, so that a more urgent
+//! request can overtake and one that can't be answered in time is rejected at once.
 //!
-//! Invariants: a request that isn't idempotent is sent again only if it
-//! certainly hasn't run; "not run" is only said of a request that never ran and
-//! will not be sent any more; no request goes to more targets than its route
-//! allows, nor to a target that leaves or whose domain is evacuated.
+//! Invariants: a request that isn't idempotent is sent again only if it certainly
+//! hasn't run; a request is reported as not run only if it never ran and will not
+//! be sent any more; no request goes to more targets than its route allows, to a
+//! draining target, or to one in an evacuated domain.
 
 pub mod access;
 pub mod allotment;
@@ -60,55 +60,61 @@
 use split::Splits;
 use upstream::Failed;
 
-/// Steering of one instance.
+/// State and decisions of direct steering at one instance. It does no I/O and
+/// takes the time as an argument.
 #[derive(Debug)]
 pub struct Direct {
     home: Identity,
     bounds: Bounds,
     mechanisms: Mechanisms,
     routes: Option<Arc<Routes>>,
-    /// Targets.
+    /// All known targets.
     pub roster: Roster,
     latency: LatencyEstimates,
     splits: Splits,
+    /// Retry budgets, sorted by service.
     budgets: Vec<(Arc<str>, Budget)>,
+    /// Spillover controllers, sorted by service.
     spillovers: Vec<(Arc<str>, Spillover)>,
     members: Members,
     store: StoreLink,
-    /// Up to when the store's content is known.
+    /// The time up to which the store's content is known.
     confirmed: access::Confirmed,
     quotas: quota::Quotas,
-    /// Where not to read from for a while.
+    /// Upstreams that failed lately, which are not read from for a while.
     failed_upstreams: Failed,
-    /// When this process ends, once it was told to stop.
+    /// The end of this process, once it was told to stop.
     stops_at: Option<Time>,
     suspects: Suspects,
-    /// Objects that targets have come to hold since the last heartbeat.
+    /// Objects that have become warm at targets since the last heartbeat, each with
+    /// the hash of the target.
     object_updates: Vec<(u32, u32)>,
-    /// What was seen of slow and failing targets since then.
+    /// Slow and failed requests since the last heartbeat.
     observations: Vec<Observation>,
-    /// How far heartbeats have told all that targets hold.
+    /// Position of the next heartbeat in the rotation over all warm objects.
     object_cursor: usize,
-    /// The same of the limits that targets name.
+    /// Position of the next heartbeat in the rotation over all targets' limits.
     limit_cursor: usize,
     heartbeat_seq: u64,
-    /// Other instances that sums are shared with.
+    /// Other instances that share the bounds on sums with this one.
     participants: Vec<Participant>,
+    /// Requests queued or in flight, sorted by ticket.
     jobs: Vec<Job>,
     next_ticket: u64,
 }
 
-/// Time kept free at the end of a request's limit to write its last answer.
+/// Time reserved before a caller's deadline to write the answer.
 const ANSWER_RESERVE: Duration = Duration::from_millis(30);
 
 impl Direct {
-    /// Nothing known yet.
+    /// Creates steering with no configuration and no targets. `domains` lists the
+    /// failure domains, each with its region.
     #[must_use]
     pub fn new(home: Identity, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
         Self::with(home, bounds, domains, Mechanisms::ALL)
     }
 
-    /// The same with only some mechanisms, to measure the others.
+    /// Creates steering with only some mechanisms, to measure the others.
     #[must_use]
     pub fn with(
         home: Identity,
@@ -144,66 +150,66 @@
         }
     }
 
-    /// Takes a version of the configuration. An older one is passed over:
-    /// versions only rise.
+    /// Installs a version of the configuration unless the one in force is at least as
+    /// new. Returns whether it was installed.
     pub fn install(&mut self, routes: Arc<Routes>) -> bool {
         self.configuration_read();
-        let newer = self
+        let is_newer = self
             .routes
             .as_ref()
             .is_none_or(|known| known.version < routes.version);
-        if newer {
+        if is_newer {
             let before = self.routes.replace(routes);
             let teams = before.as_ref().map(|r| r.teams.all());
             self.quotas_changed(teams.unwrap_or_default());
         }
-        newer
+        is_newer
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     #[must_use]
     pub fn routes(&self) -> Option<&Arc<Routes>> {
         self.routes.as_ref()
     }
 
-    /// Its version; 0 before the first.
+    /// The version of the configuration in force; 0 before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.routes.as_ref().map_or(0, |r| r.version)
     }
 
-    /// Sets the domains that must get nothing; see [`Roster::evacuate`].
+    /// Sets the failure domains that must not receive requests; see [`Roster::evacuate`].
     pub fn evacuate(&mut self, now: Time, domains: Vec<Arc<str>>) {
         let warmups = self.routes.iter().flat_map(|r| r.services());
         let warmup = warmups.map(|s| s.warmup).max().unwrap_or_default();
         self.roster.evacuate(now, domains, warmup);
     }
 
-    /// Requests that are here.
+    /// Number of requests queued or in flight.
     #[must_use]
     pub fn request_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The share of each service's requests that runs in other regions.
+    /// The share of requests that runs in other regions, by service.
     #[must_use]
     pub fn spillover_shares(&self) -> Vec<(Arc<str>, f64)> {
         let share = |p: &(Arc<str>, Spillover)| (Arc::clone(&p.0), p.1.share());
         self.spillovers.iter().map(share).collect()
     }
 
-    /// Requests that wait for a target.
+    /// Number of requests that wait for a target.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         let waiting = |j: &&Job| matches!(j.state, State::Waiting);
         self.jobs.iter().filter(waiting).count()
     }
 
-    /// A request has arrived; [`Direct::step`] says what becomes of it.
+    /// Queues a request that has arrived; [`Direct::step`] decides on it.
     ///
     /// # Errors
-    /// If its route has no service, no region is home to both its route and its
-    /// team, or it has crashed targets before.
+    /// Returns the reason if the route has no service, if no region is allowed by
+    /// both the route and the team, or if the request has crashed targets before.
     pub fn submit(&mut self, now: Time, request: Request) -> Result<Ticket, Rejection> {
         if self.suspects.strikes(request.print) >= STRIKES {
             return Err(Rejection::Poison);
@@ -238,19 +244,21 @@
         Ok(ticket)
     }
 
-    /// The end of the time that caller and operator allow a request.
+    /// The time until which a request may run, by its caller's deadline and its
+    /// route's time-out.
     #[must_use]
     pub fn time_limit(&self, ticket: Ticket) -> Option<Time> {
         self.find(ticket).ok().map(|at| self.jobs[at].time_limit)
     }
 
-    /// Whether any region may serve a request, by its route and its team.
+    /// Whether any region may serve a request by its route and its team; true if no
+    /// regions are known.
     fn has_region(&self, request: &Request) -> bool {
         let mut regions = self.roster.regions().peekable();
         regions.peek().is_none() || regions.any(|region| request.allows(region))
     }
 
-    /// What a request takes at a service.
+    /// Expected service time of a request.
     fn estimate(&self, job: &Job) -> latency::Estimate {
         let route = &job.request.route;
         let goal = route.goal.as_secs_f64();
@@ -261,6 +269,7 @@
         }
     }
 
+    /// The retry budget of a service, created on first use.
     fn budget(&mut self, service: &Arc<str>) -> &mut Budget {
         let at = match self.budgets.binary_search_by(|b| b.0.cmp(service)) {
             Ok(at) => at,
@@ -273,13 +282,15 @@
         &mut self.budgets[at].1
     }
 
+    /// Index of a request in `jobs`.
     fn find(&self, ticket: Ticket) -> Result<usize, usize> {
         self.jobs.binary_search_by_key(&ticket, |j| j.ticket)
     }
 }
 
-/// Time after which a target's report of others' requests has faded.
+/// Time constant of the exponential decay of a target's report on the requests of
+/// other instances.
 const REPORT_DECAY_TIME: Duration = Duration::from_millis(400);
 
-/// Longest time between two calls of [`Direct::step`] while something waits.
+/// Longest time between two calls of [`Direct::step`] while requests wait.
 pub const STEP_INTERVAL_MAX: Duration = Duration::from_millis(25);
