--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -1,7 +1,8 @@
-//! What follows when an attempt ends or a caller leaves.
+//! Completion of attempts and cancellation of requests: what is learned from the
+//! outcome, and whether the request is retried.
 //!
 //! Invariant: a request that may have run is sent again only if it is
-//! idempotent, and is never called "not run" afterwards.
+//! idempotent, and is never reported as not run afterwards.
 
 use core::mem;
 use std::sync::Arc;
@@ -15,39 +16,41 @@
 use crate::request::poison::STRIKES;
 
 impl Direct {
-    /// The caller has left, or the request's time is over.
+    /// Removes a request whose caller has left or whose time is over.
     pub fn cancel(&mut self, now: Time, ticket: Ticket) {
         let Ok(at) = self.find(ticket) else { return };
         let job = self.jobs.remove(at);
         match &job.state {
-            State::InFlight { target, .. } => self.landed(target),
+            State::InFlight { target, .. } => self.end_in_flight(target),
             State::Waiting => self.give_back(now, &job),
         }
     }
 
-    /// Whether what was decided to be sent to a target may be sent still. An
-    /// instance that is behind sends long after it has decided, and a target that
-    /// leaves counts on nothing coming after a bounded time.
+    /// Whether a request assigned to this target may still be sent. An overloaded
+    /// instance may send long after its decision, while a leaving target relies on
+    /// no request coming after a bounded time.
     #[must_use]
     pub fn may_send(&self, target: &str) -> bool {
         let target = self.roster.get(target);
         target.is_some_and(|t| t.is_available() && !self.roster.is_evacuated(&t.entry.domain))
     }
 
-    /// The same for a request itself: its key may have been taken away.
+    /// Whether an assigned request may still be sent: its target may be used, and its
+    /// key has not been revoked since.
     #[must_use]
-    pub fn may_send_request(&self, now: Time, go: &Assignment) -> bool {
-        let job = self.find(go.ticket).map(|at| &self.jobs[at]);
-        let kept = job.is_ok_and(|job| self.withheld(now, &job.request).is_none());
-        kept && self.may_send(&go.target)
+    pub fn may_send_request(&self, now: Time, assignment: &Assignment) -> bool {
+        let job = self.find(assignment.ticket).map(|at| &self.jobs[at]);
+        let is_authorized = job.is_ok_and(|job| self.withheld(now, &job.request).is_none());
+        is_authorized && self.may_send(&assignment.target)
     }
 
-    /// An attempt has ended.
+    /// Records the outcome of an attempt and decides what follows. An unknown ticket,
+    /// or one that is not in flight, is settled already.
     pub fn finish_attempt(
         &mut self,
         now: Time,
         ticket: Ticket,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) -> FollowUp {
         let Ok(at) = self.find(ticket) else {
             return FollowUp::Settled;
@@ -62,12 +65,12 @@
         else {
             return FollowUp::Settled;
         };
-        self.landed(&target);
-        self.judge(now, &self.jobs[at].clone(), &target, sent_at, ending);
-        let took = now.since(sent_at).as_secs_f64();
+        self.end_in_flight(&target);
+        self.update_suspects(now, &self.jobs[at].clone(), &target, sent_at, outcome);
+        let elapsed = now.since(sent_at).as_secs_f64();
         let object = self.jobs[at].request.object;
-        let ratio = (!queued).then_some(took / service_time.max(0.001));
-        match ending {
+        let ratio = (!queued).then_some(elapsed / service_time.max(0.001));
+        match outcome {
             AttemptOutcome::Answered if self.estimate(&self.jobs[at]).is_reliable => {
                 self.note_slow(&target, ratio);
             }
@@ -75,14 +78,14 @@
             _ => self.note_failed(&target),
         }
         if let Some(target) = self.roster.get_mut(&target) {
-            match ending {
+            match outcome {
                 AttemptOutcome::Answered => {
                     target.record_answer(now, ratio);
                     if let Some(object) = object
                         && target.record_object(now, short_hash(object), true)
                     {
-                        let mark = members::name_hash(&target.entry.id);
-                        self.object_updates.push((mark, short_hash(object)));
+                        let target_hash = members::name_hash(&target.entry.id);
+                        self.object_updates.push((target_hash, short_hash(object)));
                     }
                 }
                 AttemptOutcome::NotRun => target.health.record_refusal(now),
@@ -97,45 +100,45 @@
                 AttemptOutcome::Withdrawn => {}
             }
         }
-        if ending == AttemptOutcome::Answered {
-            self.note_punctual(now, at, &target, warm);
+        if outcome == AttemptOutcome::Answered {
+            self.record_punctuality(now, at, &target, warm);
             if !queued {
                 let job = &self.jobs[at];
                 self.latency
-                    .add(&job.service, &job.request.route.name, warm, took);
+                    .add(&job.service, &job.request.route.name, warm, elapsed);
             }
             self.jobs.remove(at);
             return FollowUp::Settled;
         }
-        self.after_failure(now, at, ending)
+        self.follow_up(now, at, outcome)
     }
 
-    /// What an ending says for or against the request itself: one that crashes
-    /// its targets comes again and again, at any instance.
-    fn judge(
+    /// Updates the suspicion that this request crashes the targets that run it. Such
+    /// a request is sent again and again, to any instance.
+    fn update_suspects(
         &mut self,
         now: Time,
         job: &Job,
         target: &Arc<str>,
         sent_at: Time,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
-        let print = job.request.print;
-        match ending {
+        let fingerprint = job.request.print;
+        match outcome {
             AttemptOutcome::ConnectionLost => {
-                self.suspects.strike(now, job.strikes, print, target);
+                self.suspects.strike(now, job.strikes, fingerprint, target);
             }
             AttemptOutcome::Answered if !self.suspects.is_empty() => {
-                self.suspects.clear(print);
-                // What follows is told by the next heartbeats.
+                self.suspects.clear(fingerprint);
+                // The changes need no message: heartbeats report all recent strikes.
                 self.suspects.survived(target, sent_at, &mut Vec::new());
             }
             _ => {}
         }
     }
 
-    /// A target's answer says this of it. Says whether it names another limit than
-    /// before.
+    /// Applies what a target's answer reports of the target itself. Returns whether
+    /// its limit has changed.
     pub fn apply_feedback(&mut self, now: Time, id: &str, feedback: Feedback) -> bool {
         let Some(target) = self.roster.get_mut(id) else {
             return false;
@@ -146,30 +149,32 @@
         target.update_limit(now, feedback.limit)
     }
 
-    /// Whether a request whose attempt failed is tried elsewhere.
-    fn after_failure(&mut self, now: Time, at: usize, ending: AttemptOutcome) -> FollowUp {
-        let not_run = matches!(
-            ending,
+    /// Decides whether a request whose attempt failed is sent to another target.
+    fn follow_up(&mut self, now: Time, at: usize, outcome: AttemptOutcome) -> FollowUp {
+        let is_not_run = matches!(
+            outcome,
             AttemptOutcome::NotRun
                 | AttemptOutcome::WrongTarget
                 | AttemptOutcome::NotSent
                 | AttemptOutcome::Withdrawn
         );
         let job = &mut self.jobs[at];
-        job.may_have_run |= !not_run;
-        let allowed = self.mechanisms.has(Mechanism::Retry);
-        let crashes = self.suspects.strikes(job.request.print) >= STRIKES;
-        let again = allowed && !crashes && (!job.may_have_run || job.request.route.idempotent);
-        let left = job.tried.len() < job.request.route.attempts.max(1);
-        let time = now + ANSWER_RESERVE < job.time_limit;
+        job.may_have_run |= !is_not_run;
+        let may_retry = self.mechanisms.has(Mechanism::Retry);
+        let is_poison = self.suspects.strikes(job.request.print) >= STRIKES;
+        let is_safe =
+            may_retry && !is_poison && (!job.may_have_run || job.request.route.idempotent);
+        let has_attempts = job.tried.len() < job.request.route.attempts.max(1);
+        let has_time = now + ANSWER_RESERVE < job.time_limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
-        let arrived = !matches!(ending, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
+        let was_sent = !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
         let rule = self.bounds.repeats;
         let instances = self.participants.len() + 1;
-        // What never arrived costs no target anything; the bound is on arrivals.
-        let leave = !arrived || self.budget(&service).try_spend(now, &rule, instances);
-        if again && left && time && leave {
+        // The bound is on retries that follow an attempt which reached a target; one
+        // that was never sent cost no target anything.
+        let is_in_budget = !was_sent || self.budget(&service).try_spend(now, &rule, instances);
+        if is_safe && has_attempts && has_time && is_in_budget {
             return FollowUp::Retry;
         }
         let job = self.jobs.remove(at);
@@ -178,13 +183,14 @@
         }
         self.give_back(now, &job);
         FollowUp::Reject {
-            after: Self::after(&job, 0.0),
+            after: Self::retry_after(&job, 0.0),
         }
     }
 
-    /// Tells the share that runs elsewhere whether an answer was in time. Where the
-    /// object was cold it is late at home and elsewhere alike.
-    fn note_punctual(&mut self, now: Time, at: usize, target: &str, warm: bool) {
+    /// Records for the service's spillover whether an answer met its latency
+    /// objective. Answers for cold objects are left out: they are as late at home as
+    /// in other regions.
+    fn record_punctuality(&mut self, now: Time, at: usize, target: &str, warm: bool) {
         let job = &self.jobs[at];
         let Some(target) = self.roster.get(target) else {
             return;
@@ -192,15 +198,16 @@
         if !warm || !job.request.is_free() {
             return;
         }
-        let elsewhere = target.region != self.home.region;
-        let late = now > job.objective();
+        let is_remote = target.region != self.home.region;
+        let is_late = now > job.objective();
         let found = self.spillovers.binary_search_by(|p| p.0.cmp(&job.service));
         if let Ok(at) = found {
-            self.spillovers[at].1.record_answer(elsewhere, late);
+            self.spillovers[at].1.record_answer(is_remote, is_late);
         }
     }
 
-    fn landed(&mut self, target: &str) {
+    /// Takes one request off those in flight to a target.
+    fn end_in_flight(&mut self, target: &str) {
         if let Some(target) = self.roster.get_mut(target) {
             target.in_flight = target.in_flight.saturating_sub(1);
         }
--- a/crates/steer/src/process/direct/job.rs
+++ b/crates/steer/src/process/direct/job.rs
@@ -1,4 +1,5 @@
-//! One request for as long as it is here.
+//! State of a request from its arrival until it is answered, rejected or
+//! cancelled.
 
 use std::sync::Arc;
 
@@ -7,42 +8,51 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum State {
+    /// Queued at this instance.
     Waiting,
+    /// Sent to a target, with no outcome yet.
     InFlight {
         target: Arc<str>,
         sent_at: Time,
+        /// Expected service time in seconds, for a target with free slots.
         service_time: f64,
+        /// Whether the request's object was warm at the target.
         warm: bool,
+        /// Whether all slots of the target were believed taken, so that the time
+        /// until the answer includes a wait.
         queued: bool,
     },
 }
 
-/// One request.
+/// A request that is queued or in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) ticket: Ticket,
     pub(super) request: Request,
     pub(super) service: Arc<str>,
     pub(super) arrived: Time,
-    /// End of the time that caller and operator allow.
+    /// Time until which it may run: the earlier of its caller's deadline, less the
+    /// reserve for the answer, and its route's time-out.
     pub(super) time_limit: Time,
+    /// Targets that it was sent to.
     pub(super) tried: Vec<Arc<str>>,
-    /// Whether an attempt may have run it.
+    /// Whether one of its attempts may have run it.
     pub(super) may_have_run: bool,
-    /// Strikes against it when it was sent last.
+    /// Strikes against it when it was last sent; see
+    /// [`Suspects::strike`](crate::request::poison::Suspects::strike).
     pub(super) strikes: u8,
-    /// Whether it is to run in another region, once that is decided.
+    /// Whether it is to run in another region; `None` until that is decided.
     pub(super) is_remote: Option<bool>,
-    /// Whether its team's quota has let it in.
+    /// State of its admission by its team's quota.
     pub(super) admission: Admission,
-    /// Whether the regions where it is to run had slots to spare then.
+    /// Whether the regions where it may run had spare slots at that decision.
     pub(super) has_spare_slots: bool,
     pub(super) state: State,
 }
 
 impl Job {
-    /// Why it is given up: whatever keeps it from being sent again, a request
-    /// that may have run must not be called "not run".
+    /// The reason to report when the request is rejected for `reason`. A request
+    /// that may have run must never be reported as not run.
     pub(super) const fn rejection(&self, reason: Rejection) -> Rejection {
         if self.may_have_run {
             Rejection::OutcomeUnknown
@@ -51,6 +61,7 @@
         }
     }
 
+    /// Time by which the route's latency objective wants it answered.
     pub(super) fn objective(&self) -> Time {
         self.arrived + self.request.route.goal
     }
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -1,13 +1,13 @@
-//! Which target a request is best sent to.
+//! Placement: the choice of a target for a request.
 //!
-//! The cost of a target is the time until the answer: the wait for a slot, the
-//! work, more where it is slow or fails, and the way there. A target that
-//! handled the object lately needs a fraction of the work, so a short wait for
-//! it is better than an idle one that has to begin from nothing.
+//! The cost of a target is the expected time until the answer: the wait for a
+//! slot, the service time, a penalty for a target that is slow or fails, and the
+//! way there. A target where the object is warm needs a fraction of the service
+//! time, so that a short wait for it beats an idle target that starts cold.
 //!
-//! Invariant: only targets that may be used are placed on: known, not leaving,
-//! in no evacuated domain, in a region that the route allows, not tried before,
-//! and, while cold or limited, within this instance's part of what they take.
+//! Invariant: only eligible targets are chosen: listed, not draining, not ejected,
+//! in no evacuated domain, in a region that route and team allow, not tried before,
+//! and, while cold or limited, within this instance's allotment of what they take.
 
 use super::health::Baseline;
 use super::job::Job;
@@ -16,154 +16,166 @@
 use super::{Direct, REPORT_DECAY_TIME, hash, short_hash, unit_interval};
 use crate::clock::Time;
 
-/// A target for a request.
+/// A target chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
-    /// Its place in the roster.
+    /// Index of the target in the roster.
     pub index: usize,
-    /// Seconds until the answer.
+    /// Expected seconds until the answer, penalties included.
     pub cost: f64,
-    /// What it is compared by: the cost to this request and to others.
+    /// Value compared between targets, the lowest first: the cost to this request,
+    /// and the weighted cost of wasted work to others.
     rank: f64,
-    /// Seconds of that until a slot is free; 0 if one is.
+    /// Expected seconds until a slot is free; 0 if one is.
     pub wait: f64,
-    /// Whether it may be sent there now.
-    pub open: bool,
-    /// Seconds of work.
-    pub work: f64,
-    /// Whether the object is warm there.
+    /// Whether the target has room, so that the request may be sent now.
+    pub has_room: bool,
+    /// Expected service time in seconds, for a target that is not slow.
+    pub service_time: f64,
+    /// Whether the request's object is warm at the target.
     pub warm: bool,
 }
 
-/// Seconds that a request to another region takes longer, until measured. What
-/// crosses regions is paid by the byte besides.
-const FAR: f64 = 0.15;
+/// Additional seconds assumed for a request to another region. Traffic between
+/// regions is also paid for by the byte.
+const CROSS_REGION_SECONDS: f64 = 0.15;
 
-/// How much dearer than home another region may look before it is used: home
-/// costs no bytes between regions.
-const FAR_GAIN: f64 = 1.5;
+/// Factor by which the cost at home must exceed that in another region for a
+/// request that would be late in both: at home it causes no traffic between regions.
+const REMOTE_GAIN_RATIO_MIN: f64 = 1.5;
 
-/// Part of what a region lacks by its share of the slots that is sent elsewhere
-/// from the start.
-const LACK: f64 = 1.0;
+/// Part of a region's slot deficit at which the spillover share starts.
+const SLOT_DEFICIT_USED_RATIO: f64 = 1.0;
 
-/// Part of what a cold target bears that instances send it knowingly. The rest
-/// is for those that haven't heard yet that it is cold: news takes up to half a
-/// second, and a busy target gets some seven requests a second.
-const COLD_USED: f64 = 0.75;
+/// Part of a cold target's bound that instances use. The rest covers instances
+/// that don't know yet that the target is cold: the update takes up to half a second,
+/// and a busy target receives about seven requests per second.
+const COLD_USED_RATIO: f64 = 0.75;
 
-/// How much slower a cold target is.
-const COLD: f64 = 2.0;
+/// Factor on the service time at a cold target.
+const COLD_TARGET_SLOWDOWN: f64 = 2.0;
 
-/// Requests that may wait at a target beyond its slots. Without one a slot lies
-/// idle from each answer until the next request has come all the way.
-const EXTRA: f64 = 1.0;
+/// Requests that may queue at a target beyond its slots. Without one, a slot is
+/// idle from each answer until the next request has arrived.
+const TARGET_QUEUE_MAX: f64 = 1.0;
 
-/// What work in vain counts over what it costs the request itself. An object
-/// sent to an idle target that doesn't hold it takes a slot several times as
-/// long, which fills the targets further, which sends more objects astray.
-const SOCIAL: f64 = 5.0;
+/// Weight of the additional work for a cold object, beyond what it costs the
+/// request itself. Such a request takes a slot several times as long, which loads
+/// the targets further, which in turn sends more objects to targets where they are
+/// cold.
+const WASTED_WORK_WEIGHT: f64 = 5.0;
 
-/// Targets of a region that an object belongs to: one, and another for objects
-/// that are asked for more often than one target can bear.
-const PREFERRED: usize = 2;
+/// Preferred targets of an object in a region: one, and a second for objects that
+/// are requested more often than one target can serve.
+const PREFERRED_MAX: usize = 2;
 
-/// What work in vain counts at the second of them, while the region has slots to
-/// spare. All instances spill there, so the object is cold there once; but while
-/// everything is cold, as after a start, each spill is one more cold run, and in
-/// a full region it takes a slot from objects that are warm.
-const SECOND: f64 = 3.0;
+/// Largest weight of wasted work at the second preferred target while the region
+/// has slots to spare. All instances overflow to that target, so the object is cold
+/// there only once. While every object is cold, as after a start, each overflow is
+/// one more cold request, and in a full region it takes a slot from warm objects.
+const SECOND_WASTED_WORK_WEIGHT_MAX: f64 = 3.0;
 
-/// Latency objectives that a failed request costs: it begins anew, or it is lost
-/// since nobody knows whether it ran.
-const AGAIN: f64 = 2.0;
-const LOST: f64 = 10.0;
+/// Cost of a failed request that may be retried, in latency objectives.
+const RETRY_COST: f64 = 2.0;
 
-/// Smallest slowness that estimates use.
-const SLOW_LEAST: f64 = 0.5;
+/// Cost of a failed request that may not be retried, in latency objectives: nobody
+/// knows whether it ran.
+const LOST_COST: f64 = 10.0;
+
+/// Least slowness that costs use.
+const SLOWNESS_MIN: f64 = 0.5;
 
 impl Direct {
-    /// The best target for a request now, if any can be used.
+    /// Chooses the best target for a request in the region decided for it, or in the
+    /// others if that has none; `None` if no target can be used now.
     pub(super) fn place(&self, now: Time, job: &Job) -> Option<Place> {
-        let near = job.is_remote != Some(true);
-        if let Some(place) = self.best(now, job, near) {
+        let is_local = job.is_remote != Some(true);
+        if let Some(place) = self.best(now, job, is_local) {
             return Some(place);
         }
-        if near && self.has_home(job) {
-            // Home has targets, which can't be used for a moment only.
+        if is_local && self.has_local_target(job) {
+            // The own region has targets that can't be used for a moment only.
             return None;
         }
-        self.best(now, job, !near)
+        self.best(now, job, !is_local)
     }
 
-    /// Whether a request would be better off in another region, and how its
-    /// object stands among them. `None` if it has no choice.
+    /// Returns whether a request would be better off in another region, `None` if it
+    /// has no choice, and the position of its object from 0 to 1, by which spillover
+    /// selects objects.
     ///
-    /// Only a wait that is longer than the way there counts: a request that is
-    /// late because its object is cold is as late elsewhere, and leaves its
-    /// object cold in two regions.
-    pub(super) fn pressure(&self, now: Time, job: &Job) -> (Option<bool>, f64) {
+    /// A request counts only if its wait exceeds the additional time of another
+    /// region: one that is late because its object is cold would be as late there,
+    /// and would leave the object to be loaded in two regions.
+    pub(super) fn spillover_pressure(&self, now: Time, job: &Job) -> (Option<bool>, f64) {
         let position = match job.request.object {
             Some(object) => unit_interval(hash(&object.to_le_bytes())),
             None => 0.5,
         };
-        let near = self.best(now, job, true);
-        let far = self.best(now, job, false);
-        let (near, far) = match (near, far) {
-            (Some(near), Some(far)) => (near, far),
-            (None, Some(_)) if self.is_home_limited(now, job) => return (Some(true), position),
+        let local = self.best(now, job, true);
+        let remote = self.best(now, job, false);
+        let (local, remote) = match (local, remote) {
+            (Some(local), Some(remote)) => (local, remote),
+            (None, Some(_)) if self.is_local_limited(now, job) => return (Some(true), position),
             _ => return (None, position),
         };
         let goal = job.request.route.goal.as_secs_f64();
-        let late = near.cost > goal;
-        let gain = far.cost <= goal || far.cost * FAR_GAIN < near.cost;
-        (Some(late && near.wait > FAR && gain), position)
+        let is_late = local.cost > goal;
+        let is_gain = remote.cost <= goal || remote.cost * REMOTE_GAIN_RATIO_MIN < local.cost;
+        (
+            Some(is_late && local.wait > CROSS_REGION_SECONDS && is_gain),
+            position,
+        )
     }
 
-    /// The share of a service's requests that this region lacks room for, if
-    /// all regions had the same traffic. Where the spillover starts.
-    pub(super) fn lacking(&self, service: &str) -> f64 {
+    /// The share of a service's requests that this region has too few slots for, on
+    /// the assumption that all regions receive the same traffic. The spillover share
+    /// starts there.
+    pub(super) fn slot_deficit(&self, service: &str) -> f64 {
         let mut slots: Vec<(&str, f64)> = Vec::new();
         for (_, target) in self.roster.of(service) {
             if !target.is_available() {
                 continue;
             }
-            let own = f64::from(target.entry.slots);
+            let count = f64::from(target.entry.slots);
             match slots.iter_mut().find(|s| s.0 == &*target.region) {
-                Some(found) => found.1 += own,
-                None => slots.push((&target.region, own)),
+                Some(found) => found.1 += count,
+                None => slots.push((&target.region, count)),
             }
         }
         let total: f64 = slots.iter().map(|s| s.1).sum();
-        let here = slots.iter().find(|s| s.0 == &*self.home.region);
-        let here = here.map_or(0.0, |s| s.1);
+        let local = slots.iter().find(|s| s.0 == &*self.home.region);
+        let local = local.map_or(0.0, |s| s.1);
         #[allow(clippy::cast_precision_loss, reason = "regions are few")]
-        let fair = total / slots.len().max(1) as f64;
-        if fair <= 0.0 {
+        let mean = total / slots.len().max(1) as f64;
+        if mean <= 0.0 {
             return 0.0;
         }
-        (1.0 - here / fair).clamp(0.0, 1.0) * LACK
+        (1.0 - local / mean).clamp(0.0, 1.0) * SLOT_DEFICIT_USED_RATIO
     }
 
-    /// Part of the slots of a service in the own region that are in use.
-    pub(super) fn used(&self, now: Time, service: &str) -> f64 {
-        self.used_where(now, service, |target| target.region == self.home.region)
+    /// Load of a service's targets in the own region over their slots; 1 if there
+    /// are none.
+    pub(super) fn local_utilization(&self, now: Time, service: &str) -> f64 {
+        self.utilization_where(now, service, |target| target.region == self.home.region)
     }
 
-    /// The same of the regions where a request is to run.
-    pub(super) fn used_for(&self, now: Time, job: &Job, elsewhere: bool) -> f64 {
+    /// Utilization of the targets in the regions where a request is to run: the own
+    /// region or, if `is_remote` or the own one is not allowed, the others.
+    pub(super) fn utilization_for(&self, now: Time, job: &Job, is_remote: bool) -> f64 {
         let home = &self.home.region;
-        let far = elsewhere || !job.request.allows(home);
-        self.used_where(now, &job.service, |target| {
-            (target.region != *home) == far && job.request.allows(&target.region)
+        let is_remote = is_remote || !job.request.allows(home);
+        self.utilization_where(now, &job.service, |target| {
+            (target.region != *home) == is_remote && job.request.allows(&target.region)
         })
     }
 
-    fn used_where(&self, now: Time, service: &str, fits: impl Fn(&Target) -> bool) -> f64 {
+    fn utilization_where(&self, now: Time, service: &str, fits: impl Fn(&Target) -> bool) -> f64 {
         let (mut load, mut slots) = (0.0, 0.0);
         for (_, target) in self.roster.of(service) {
-            let open = target.is_available() && !self.roster.is_evacuated(&target.entry.domain);
-            if open && fits(target) {
+            let is_usable =
+                target.is_available() && !self.roster.is_evacuated(&target.entry.domain);
+            if is_usable && fits(target) {
                 load += self.load(now, target);
                 slots += f64::from(target.entry.slots);
             }
@@ -171,49 +183,57 @@
         if slots > 0.0 { load / slots } else { 1.0 }
     }
 
-    /// Whether the own region has a target that may be used soon.
-    fn has_home(&self, job: &Job) -> bool {
-        let home = |t: &Target| {
+    /// Whether the own region has a target for a request that may be usable soon.
+    fn has_local_target(&self, job: &Job) -> bool {
+        let is_candidate = |t: &Target| {
             t.region == self.home.region
                 && t.is_available()
                 && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
                 && !job.tried.contains(&t.entry.id)
         };
-        self.roster.of(&job.service).any(|(_, t)| home(t))
+        self.roster.of(&job.service).any(|(_, t)| is_candidate(t))
     }
 
-    /// Whether targets of the own region would be usable but for the limits that they
-    /// name.
-    fn is_home_limited(&self, now: Time, job: &Job) -> bool {
+    /// Whether a target of the own region would be usable but for the rate limit that
+    /// it reports.
+    fn is_local_limited(&self, now: Time, job: &Job) -> bool {
         let mut all = self.roster.of(&job.service);
-        all.any(|(_, t)| self.is_fit(now, job, t, true) && !self.is_within_limit(now, t))
+        all.any(|(_, t)| self.is_eligible(now, job, t, true) && !self.is_within_limit(now, t))
     }
 
-    fn best(&self, now: Time, job: &Job, near: bool) -> Option<Place> {
+    /// The usable target of lowest rank, in the own region if `is_local` or else in
+    /// the others.
+    fn best(&self, now: Time, job: &Job, is_local: bool) -> Option<Place> {
         let route = &job.request.route;
         let goal = route.goal.as_secs_f64();
-        let work = self.estimate(job);
+        let estimate = self.estimate(job);
         let mechanisms = self.mechanisms;
         let object = job
             .request
             .object
             .filter(|_| mechanisms.has(Mechanism::PreferredTargets));
-        let preferred = object.map_or([None; PREFERRED], |o| self.preferred(now, job, o, near));
-        let vain = if mechanisms.has(Mechanism::WastedWork) {
-            SOCIAL
+        let preferred = object.map_or([None; PREFERRED_MAX], |o| {
+            self.preferred(now, job, o, is_local)
+        });
+        let waste_weight = if mechanisms.has(Mechanism::WastedWork) {
+            WASTED_WORK_WEIGHT
         } else {
             0.0
         };
-        let extra = if mechanisms.has(Mechanism::LocalQueue) {
-            EXTRA
+        let queue_max = if mechanisms.has(Mechanism::LocalQueue) {
+            TARGET_QUEUE_MAX
         } else {
             f64::INFINITY
         };
-        let lost = if route.idempotent { AGAIN } else { LOST };
+        let failure_cost = if route.idempotent {
+            RETRY_COST
+        } else {
+            LOST_COST
+        };
         let mut best: Option<Place> = None;
         for (index, target) in self.roster.of(&job.service) {
-            if !self.is_usable(now, job, target, near) {
+            if !self.is_usable(now, job, target, is_local) {
                 continue;
             }
             let object = job
@@ -221,52 +241,60 @@
                 .object
                 .filter(|_| mechanisms.has(Mechanism::Affinity));
             let warm = object.is_some_and(|o| target.has_object(now, short_hash(o)));
-            let place = preferred.iter().position(|p| *p == Some(index));
-            let base = match (warm, place) {
-                (true, _) => work.warm,
-                // Others of this region send the object there too.
-                (false, Some(_)) => f64::midpoint(work.warm, work.not_warm),
-                (false, None) => work.not_warm,
+            let preference = preferred.iter().position(|p| *p == Some(index));
+            let base = match (warm, preference) {
+                (true, _) => estimate.warm,
+                // Other instances of the region send the object there too, so that it may
+                // be warm without this instance's knowledge.
+                (false, Some(_)) => f64::midpoint(estimate.warm, estimate.not_warm),
+                (false, None) => estimate.not_warm,
+            };
+            let slowdown = if target.is_cold(now) {
+                COLD_TARGET_SLOWDOWN
+            } else {
+                1.0
             };
-            let cold = if target.is_cold(now) { COLD } else { 1.0 };
             let slowness = if mechanisms.has(Mechanism::Slowness) {
-                target.health.slowness(now).max(SLOW_LEAST)
+                target.health.slowness(now).max(SLOWNESS_MIN)
             } else {
                 1.0
             };
-            let seconds = base * slowness * cold;
+            let seconds = base * slowness * slowdown;
             let slots = f64::from(target.entry.slots.max(1));
             let load = self.load(now, target);
-            let over = load - slots + 1.0;
-            let mean = f64::midpoint(work.warm, work.not_warm);
-            let wait = if over > 0.5 {
-                over * mean * slowness / slots
+            let excess = load - slots + 1.0;
+            let mean = f64::midpoint(estimate.warm, estimate.not_warm);
+            let wait = if excess > 0.5 {
+                excess * mean * slowness / slots
             } else {
                 0.0
             };
-            let far = if near { 0.0 } else { FAR };
-            // An ill target fails that share of its requests, each of which
-            // has to begin anew elsewhere. Load breaks ties.
-            let illness = if mechanisms.has(Mechanism::FailureRate) {
-                (target.health.refusal_rate(now) + target.health.failure_rate(now) * lost) * goal
+            let distance = if is_local { 0.0 } else { CROSS_REGION_SECONDS };
+            // Each failed or refused request has to start again at another target.
+            // The load breaks ties.
+            let failure_penalty = if mechanisms.has(Mechanism::FailureRate) {
+                (target.health.refusal_rate(now) + target.health.failure_rate(now) * failure_cost)
+                    * goal
             } else {
                 0.0
             };
-            let cost = wait + seconds + far + illness + load * 0.002;
-            let vain = match place {
+            let cost = wait + seconds + distance + failure_penalty + load * 0.002;
+            let waste_weight = match preference {
                 Some(0) => 0.0,
-                Some(_) if work.is_reliable && job.has_spare_slots => vain.min(SECOND),
-                _ => vain,
+                Some(_) if estimate.is_reliable && job.has_spare_slots => {
+                    waste_weight.min(SECOND_WASTED_WORK_WEIGHT_MAX)
+                }
+                _ => waste_weight,
             };
-            let rank = cost + (base - work.warm) * vain;
+            let rank = cost + (base - estimate.warm) * waste_weight;
             if best.is_none_or(|b| rank < b.rank) {
                 best = Some(Place {
                     rank,
                     index,
                     cost,
                     wait,
-                    open: load < slots + extra,
-                    work: base,
+                    has_room: load < slots + queue_max,
+                    service_time: base,
                     warm,
                 });
             }
@@ -274,7 +302,7 @@
         best
     }
 
-    /// Requests believed to be at a target.
+    /// Estimated number of requests at a target, of this and of other instances.
     pub(super) fn load(&self, now: Time, target: &Target) -> f64 {
         if self.mechanisms.has(Mechanism::PeerLoad) {
             target.load(now, REPORT_DECAY_TIME)
@@ -283,32 +311,34 @@
         }
     }
 
-    fn is_usable(&self, now: Time, job: &Job, target: &Target, near: bool) -> bool {
-        self.is_fit(now, job, target, near) && self.is_within_limit(now, target)
+    /// Whether a request may be sent to a target now.
+    fn is_usable(&self, now: Time, job: &Job, target: &Target, is_local: bool) -> bool {
+        self.is_eligible(now, job, target, is_local) && self.is_within_limit(now, target)
     }
 
-    /// Whether a target is usable whatever limit it names.
-    fn is_fit(&self, now: Time, job: &Job, target: &Target, near: bool) -> bool {
-        (target.region == self.home.region) == near
+    /// Whether a target is usable apart from the rate limit that it reports.
+    fn is_eligible(&self, now: Time, job: &Job, target: &Target, is_local: bool) -> bool {
+        (target.region == self.home.region) == is_local
             && target.is_available()
             && !target.is_ejected(now)
             && job.request.allows(&target.region)
             && !self.roster.is_evacuated(&target.entry.domain)
             && !job.tried.contains(&target.entry.id)
-            && (!self.may_be_cold(now, target) || self.has_cold_room(now, target))
+            && (!self.may_be_cold(now, target) || self.has_cold_allotment(now, target))
     }
 
-    /// Whether a target is cold, or may be without this instance's knowledge.
-    /// One that is cut off from the store and from all others isn't told; its
-    /// callers still reach it, and it still reaches targets.
+    /// Whether a target is cold, or may have become cold without this instance's
+    /// knowledge. An instance that is cut off from the store and from all others gets
+    /// no such update, although callers still reach it and it reaches targets.
     fn may_be_cold(&self, now: Time, target: &Target) -> bool {
         target.is_cold(now) || self.is_isolated(now)
     }
 
-    /// Whether a cold target bears another request of this instance.
-    fn has_cold_room(&self, now: Time, target: &Target) -> bool {
-        // A process that has just started may have an earlier one's requests
-        // behind it, and doesn't know yet whom it shares the sum with.
+    /// Whether this instance's allotment of a cold target's bound leaves room for a
+    /// request.
+    fn has_cold_allotment(&self, now: Time, target: &Target) -> bool {
+        // An earlier process of this instance may have sent requests just before
+        // this one started, and the other participants aren't known yet.
         if now < Time::ZERO + COLD_WINDOW {
             return false;
         }
@@ -323,47 +353,54 @@
             clippy::cast_sign_loss,
             reason = "a small count"
         )]
-        let total = (total * COLD_USED).max(0.0) as usize;
+        let total = (total * COLD_USED_RATIO).max(0.0) as usize;
         target.sent_within(now, COLD_WINDOW) < self.allotment(total, target)
     }
 
-    /// The targets of a region that an object belongs to, the first one first:
-    /// those of the highest hash of both, so that instances agree without a word
-    /// and few objects move when a target comes or goes. One that does poorly
-    /// comes last meanwhile, or each request of its objects would be late or
+    /// The preferred targets of an object, the first choice first, as indices in the
+    /// roster. They are found by rendezvous hashing, so that instances agree without
+    /// communication and few objects move when a target comes or goes. A degraded
+    /// target comes last meanwhile, or each request for its objects would be late or
     /// lost.
     fn preferred(
         &self,
         now: Time,
         job: &Job,
         object: u64,
-        near: bool,
-    ) -> [Option<usize>; PREFERRED] {
-        let fits = |t: &Target| {
-            (t.region == self.home.region) == near
+        is_local: bool,
+    ) -> [Option<usize>; PREFERRED_MAX] {
+        let is_candidate = |t: &Target| {
+            (t.region == self.home.region) == is_local
                 && t.is_available()
                 && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
         };
-        let shared = self.mechanisms.has(Mechanism::SharedHealth);
-        let fit = self.roster.of(&job.service).filter(|(_, t)| fits(t));
-        let fit: Vec<(usize, &Target)> = fit.collect();
-        let usual = Baseline::of(now, fit.iter().map(|(_, t)| &t.health));
-        let mut best = [None; PREFERRED];
-        for (index, target) in fit {
-            let well = !shared || !target.health.is_degraded(now, &usual);
-            let mut next = Some(((well, weight(target.hash(), object)), index));
-            for held in &mut best {
-                if next > *held {
-                    core::mem::swap(&mut next, held);
+        let uses_shared_health = self.mechanisms.has(Mechanism::SharedHealth);
+        let candidates = self
+            .roster
+            .of(&job.service)
+            .filter(|(_, t)| is_candidate(t));
+        let candidates: Vec<(usize, &Target)> = candidates.collect();
+        let baseline = Baseline::of(now, candidates.iter().map(|(_, t)| &t.health));
+        let mut best = [None; PREFERRED_MAX];
+        for (index, target) in candidates {
+            let is_healthy = !uses_shared_health || !target.health.is_degraded(now, &baseline);
+            let mut next = Some((
+                (is_healthy, rendezvous_weight(target.hash(), object)),
+                index,
+            ));
+            for choice in &mut best {
+                if next > *choice {
+                    core::mem::swap(&mut next, choice);
                 }
             }
         }
-        best.map(|held| held.map(|(_, index)| index))
+        best.map(|choice| choice.map(|(_, index)| index))
     }
 }
 
-fn weight(target: u64, object: u64) -> u64 {
+/// Weight of a target for an object in rendezvous hashing, from both hashes.
+fn rendezvous_weight(target: u64, object: u64) -> u64 {
     let mixed = target ^ object;
     let mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     (mixed ^ (mixed >> 29)).wrapping_mul(0x94D0_49BB_1331_11EB)
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -1,8 +1,9 @@
-//! Who of those that wait is sent, and who is rejected.
+//! Decisions on the requests that wait at this instance: which are sent now, and
+//! which are rejected.
 //!
-//! Invariant: the more urgent is looked at first; what can't be answered in
-//! time is rejected when that is known, and not when its time is over. Nothing
-//! waits for longer than this process lasts.
+//! Invariants: more urgent requests are decided on first; a request that can't be
+//! answered in time is rejected as soon as that is known, not when its time is
+//! over; no request waits beyond the end of this process.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -14,142 +15,153 @@
 use super::{ANSWER_RESERVE, Direct, place, unit_interval};
 use crate::clock::Time;
 
-/// Share of a request's latency objective for which it may be held before it is
-/// rejected. Later rejections leave the caller too little time to come back.
-const HOLD: f64 = 0.125;
+/// Part of a request's latency objective, from its arrival, within which it may be
+/// rejected because its answer might be late, and for which it is held while no
+/// target can be used. Later rejections leave the caller too little time to come
+/// back.
+const REJECT_HOLD_RATIO: f64 = 0.125;
 
-/// How much longer than estimated a wait may get: a request is only taken in
-/// if it would be answered in time even so.
-const DOUBT: f64 = 1.5;
+/// Factor on the estimated time to an answer; a request is only held if it would
+/// be answered in time even so.
+const COST_UNCERTAINTY_FACTOR: f64 = 1.5;
 
-/// Part of the shortest time expected of an answer that a request must have left
-/// to be sent at all. Times scatter widely about their mean; under a quarter of
-/// it hardly any answer comes, and the slot would be taken in vain.
-const LEAST: f64 = 0.25;
+/// Part of the shortest expected service time that must be left for a request to
+/// be sent at all. Service times scatter widely about their mean; below a quarter
+/// of it hardly any answer comes in time, and the slot would be wasted.
+const SERVICE_TIME_LEFT_RATIO_MIN: f64 = 0.25;
 
-/// Part of a region's slots in use below which it has slots to spare.
-const SPARE_USED: f64 = 0.6;
+/// Utilization of a region's slots below which it has slots to spare.
+const SPARE_UTILIZATION_MAX: f64 = 0.6;
 
-/// Shortest and longest time after which a rejected caller is told to return.
-const AFTER_LEAST: Duration = Duration::from_millis(150);
+/// Least time until a rejected caller is told to come back.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(150);
 
-const AFTER_MOST: Duration = Duration::from_secs(2);
+/// Longest time until a rejected caller is told to come back.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
 
 impl Direct {
-    /// Decides on everything that waits. To be called after each event, and at
-    /// the latest after [`STEP_INTERVAL_MAX`] while something waits.
+    /// Decides on all waiting requests and returns those to send or reject. Must
+    /// be called after each event, and at least every [`STEP_INTERVAL_MAX`] while
+    /// requests wait.
     pub fn step(&mut self, now: Time) -> Vec<Decision> {
-        let mut order: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
+        let mut queue: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
         for job in &self.jobs {
             if matches!(job.state, State::Waiting) {
-                let late = now > job.objective();
+                let is_late = now > job.objective();
                 let priority = if self.mechanisms.has(Mechanism::Priority) {
                     job.request.priority()
                 } else {
                     (0, 0)
                 };
-                let rank = (priority, late, job.objective(), job.ticket);
-                order.push(rank);
+                let rank = (priority, is_late, job.objective(), job.ticket);
+                queue.push(rank);
             }
         }
-        if order.is_empty() {
+        if queue.is_empty() {
             return Vec::new();
         }
-        order.sort_unstable();
+        queue.sort_unstable();
         for target in self.roster.all_mut() {
             target.reserved = 0;
         }
-        let mut orders = Vec::new();
-        for (_, _, _, ticket) in order {
-            if let Some(decided) = self.decide(now, ticket) {
-                orders.push(decided);
+        let mut decisions = Vec::new();
+        for (_, _, _, ticket) in queue {
+            if let Some(decision) = self.decide(now, ticket) {
+                decisions.push(decision);
             }
         }
-        orders
+        decisions
     }
 
+    /// Decides on one waiting request; `None` leaves it waiting.
     fn decide(&mut self, now: Time, ticket: Ticket) -> Option<Decision> {
         let at = self.find(ticket).ok()?;
-        if let Some(why) = self.withheld(now, &self.jobs[at].request) {
-            return Some(self.reject(now, at, why, None));
+        if let Some(reason) = self.withheld(now, &self.jobs[at].request) {
+            return Some(self.reject(now, at, reason, None));
         }
         if let Some(held) = self.admit(now, at) {
-            let (why, after) = held.verdict()?;
-            return Some(self.reject(now, at, why, Some(after)));
+            let (reason, after) = held.verdict()?;
+            return Some(self.reject(now, at, reason, Some(after)));
         }
         if self.jobs[at].is_remote.is_none() {
-            self.choose_side(now, at);
+            self.choose_region(now, at);
         }
         if self.is_too_late(now, &self.jobs[at]) {
             return Some(self.reject(now, at, Rejection::Overload, None));
         }
         let Some(best) = self.place(now, &self.jobs[at]) else {
-            return self.without_place(now, at);
+            return self.reject_without_place(now, at);
         };
         let job = &self.jobs[at];
-        if best.open && !self.outlasts(now, &best) {
+        if best.has_room && !self.outlasts_process(now, &best) {
             return Some(Decision::Send(self.send(now, at, &best)));
         }
         let held = now.since(job.arrived).as_secs_f64();
         let goal = job.request.route.goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
-        let hopeless = finish + ANSWER_RESERVE > job.time_limit || self.outlasts(now, &best);
-        let far_off = now + Duration::from_secs_f64(best.cost * DOUBT) > job.time_limit;
-        let reject = self.mechanisms.has(Mechanism::EarlyReject);
-        if reject && (hopeless || (far_off && held <= goal * HOLD)) {
-            let after = Self::after(&self.jobs[at], best.wait);
+        let will_be_late =
+            finish + ANSWER_RESERVE > job.time_limit || self.outlasts_process(now, &best);
+        let may_be_late =
+            now + Duration::from_secs_f64(best.cost * COST_UNCERTAINTY_FACTOR) > job.time_limit;
+        let may_reject = self.mechanisms.has(Mechanism::EarlyReject);
+        if may_reject && (will_be_late || (may_be_late && held <= goal * REJECT_HOLD_RATIO)) {
+            let after = Self::retry_after(&self.jobs[at], best.wait);
             return Some(self.reject(now, at, Rejection::Overload, Some(after)));
         }
         self.roster.all_mut()[best.index].reserved += 1;
         None
     }
 
-    /// Whether an answer would probably come after this process has ended, and
-    /// its caller would get none. Another instance can still take the request.
-    fn outlasts(&self, now: Time, best: &place::Place) -> bool {
-        let finish = now + Duration::from_secs_f64(best.cost * DOUBT);
+    /// Whether the answer would probably come after the end of this process, so
+    /// that the caller would get none. Another instance can still take the request.
+    fn outlasts_process(&self, now: Time, best: &place::Place) -> bool {
+        let finish = now + Duration::from_secs_f64(best.cost * COST_UNCERTAINTY_FACTOR);
         self.stops_at
             .is_some_and(|end| finish + ANSWER_RESERVE > end)
     }
 
-    /// Whether even a free target that holds the object would answer too late.
+    /// Whether too little time is left for an answer even from a free target where
+    /// the object is warm.
     fn is_too_late(&self, now: Time, job: &Job) -> bool {
-        let work = self.estimate(job);
-        now + Duration::from_secs_f64(work.warm * LEAST) > job.time_limit
+        let estimate = self.estimate(job);
+        now + Duration::from_secs_f64(estimate.warm * SERVICE_TIME_LEFT_RATIO_MIN) > job.time_limit
     }
 
-    /// No target can be used now.
-    fn without_place(&mut self, now: Time, at: usize) -> Option<Decision> {
+    /// Rejects a request for which no target can be used now, once it has waited
+    /// for a while.
+    fn reject_without_place(&mut self, now: Time, at: usize) -> Option<Decision> {
         let job = &self.jobs[at];
-        let goal = job.request.route.goal.mul_f64(HOLD);
-        // One that was sent already, or has just come, waits for a target that
-        // is only set aside for a moment.
-        if now < job.arrived + goal && now + ANSWER_RESERVE < job.time_limit {
+        let hold_max = job.request.route.goal.mul_f64(REJECT_HOLD_RATIO);
+        // A new request or a retry waits, since its targets may be ejected for a
+        // moment only.
+        if now < job.arrived + hold_max && now + ANSWER_RESERVE < job.time_limit {
             return None;
         }
         Some(self.reject(now, at, Rejection::NoTarget, None))
     }
 
-    /// Takes a request out; its caller may come back `after`, or soon.
+    /// Removes a request. Its caller may come back `after` that time, or without
+    /// it after the time for an idle queue.
     fn reject(
         &mut self,
         now: Time,
         at: usize,
-        why: Rejection,
+        reason: Rejection,
         after: Option<Duration>,
     ) -> Decision {
         let job = self.jobs.remove(at);
         self.give_back(now, &job);
         Decision::Reject {
             ticket: job.ticket,
-            why: job.rejection(why),
+            why: job.rejection(reason),
             after: match after {
                 Some(after) => after,
-                None => Self::after(&job, 0.0),
+                None => Self::retry_after(&job, 0.0),
             },
         }
     }
 
+    /// Marks a request as sent to the target at `best`.
     fn send(&mut self, now: Time, at: usize, best: &place::Place) -> Assignment {
         let load = self.load(now, &self.roster.all()[best.index]);
         let span = self.remembered(&self.roster.all()[best.index]);
@@ -167,7 +179,7 @@
         job.state = State::InFlight {
             target: Arc::clone(&id),
             sent_at: now,
-            service_time: best.work,
+            service_time: best.service_time,
             warm: best.warm,
             queued,
         };
@@ -176,7 +188,7 @@
             target: id,
             addr,
             attempt: job.tried.len(),
-            work: best.work,
+            work: best.service_time,
             warm: best.warm,
             load,
             limit,
@@ -185,25 +197,30 @@
         }
     }
 
-    /// When a rejected caller may come back: once the queue ahead of it is
-    /// done. The spread keeps callers rejected together from returning so.
-    pub(super) fn after(job: &Job, wait: f64) -> Duration {
-        let spread = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    /// Time after which a rejected caller may come back: about `wait`, the seconds
+    /// until the queue ahead of it is done. Jitter keeps callers that are rejected
+    /// together from returning together.
+    pub(super) fn retry_after(job: &Job, wait: f64) -> Duration {
+        let jitter = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let goal = job.request.route.goal.as_secs_f64();
-        let seconds = wait.max(goal * 0.2) * (0.75 + spread * 0.75);
-        Duration::from_secs_f64(seconds).clamp(AFTER_LEAST, AFTER_MOST)
+        let seconds = wait.max(goal * 0.2) * (0.75 + jitter * 0.75);
+        Duration::from_secs_f64(seconds).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
-    /// Decides in which region a request is to run.
-    fn choose_side(&mut self, now: Time, at: usize) {
-        let (pressure, position) = self.pressure(now, &self.jobs[at]);
+    /// Decides whether a request is to run in the own region or in another one.
+    fn choose_region(&mut self, now: Time, at: usize) {
+        let (pressure, position) = self.spillover_pressure(now, &self.jobs[at]);
         let service = Arc::clone(&self.jobs[at].service);
         let has = |mechanism| self.mechanisms.has(mechanism);
         let pressure = pressure.filter(|_| has(Mechanism::Spillover));
-        let start = has(Mechanism::InitialShare);
-        let used = self.used(now, &service);
-        let side = pressure.is_some_and(|pressure| {
-            let share = if start { self.lacking(&service) } else { 0.0 };
+        let has_initial_share = has(Mechanism::InitialShare);
+        let utilization = self.local_utilization(now, &service);
+        let is_remote = pressure.is_some_and(|pressure| {
+            let share = if has_initial_share {
+                self.slot_deficit(&service)
+            } else {
+                0.0
+            };
             let bound = self.bounds.shift;
             let spillovers = &mut self.spillovers;
             let at = match spillovers.binary_search_by(|p| p.0.cmp(&service)) {
@@ -215,9 +232,10 @@
             };
             spillovers[at]
                 .1
-                .choose_remote(now, pressure, used, position)
+                .choose_remote(now, pressure, utilization, position)
         });
-        self.jobs[at].is_remote = Some(side);
-        self.jobs[at].has_spare_slots = self.used_for(now, &self.jobs[at], side) < SPARE_USED;
+        self.jobs[at].is_remote = Some(is_remote);
+        self.jobs[at].has_spare_slots =
+            self.utilization_for(now, &self.jobs[at], is_remote) < SPARE_UTILIZATION_MAX;
     }
 }
