--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -145,7 +145,7 @@
 
     /// Answers a peer's question to this process as a witness; `None` if the
     /// process ends first.
-    pub async fn witness(&self, question: record::Question) -> Option<record::Word> {
+    pub async fn witness(&self, question: record::Question) -> Option<record::Reply> {
         let (mailbox, told) = async_channel::bounded(1);
         self.asked(question, mailbox);
         told.recv().await.ok()
@@ -286,7 +286,7 @@
         );
     }
 
-    fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Word>) {
+    fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Reply>) {
         let mut inner = self.lock();
         let ask = inner.expect(mailbox);
         self.handle(&mut inner, traffic::Event::Asked { ask, question });
--- a/crates/auburnrouter/src/daemon/engine/claim.rs
+++ b/crates/auburnrouter/src/daemon/engine/claim.rs
@@ -1,6 +1,6 @@
 //! Claims of keys that callers chose, in the platform's store.
 //!
-//! Invariant: [`record::StoreResult::Away`] is only said when the write
+//! Invariant: [`record::StoreResult::Unreachable`] is only said when the write
 //! certainly took no effect and never will.
 
 use std::fmt::Write;
@@ -24,7 +24,7 @@
 ) -> record::StoreResult {
     let late = async {
         smol::Timer::after(budget).await;
-        record::StoreResult::Lost
+        record::StoreResult::Unknown
     };
     let path = path(key);
     let work = async {
@@ -39,7 +39,7 @@
 async fn create(
     store: &dyn store::Store,
     path: &str,
-    attempt: record::Attempt,
+    attempt: record::Claim,
 ) -> record::StoreResult {
     let put = kv::Put {
         value: attempt.to_string(),
@@ -52,7 +52,7 @@
             current: Some(entry),
         }) => found(&entry),
         // Deleted between the write and its refusal: nothing is known.
-        Err(error::Error::Conflict { current: None }) => record::StoreResult::Lost,
+        Err(error::Error::Conflict { current: None }) => record::StoreResult::Unknown,
         Err(error) => failed(&error),
     }
 }
@@ -66,13 +66,13 @@
 }
 
 fn found(entry: &kv::Entry) -> record::StoreResult {
-    record::StoreResult::Found(record::Attempt::try_from(entry.value.as_str()).ok())
+    record::StoreResult::Found(record::Claim::try_from(entry.value.as_str()).ok())
 }
 
 const fn failed(error: &error::Error) -> record::StoreResult {
     match error.effect() {
-        error::Effect::None => record::StoreResult::Away,
-        error::Effect::Unknown => record::StoreResult::Lost,
+        error::Effect::None => record::StoreResult::Unreachable,
+        error::Effect::Unknown => record::StoreResult::Unknown,
     }
 }
 
--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -41,7 +41,7 @@
     /// Ask a witness.
     Ask {
         /// The question's name.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// Where the witness listens.
         addr: SocketAddr,
         /// The question.
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -32,13 +32,13 @@
 
 /// A peer's question, until it is answered with a `T`.
 struct Asked<T> {
-    id: record::AskId,
+    id: record::QuestionId,
     mailbox: async_channel::Sender<T>,
 }
 
 /// Answers a question. The peer may have given up; it then treats the answer as
 /// not given.
-fn answer<T>(asked: &mut Vec<Asked<T>>, id: record::AskId, with: T) {
+fn answer<T>(asked: &mut Vec<Asked<T>>, id: record::QuestionId, with: T) {
     if let Ok(at) = asked.binary_search_by_key(&id, |a| a.id) {
         let _ = asked.remove(at).mailbox.try_send(with);
     }
@@ -50,7 +50,7 @@
     pub decide: traffic::Traffic,
     requests: Vec<Pending>,
     flights: Vec<Flight>,
-    asked: Vec<Asked<record::Word>>,
+    asked: Vec<Asked<record::Reply>>,
     loans: Vec<Asked<u64>>,
     next: u64,
 }
@@ -142,28 +142,28 @@
     }
 
     /// Keeps a peer's question until it is answered.
-    pub fn expect(&mut self, mailbox: async_channel::Sender<record::Word>) -> record::AskId {
+    pub fn expect(&mut self, mailbox: async_channel::Sender<record::Reply>) -> record::QuestionId {
         self.next += 1;
-        let id = record::AskId(self.next);
+        let id = record::QuestionId(self.next);
         self.asked.push(Asked { id, mailbox });
         id
     }
 
     /// Answers a peer's question.
-    pub fn tell(&mut self, id: record::AskId, word: record::Word) {
+    pub fn tell(&mut self, id: record::QuestionId, word: record::Reply) {
         answer(&mut self.asked, id, word);
     }
 
     /// Keeps a peer's wish for a loan until it is answered.
-    pub fn expect_loan(&mut self, mailbox: async_channel::Sender<u64>) -> record::AskId {
+    pub fn expect_loan(&mut self, mailbox: async_channel::Sender<u64>) -> record::QuestionId {
         self.next += 1;
-        let id = record::AskId(self.next);
+        let id = record::QuestionId(self.next);
         self.loans.push(Asked { id, mailbox });
         id
     }
 
     /// Answers a peer's wish for a loan.
-    pub fn lend(&mut self, id: record::AskId, amount: u64) {
+    pub fn lend(&mut self, id: record::QuestionId, amount: u64) {
         answer(&mut self.loans, id, amount);
     }
 }
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -190,7 +190,7 @@
         addr: SocketAddr,
         question: &record::Question,
         budget: Duration,
-    ) -> Option<record::Word> {
+    ) -> Option<record::Reply> {
         let late = async {
             smol::Timer::after(budget).await;
             None
@@ -202,7 +202,7 @@
                 self.forget(addr);
                 return None;
             };
-            word.map(record::Word::from)
+            word.map(record::Reply::from)
         };
         let word = future::or(asked, late).await;
         if word.is_none() {
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -89,7 +89,7 @@
     fn request(&mut self, now: clock::Time, number: u64) {
         let key = self.key(now, number);
         if self.work == Work::Witness {
-            let ask = record::AskId(number);
+            let ask = record::QuestionId(number);
             let question = record::Question::Claim(key);
             return self.feed(now, gate::Event::Asked { ask, question });
         }
@@ -116,7 +116,7 @@
             let verdict = gate::Verdict::Answered(Arc::clone(&self.answer));
             match action {
                 gate::Action::Ask { ask, .. } => {
-                    let word = Some(record::Word::Claimed);
+                    let word = Some(record::Reply::Claimed);
                     self.feed(now, gate::Event::Told { ask, word });
                 }
                 gate::Action::Store { .. } => {
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -89,7 +89,7 @@
     frozen: bool,
     outbox: VecDeque<traffic::Action>,
     requests: Vec<Request>,
-    asked: Vec<(record::AskId, Sender)>,
+    asked: Vec<(record::QuestionId, Sender)>,
     issued: Option<key::Prefix>,
     next: u64,
 }
@@ -100,7 +100,7 @@
     safe: gate::Safeguards,
     processes: Vec<Process>,
     net: Vec<Message>,
-    store: Vec<(Arc<str>, record::Attempt)>,
+    store: Vec<(Arc<str>, record::Claim)>,
     /// Keys in use.
     pub keys: Vec<KeyCase>,
     /// Copies not yet sent, in the order in which they are by default.
--- a/crates/explorer/src/world/message.rs
+++ b/crates/explorer/src/world/message.rs
@@ -57,7 +57,7 @@
         /// Which incarnation of it.
         incarnation: view::Incarnation,
         /// Its question.
-        ask: record::AskId,
+        ask: record::QuestionId,
     },
 }
 
@@ -101,7 +101,7 @@
         question: record::Question,
     },
     /// The answer to a question; `None`: none came.
-    Told(Option<record::Word>),
+    Told(Option<record::Reply>),
     /// A request to a target.
     Run(Payload),
     /// A call to the store.
--- a/crates/explorer/src/world/perform.rs
+++ b/crates/explorer/src/world/perform.rs
@@ -148,7 +148,7 @@
         Some((request.payload, sender))
     }
 
-    fn tell(&mut self, index: usize, ask: record::AskId, word: record::Word) {
+    fn tell(&mut self, index: usize, ask: record::QuestionId, word: record::Reply) {
         let asked = &mut self.processes[index].asked;
         let Some(at) = asked.iter().position(|(a, _)| *a == ask) else {
             return;
@@ -234,7 +234,7 @@
                     return self.post(sender, message::Kind::Told(None));
                 }
                 process.next += 1;
-                let ask = record::AskId(process.next);
+                let ask = record::QuestionId(process.next);
                 process.asked.push((ask, sender));
                 self.feed(to, traffic::Event::Asked { ask, question });
             }
@@ -332,7 +332,7 @@
         call: record::StoreCall,
     ) -> record::StoreResult {
         let Some(text) = self.key_text(payload.key) else {
-            return record::StoreResult::Away;
+            return record::StoreResult::Unreachable;
         };
         let found = self.store.iter().find(|(key, _)| *key == text);
         match (found, call) {
--- a/crates/explorer/src/world/step.rs
+++ b/crates/explorer/src/world/step.rs
@@ -320,10 +320,10 @@
                 message::Kind::Ended(dispatch::AttemptOutcome::Broken)
             }
             (message::Kind::Store(..), Loss::Unsent) => {
-                message::Kind::Stored(record::StoreResult::Away)
+                message::Kind::Stored(record::StoreResult::Unreachable)
             }
             (message::Kind::Store(..) | message::Kind::Stored(_), _) => {
-                message::Kind::Stored(record::StoreResult::Lost)
+                message::Kind::Stored(record::StoreResult::Unknown)
             }
             (message::Kind::Ask { .. } | message::Kind::Told(_), _) => message::Kind::Told(None),
         };
--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -6,7 +6,7 @@
 use steer::connection::pool::{Connection, Taken};
 use steer::process::dispatch::{Action, AttemptOutcome, Destination, Event, Report};
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
-use steer::request::record::AskId;
+use steer::request::record::QuestionId;
 
 use super::fleet::region_name;
 use super::{FAR, Happening, LOCAL, Loan, Model, NEAR, OPEN, Request, Way, Work};
@@ -124,7 +124,7 @@
             return;
         }
         let event = Event::LoanRequested {
-            ask: AskId(0),
+            ask: QuestionId(0),
             route: loan.route.clone(),
             amount: loan.amount,
         };
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -16,7 +16,7 @@
 use steer::process::traffic::{Event, Traffic};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
-use steer::request::record::{AskId, Question, Word};
+use steer::request::record::{Question, QuestionId, Reply};
 use steer::version::view::{Incarnation, Region, View};
 
 use super::tally::Tallies;
@@ -114,8 +114,8 @@
     Gone(usize, RequestId),
     Wanted(usize, usize, Route, u64, Time),
     Borrowed(usize, Route, u64, Time),
-    Asked(usize, usize, AskId, Question),
-    Told(usize, AskId, Option<Word>),
+    Asked(usize, usize, QuestionId, Question),
+    Told(usize, QuestionId, Option<Reply>),
     Tick(usize),
     Lose,
     View(Arc<View>),
@@ -136,7 +136,7 @@
     /// Who asked for a loan.
     asks: Vec<(usize, Route, Time)>,
     /// Who asked a witness, and what it calls the question.
-    questions: Vec<(usize, AskId)>,
+    questions: Vec<(usize, QuestionId)>,
     /// By service.
     pub figures: Vec<Figures>,
     /// What went over each route since measuring began.
@@ -246,7 +246,7 @@
             }
             Happening::Gone(node, id) => self.tell(node, Event::Disconnected(id)),
             Happening::Wanted(node, from, route, amount, asked) => {
-                let ask = AskId(self.asks.len() as u64);
+                let ask = QuestionId(self.asks.len() as u64);
                 self.asks.push((from, route.clone(), asked));
                 self.tell(node, Event::LoanRequested { ask, route, amount });
             }
@@ -263,7 +263,7 @@
                 self.after(way, Happening::Told(from, ask, None));
             }
             Happening::Asked(node, from, ask, question) => {
-                let own = AskId(self.questions.len() as u64);
+                let own = QuestionId(self.questions.len() as u64);
                 self.questions.push((from, ask));
                 self.tell(node, Event::Asked { ask: own, question });
             }
--- a/crates/steer/src/process/dispatch/message.rs
+++ b/crates/steer/src/process/dispatch/message.rs
@@ -13,7 +13,7 @@
 use crate::request::answer::Answer;
 use crate::request::arrival::{Arrival, AttemptId, Fingerprint, RequestId};
 use crate::request::outcome::Refusal;
-use crate::request::record::AskId;
+use crate::request::record::QuestionId;
 use crate::version::view::{Incarnation, State, View};
 
 /// Target or peer that an attempt is sent to.
@@ -140,7 +140,7 @@
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
     LoanRequested {
         /// The driver's id of the request.
-        ask: AskId,
+        ask: QuestionId,
         /// Route of the cap.
         route: Route,
         /// Amount requested, per second.
@@ -215,7 +215,7 @@
     /// Answer a peer that asked for a part of a cap.
     Lend {
         /// The driver's id of the request.
-        ask: AskId,
+        ask: QuestionId,
         /// Amount lent, per second; zero if none is.
         amount: u64,
     },
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -248,9 +248,9 @@
         question: record::Question,
         budget: Duration,
         out: &mut Vec<Action>,
-    ) -> record::AskId {
+    ) -> record::QuestionId {
         self.asks += 1;
-        let ask = record::AskId(self.asks);
+        let ask = record::QuestionId(self.asks);
         out.push(Action::Ask {
             ask,
             peer,
@@ -263,12 +263,12 @@
     fn told(
         &mut self,
         now: clock::Time,
-        ask: record::AskId,
-        word: Option<record::Word>,
+        ask: record::QuestionId,
+        word: Option<record::Reply>,
         out: &mut Vec<Action>,
     ) {
         let epoch = match word {
-            Some(record::Word::Epoch(epoch)) => Some(epoch),
+            Some(record::Reply::Epoch(epoch)) => Some(epoch),
             _ => None,
         };
         if self.issue.told(now, &self.limits, ask, epoch) {
--- a/crates/steer/src/process/gate/chosen.rs
+++ b/crates/steer/src/process/gate/chosen.rs
@@ -47,7 +47,7 @@
             return gate::refuse(id, self.elsewhere(reason), out);
         }
         self.attempts += 1;
-        let attempt = record::Attempt {
+        let attempt = record::Claim {
             incarnation: self.me,
             number: self.attempts,
             fingerprint: arrival.fingerprint,
@@ -94,10 +94,10 @@
             }
             // Whether the write took effect is read back; nothing is decided
             // from silence.
-            (_, record::StoreResult::Lost | record::StoreResult::Absent) => {
+            (_, record::StoreResult::Unknown | record::StoreResult::Absent) => {
                 self.call(id, record::StoreCall::Read, out);
             }
-            (_, record::StoreResult::Away | record::StoreResult::Found(None)) => {
+            (_, record::StoreResult::Unreachable | record::StoreResult::Found(None)) => {
                 self.unsettled(id, out);
             }
         }
@@ -150,7 +150,7 @@
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
-        other: record::Attempt,
+        other: record::Claim,
         out: &mut Vec<message::Action>,
     ) {
         let Some(held) = self.held.remove(id) else {
--- a/crates/steer/src/process/gate/entry.rs
+++ b/crates/steer/src/process/gate/entry.rs
@@ -157,7 +157,7 @@
     pub(super) fn sealed(
         &mut self,
         id: arrival::RequestId,
-        word: Option<record::Word>,
+        word: Option<record::Reply>,
         out: &mut Vec<message::Action>,
     ) {
         if self.held.remove(id).is_some() {
@@ -165,12 +165,12 @@
         }
     }
 
-    fn verdict(&self, word: Option<record::Word>) -> outcome::Refusal {
+    fn verdict(&self, word: Option<record::Reply>) -> outcome::Refusal {
         match word {
-            Some(record::Word::Sealed) => {
+            Some(record::Reply::Sealed) => {
                 outcome::Refusal::not_run(outcome::Reason::OwnerGone, Some(gate::COME_BACK))
             }
-            Some(record::Word::Expired) => {
+            Some(record::Reply::Expired) => {
                 outcome::Refusal::unknown(outcome::Reason::KeyExpired, None)
             }
             _ => self.elsewhere(outcome::Reason::OwnerGone),
--- a/crates/steer/src/process/gate/held.rs
+++ b/crates/steer/src/process/gate/held.rs
@@ -15,7 +15,7 @@
     /// Its witness has been asked for a claim.
     Claiming {
         /// The question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// Who was asked.
         witness: view::Incarnation,
         /// When to give up waiting.
@@ -26,7 +26,7 @@
     /// The store has been asked for a claim.
     Storing {
         /// What is to hold the key.
-        attempt: record::Attempt,
+        attempt: record::Claim,
         /// The call under way.
         call: record::StoreCall,
         /// Calls made.
@@ -48,7 +48,7 @@
     /// The key's witness has been asked to seal the key.
     Sealing {
         /// The question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// When to give up waiting.
         wait: clock::Time,
     },
@@ -114,7 +114,7 @@
     }
 
     /// The request that waits for the answer to `ask`.
-    pub fn asking(&self, ask: record::AskId) -> Option<arrival::RequestId> {
+    pub fn asking(&self, ask: record::QuestionId) -> Option<arrival::RequestId> {
         let waits = |h: &&Held| match h.stage {
             Stage::Claiming { ask: a, .. } | Stage::Sealing { ask: a, .. } => a == ask,
             _ => false,
--- a/crates/steer/src/process/gate/issue.rs
+++ b/crates/steer/src/process/gate/issue.rs
@@ -16,7 +16,7 @@
 }
 
 struct Probe {
-    ask: record::AskId,
+    ask: record::QuestionId,
     incarnation: view::Incarnation,
     until: clock::Time,
 }
@@ -103,7 +103,7 @@
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
-        ask: record::AskId,
+        ask: record::QuestionId,
         epoch: Option<u64>,
     ) -> bool {
         let Some(probe) = self.probe.take_if(|p| p.ask == ask) else {
@@ -146,7 +146,7 @@
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
-        ask: record::AskId,
+        ask: record::QuestionId,
         incarnation: view::Incarnation,
     ) {
         self.probe = Some(Probe {
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -60,14 +60,14 @@
     /// A peer answered a question; `None` if no answer came.
     Told {
         /// The question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The answer.
-        word: Option<record::Word>,
+        word: Option<record::Reply>,
     },
     /// A peer asks this process.
     Asked {
         /// The driver's name for the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// What it asks.
         question: record::Question,
     },
@@ -119,7 +119,7 @@
     /// Ask a peer.
     Ask {
         /// Name of the question, for the answer.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The peer.
         peer: Peer,
         /// The question.
@@ -130,9 +130,9 @@
     /// Answer a peer's question.
     Tell {
         /// The driver's name for the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The answer.
-        word: record::Word,
+        word: record::Reply,
     },
     /// Call the platform's store about a key that its caller chose.
     Store {
--- a/crates/steer/src/process/gate/owner.rs
+++ b/crates/steer/src/process/gate/owner.rs
@@ -194,16 +194,16 @@
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
-        word: Option<record::Word>,
+        word: Option<record::Reply>,
         out: &mut Vec<message::Action>,
     ) {
         let reason = match word {
-            Some(record::Word::Claimed) => return self.granted(now, id, out),
-            Some(record::Word::Sealed) => outcome::Reason::KeySealed,
-            Some(record::Word::Expired) => outcome::Reason::KeyExpired,
+            Some(record::Reply::Claimed) => return self.granted(now, id, out),
+            Some(record::Reply::Sealed) => outcome::Reason::KeySealed,
+            Some(record::Reply::Expired) => outcome::Reason::KeyExpired,
             // A full witness stays full for minutes. New keys have to name
             // another one, or none, or they would all be refused as well.
-            Some(record::Word::Full | record::Word::Foreign | record::Word::Epoch(_)) | None => {
+            Some(record::Reply::Full | record::Reply::Foreign | record::Reply::Epoch(_)) | None => {
                 return self.give_up(now, id, out);
             }
         };
--- a/crates/steer/src/process/gate/witness.rs
+++ b/crates/steer/src/process/gate/witness.rs
@@ -16,7 +16,7 @@
     Sealed,
 }
 
-impl From<Mark> for record::Word {
+impl From<Mark> for record::Reply {
     fn from(mark: Mark) -> Self {
         match mark {
             Mark::Claimed => Self::Claimed,
@@ -56,9 +56,9 @@
     }
 
     /// Answers a question at this process's epoch `epoch`.
-    pub fn answer(&mut self, epoch: u64, question: &record::Question) -> record::Word {
+    pub fn answer(&mut self, epoch: u64, question: &record::Question) -> record::Reply {
         match question {
-            record::Question::Epoch => record::Word::Epoch(epoch),
+            record::Question::Epoch => record::Reply::Epoch(epoch),
             record::Question::Claim(text) => self.about(epoch, text, Self::claim),
             record::Question::Seal(text) => self.about(epoch, text, Self::seal),
         }
@@ -75,19 +75,19 @@
         &mut self,
         epoch: u64,
         text: &Arc<str>,
-        decide: fn(&mut Self, u64, book::Name) -> record::Word,
-    ) -> record::Word {
+        decide: fn(&mut Self, u64, book::Name) -> record::Reply,
+    ) -> record::Reply {
         let Ok(key::Key::Issued(key::Issued { prefix, .. })) = key::Key::try_from(text) else {
-            return record::Word::Foreign;
+            return record::Reply::Foreign;
         };
         let Some(stamp) = prefix.witness.filter(|s| s.incarnation == self.me) else {
-            return record::Word::Foreign;
+            return record::Reply::Foreign;
         };
         // An epoch that has not come yet was not told by this process. To
         // refuse it now and take it once it has come would be to say "not run"
         // and run it later.
         let Some(age) = epoch.checked_sub(stamp.epoch) else {
-            return record::Word::Expired;
+            return record::Reply::Expired;
         };
         let name = book::Name {
             epoch: stamp.epoch,
@@ -103,9 +103,9 @@
     /// could be forgotten while the owner's claim is still on its way; the
     /// claim would be granted, and a request that its caller was told had not
     /// run would run.
-    fn claim(&mut self, age: u64, name: book::Name) -> record::Word {
+    fn claim(&mut self, age: u64, name: book::Name) -> record::Reply {
         if self.safe.claim_window && age > self.accept {
-            return record::Word::Expired;
+            return record::Reply::Expired;
         }
         self.mark(name, Mark::Claimed)
     }
@@ -113,19 +113,19 @@
     /// Beyond the records' age a claim may have been forgotten, so there is no
     /// word to give. Between the claims' age and the records' age no record
     /// means that there never was nor will be a claim: nothing need be kept.
-    fn seal(&mut self, age: u64, name: book::Name) -> record::Word {
+    fn seal(&mut self, age: u64, name: book::Name) -> record::Reply {
         if self.safe.seal_window && age > self.keep {
-            return record::Word::Expired;
+            return record::Reply::Expired;
         }
         if self.safe.claim_window && age > self.accept {
-            return record::Word::Sealed;
+            return record::Reply::Sealed;
         }
         self.mark(name, Mark::Sealed)
     }
 
-    fn mark(&mut self, name: book::Name, mark: Mark) -> record::Word {
+    fn mark(&mut self, name: book::Name, mark: Mark) -> record::Reply {
         if self.marks.is_full() {
-            return record::Word::Full;
+            return record::Reply::Full;
         }
         self.marks.insert(name, mark);
         mark.into()
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -33,14 +33,14 @@
     /// An [`Action::Ask`] ended; `None` if no answer came.
     Told {
         /// The question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The peer's word.
-        word: Option<record::Word>,
+        word: Option<record::Reply>,
     },
     /// A peer asks this process; [`Action::Tell`] answers.
     Asked {
         /// The driver's name for the question, never reused.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// What it asks.
         question: record::Question,
     },
@@ -87,7 +87,7 @@
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
     LoanRequested {
         /// The driver's name for the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The cap.
         route: share::Route,
         /// How much of it.
@@ -155,7 +155,7 @@
     /// Ask a peer; report back by [`Event::Told`].
     Ask {
         /// Name of the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The peer.
         peer: gate::Peer,
         /// The question.
@@ -166,9 +166,9 @@
     /// Answer a peer's question.
     Tell {
         /// The driver's name for the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The answer.
-        word: record::Word,
+        word: record::Reply,
     },
     /// Call the platform's store; report back by [`Event::Stored`].
     Store {
@@ -203,7 +203,7 @@
     /// Answer a peer that asked for a part of a cap; zero is "nothing".
     Lend {
         /// The driver's name for the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// How much it gets.
         amount: u64,
     },
--- a/crates/steer/src/request/record.rs
+++ b/crates/steer/src/request/record.rs
@@ -1,6 +1,6 @@
 //! What processes tell each other and the store about keys.
 //!
-//! Invariant: an [`Attempt`] names one try of one process at one key; no other
+//! Invariant: a [`Claim`] names one try of one process at one key; no other
 //! try ever has the same text.
 
 use core::fmt;
@@ -12,7 +12,7 @@
 /// Names one question to a peer within the process that asks, and one question
 /// received within the process that answers; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AskId(pub u64);
+pub struct QuestionId(pub u64);
 
 /// What one process asks another in its role as a witness.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// What a witness says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Word {
+pub enum Reply {
     /// The key is claimed: its owner may send it, and may have done so.
     Claimed,
     /// The key never gets a claim: it has not run and won't.
@@ -43,7 +43,7 @@
     Epoch(u64),
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for Reply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Claimed => f.write_str("claimed"),
@@ -58,7 +58,7 @@
 
 /// One process's claim of a key in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempt {
+pub struct Claim {
     /// Who claims.
     pub incarnation: view::Incarnation,
     /// Which of its tries.
@@ -67,31 +67,31 @@
     pub fingerprint: arrival::Fingerprint,
 }
 
-impl fmt::Display for Attempt {
+impl fmt::Display for Claim {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let arrival::Fingerprint(print) = self.fingerprint;
         write!(f, "{}.{}.{print:032x}", self.incarnation, self.number)
     }
 }
 
-impl TryFrom<&str> for Attempt {
-    type Error = AttemptError;
+impl TryFrom<&str> for Claim {
+    type Error = ClaimError;
 
-    fn try_from(text: &str) -> Result<Self, AttemptError> {
+    fn try_from(text: &str) -> Result<Self, ClaimError> {
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or(AttemptError);
+        let mut next = || parts.next().ok_or(ClaimError);
         let attempt = Self {
             incarnation: view::Incarnation(
-                u64::from_str_radix(next()?, 16).map_err(|_| AttemptError)?,
+                u64::from_str_radix(next()?, 16).map_err(|_| ClaimError)?,
             ),
-            number: next()?.parse().map_err(|_| AttemptError)?,
+            number: next()?.parse().map_err(|_| ClaimError)?,
             fingerprint: arrival::Fingerprint(
-                u128::from_str_radix(next()?, 16).map_err(|_| AttemptError)?,
+                u128::from_str_radix(next()?, 16).map_err(|_| ClaimError)?,
             ),
         };
         match parts.next() {
             None => Ok(attempt),
-            Some(_) => Err(AttemptError),
+            Some(_) => Err(ClaimError),
         }
     }
 }
@@ -99,13 +99,13 @@
 /// A claim in the store that no version of this program wrote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a claim in the store is unreadable; nothing else may write below its prefix")]
-pub struct AttemptError;
+pub struct ClaimError;
 
 /// A call to the platform's store about one key chosen by a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
     /// Write the attempt if the key is absent.
-    Create(Attempt),
+    Create(Claim),
     /// Read the attempt that holds the key.
     Read,
 }
@@ -116,11 +116,11 @@
     /// The attempt was written.
     Created,
     /// This attempt holds the key; `None` if its value is unreadable.
-    Found(Option<Attempt>),
+    Found(Option<Claim>),
     /// Nothing holds the key.
     Absent,
     /// No connection to the store: the call took no effect.
-    Away,
-    /// No answer: the call may have taken effect, or may yet.
-    Lost,
+    Unreachable,
+    /// The call may have taken effect, or may yet.
+    Unknown,
 }
--- a/crates/steer/tests/gate_keys.rs
+++ b/crates/steer/tests/gate_keys.rs
@@ -44,7 +44,7 @@
     fn any_text_is_read_or_refused(text in ".{0,200}") {
         let text: Arc<str> = text.into();
         let _ = key::Key::try_from(&text);
-        let _ = record::Attempt::try_from(&*text);
+        let _ = record::Claim::try_from(&*text);
     }
 }
 
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -69,7 +69,7 @@
 
     fn take(&mut self, line: &line::Line<'_>) -> Vec<String> {
         let id = || arrival::RequestId(line.number("id").expect("the line names a request"));
-        let ask = || record::AskId(line.number("ask").expect("the line names a question"));
+        let ask = || record::QuestionId(line.number("ask").expect("the line names a question"));
         match line.word {
             "start" => {
                 *self = Self::new(limits(line));
--- a/crates/steer/tests/gate_scenarios/line.rs
+++ b/crates/steer/tests/gate_scenarios/line.rs
@@ -71,14 +71,14 @@
         }
     }
 
-    pub fn told(&self) -> Option<record::Word> {
+    pub fn told(&self) -> Option<record::Reply> {
         match self.get("word").expect("the line gives a word") {
-            "claimed" => Some(record::Word::Claimed),
-            "sealed" => Some(record::Word::Sealed),
-            "expired" => Some(record::Word::Expired),
-            "full" => Some(record::Word::Full),
-            "foreign" => Some(record::Word::Foreign),
-            "epoch" => Some(record::Word::Epoch(self.number("epoch").unwrap_or(0))),
+            "claimed" => Some(record::Reply::Claimed),
+            "sealed" => Some(record::Reply::Sealed),
+            "expired" => Some(record::Reply::Expired),
+            "full" => Some(record::Reply::Full),
+            "foreign" => Some(record::Reply::Foreign),
+            "epoch" => Some(record::Reply::Epoch(self.number("epoch").unwrap_or(0))),
             "none" => None,
             other => panic!("no word is called {other}"),
         }
@@ -88,11 +88,11 @@
         match self.get("how").expect("the line says how the call ended") {
             "created" => record::StoreResult::Created,
             "absent" => record::StoreResult::Absent,
-            "away" => record::StoreResult::Away,
-            "lost" => record::StoreResult::Lost,
+            "away" => record::StoreResult::Unreachable,
+            "lost" => record::StoreResult::Unknown,
             "unreadable" => record::StoreResult::Found(None),
             attempt => record::StoreResult::Found(Some(
-                record::Attempt::try_from(attempt).expect("an attempt"),
+                record::Claim::try_from(attempt).expect("an attempt"),
             )),
         }
     }
--- a/crates/wire/src/witness.rs
+++ b/crates/wire/src/witness.rs
@@ -16,7 +16,7 @@
     Epoch,
 }
 
-/// Twin of [`record::Word`].
+/// Twin of [`record::Reply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
     /// The key is claimed.
@@ -53,20 +53,20 @@
     }
 }
 
-impl From<record::Word> for Word {
-    fn from(word: record::Word) -> Self {
+impl From<record::Reply> for Word {
+    fn from(word: record::Reply) -> Self {
         match word {
-            record::Word::Claimed => Self::Claimed,
-            record::Word::Sealed => Self::Sealed,
-            record::Word::Expired => Self::Expired,
-            record::Word::Full => Self::Full,
-            record::Word::Foreign => Self::Foreign,
-            record::Word::Epoch(epoch) => Self::Epoch(epoch),
+            record::Reply::Claimed => Self::Claimed,
+            record::Reply::Sealed => Self::Sealed,
+            record::Reply::Expired => Self::Expired,
+            record::Reply::Full => Self::Full,
+            record::Reply::Foreign => Self::Foreign,
+            record::Reply::Epoch(epoch) => Self::Epoch(epoch),
         }
     }
 }
 
-impl From<Word> for record::Word {
+impl From<Word> for record::Reply {
     fn from(word: Word) -> Self {
         match word {
             Word::Claimed => Self::Claimed,
