--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -43,7 +43,7 @@
 };
 
 use crate::clock::Time;
-use crate::request::poison::{STRIKES, Suspects};
+use crate::request::poison::{STRIKES_MAX, Suspects};
 use crate::version::routes::Routes;
 
 use allotment::Participant;
@@ -211,7 +211,7 @@
     /// Returns the reason if the route has no service, if no region is allowed by
     /// both the route and the team, or if the request has crashed targets before.
     pub fn submit(&mut self, now: Time, request: Request) -> Result<Ticket, Rejection> {
-        if self.suspects.strikes(request.print) >= STRIKES {
+        if self.suspects.strikes(request.print) >= STRIKES_MAX {
             return Err(Rejection::Poison);
         }
         if !self.has_region(&request) {
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -13,7 +13,7 @@
 use super::target::Feedback;
 use super::{ANSWER_RESERVE, Direct, members, short_hash};
 use crate::clock::Time;
-use crate::request::poison::STRIKES;
+use crate::request::poison::STRIKES_MAX;
 
 impl Direct {
     /// Removes a request whose caller has left or whose time is over.
@@ -131,7 +131,7 @@
             AttemptOutcome::Answered if !self.suspects.is_empty() => {
                 self.suspects.clear(fingerprint);
                 // The changes need no message: heartbeats report all recent strikes.
-                self.suspects.survived(target, sent_at, &mut Vec::new());
+                self.suspects.withdraw(target, sent_at, &mut Vec::new());
             }
             _ => {}
         }
@@ -161,7 +161,7 @@
         let job = &mut self.jobs[at];
         job.may_have_run |= !is_not_run;
         let may_retry = self.mechanisms.has(Mechanism::Retry);
-        let is_poison = self.suspects.strikes(job.request.print) >= STRIKES;
+        let is_poison = self.suspects.strikes(job.request.print) >= STRIKES_MAX;
         let is_safe =
             may_retry && !is_poison && (!job.may_have_run || job.request.route.idempotent);
         let has_attempts = job.tried.len() < job.request.route.attempts.max(1);
--- a/crates/steer/src/process/direct/contact.rs
+++ b/crates/steer/src/process/direct/contact.rs
@@ -179,7 +179,7 @@
     /// Takes another instance's heartbeat.
     pub fn hear(&mut self, now: Time, beat: Heartbeat) {
         for (print, strikes) in &beat.struck {
-            self.suspects.told(now, Fingerprint(*print), *strikes);
+            self.suspects.merge(now, Fingerprint(*print), *strikes);
         }
         for (mark, object) in &beat.held {
             self.roster.told_held(now, *mark, *object);
@@ -205,7 +205,7 @@
         let held = self.held(now);
         let observations = self.take_observations(now);
         let limits = self.named_limits(now);
-        let struck = self.suspects.lately(now, TOLD);
+        let struck = self.suspects.recent(now, TOLD);
         Heartbeat {
             name: Arc::clone(&self.home.name),
             life: self.home.life,
@@ -216,7 +216,7 @@
             version: self.version(),
             row: row.then(|| self.home.row.clone()),
             held,
-            struck: struck.map(|c| (c.print.0, c.strikes)).collect(),
+            struck: struck.map(|c| (c.fingerprint.0, c.strikes)).collect(),
             flying: self.roster.flying(),
             observations,
             limits,
@@ -279,7 +279,7 @@
 
     /// Forgets what is gone. Names targets that were missing and are dropped.
     pub fn sweep(&mut self, now: Time) -> Vec<Arc<str>> {
-        self.suspects.forget(now);
+        self.suspects.expire(now);
         self.members.sweep(now);
         self.roster.hear(now, &self.members);
         self.recount(now);
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -189,7 +189,7 @@
         };
         let on = self.tuning.safeguards;
         let strikes = self.suspects.strikes(arrival.fingerprint);
-        if on.has(Safeguard::Poison) && strikes >= poison::STRIKES {
+        if on.has(Safeguard::Poison) && strikes >= poison::STRIKES_MAX {
             // Earlier attempts of the same request ran: "not run" is wrong.
             return Err(Refusal::unknown(Reason::Poison, None));
         }
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -17,7 +17,7 @@
 use crate::request::admission;
 use crate::request::arrival::{AttemptId, Fingerprint, RequestId};
 use crate::request::outcome::{Reason, Refusal};
-use crate::request::poison::{self, Change};
+use crate::request::poison::{self, StrikeUpdate};
 use crate::request::retry::{self, Doubt};
 use crate::version::view::State;
 
@@ -219,7 +219,7 @@
         if is_local && !self.suspects.is_empty() {
             changes.extend(self.suspects.clear(running.job.arrival.fingerprint));
             let name = running.destination.name();
-            self.suspects.survived(name, running.sent_at, &mut changes);
+            self.suspects.withdraw(name, running.sent_at, &mut changes);
         }
         out.extend(changes.into_iter().map(suspect_action));
     }
@@ -270,7 +270,7 @@
             .suspects
             .strike(now, running.strikes, fingerprint, name);
         out.push(suspect_action(change));
-        self.refuse_poisoned(change.print, out);
+        self.refuse_poisoned(change.fingerprint, out);
     }
 
     pub(super) fn suspected(
@@ -280,14 +280,14 @@
         strikes: u8,
         out: &mut Vec<Action>,
     ) {
-        self.suspects.told(now, fingerprint, strikes);
+        self.suspects.merge(now, fingerprint, strikes);
         self.refuse_poisoned(fingerprint, out);
     }
 
     /// Refuses the waiting copies of a request that is always refused.
     fn refuse_poisoned(&mut self, fingerprint: Fingerprint, out: &mut Vec<Action>) {
         let is_on = self.tuning.safeguards.has(Safeguard::Poison);
-        if !is_on || self.suspects.strikes(fingerprint) < poison::STRIKES {
+        if !is_on || self.suspects.strikes(fingerprint) < poison::STRIKES_MAX {
             return;
         }
         for service in 0..self.services.len() {
@@ -336,9 +336,9 @@
     }
 }
 
-pub(super) const fn suspect_action(change: Change) -> Action {
+pub(super) const fn suspect_action(change: StrikeUpdate) -> Action {
     Action::Suspect {
-        fingerprint: change.print,
+        fingerprint: change.fingerprint,
         strikes: change.strikes,
     }
 }
--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -351,7 +351,7 @@
     /// refused.
     pub(super) fn is_poisoned(&self, job: &Job) -> bool {
         self.tuning.safeguards.has(Safeguard::Poison)
-            && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES
+            && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES_MAX
     }
 }
 
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -37,7 +37,7 @@
             self.spill_over(now, service, out);
         }
         self.send_queued(now, out);
-        self.suspects.forget(now);
+        self.suspects.expire(now);
         self.send_probe(now, out);
     }
 
--- a/crates/steer/src/process/dispatch/view_update.rs
+++ b/crates/steer/src/process/dispatch/view_update.rs
@@ -61,7 +61,7 @@
     fn announce_poisoned(&self, out: &mut Vec<Action>) {
         out.extend(
             self.suspects
-                .culprits()
+                .rejected()
                 .map(super::completion::suspect_action),
         );
     }
--- a/crates/steer/src/request/poison.rs
+++ b/crates/steer/src/request/poison.rs
@@ -8,7 +8,7 @@
 //! more. Marks are withdrawn too when the target goes on answering requests
 //! begun before the break, since then only a connection failed.
 //!
-//! Invariant: at most [`MOST`] fingerprints are kept, each for [`KEPT`].
+//! Invariant: at most [`SUSPECTS_MAX`] fingerprints are kept, each for [`SUSPECT_TTL`].
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use crate::request::arrival::Fingerprint;
 
 /// Strikes at which a request is refused for good.
-pub const STRIKES: u8 = 2;
+pub const STRIKES_MAX: u8 = 2;
 /// Time after the last strike at which a fingerprint is forgotten.
-pub const KEPT: Duration = Duration::from_mins(10);
+pub const SUSPECT_TTL: Duration = Duration::from_mins(10);
 /// Fingerprints kept at most.
-pub const MOST: usize = 1024;
+pub const SUSPECTS_MAX: usize = 1024;
 
 /// A target that broke under a request.
 #[derive(Clone, Debug)]
@@ -32,24 +32,24 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    print: Fingerprint,
+    fingerprint: Fingerprint,
     marks: Vec<Mark>,
-    told: u8,
+    reported: u8,
     at: Time,
 }
 
 impl Entry {
     fn strikes(&self) -> u8 {
         let own = u8::try_from(self.marks.len()).unwrap_or(u8::MAX);
-        own.max(self.told)
+        own.max(self.reported)
     }
 }
 
-/// What became of a fingerprint's strikes, to be told to peers.
+/// What became of a fingerprint's strikes, to be reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct StrikeUpdate {
     /// The fingerprint.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Its strikes now; zero clears it.
     pub strikes: u8,
 }
@@ -63,8 +63,9 @@
 impl Suspects {
     /// Strikes against a fingerprint.
     #[must_use]
-    pub fn strikes(&self, print: Fingerprint) -> u8 {
-        self.find(print).map_or(0, |at| self.entries[at].strikes())
+    pub fn strikes(&self, fingerprint: Fingerprint) -> u8 {
+        self.find(fingerprint)
+            .map_or(0, |at| self.entries[at].strikes())
     }
 
     /// Number of fingerprints kept.
@@ -90,10 +91,10 @@
         &mut self,
         now: Time,
         known: u8,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         target: &Arc<str>,
-    ) -> Change {
-        let at = self.ensure(now, print);
+    ) -> StrikeUpdate {
+        let at = self.ensure(now, fingerprint);
         let entry = &mut self.entries[at];
         let before = entry.strikes();
         if known >= before {
@@ -101,62 +102,65 @@
                 target: Arc::clone(target),
                 at: now,
             });
-            entry.told = entry.told.max((before + 1).min(STRIKES));
+            entry.reported = entry.reported.max((before + 1).min(STRIKES_MAX));
             entry.at = now;
         }
-        Change {
-            print,
+        StrikeUpdate {
+            fingerprint,
             strikes: entry.strikes(),
         }
     }
 
     /// A peer's word. Zero clears, unless the request is refused for good.
-    pub fn told(&mut self, now: Time, print: Fingerprint, strikes: u8) {
+    pub fn merge(&mut self, now: Time, fingerprint: Fingerprint, strikes: u8) {
         if strikes == 0 {
-            self.clear(print);
+            self.clear(fingerprint);
             return;
         }
-        let at = self.ensure(now, print);
+        let at = self.ensure(now, fingerprint);
         let entry = &mut self.entries[at];
         // The same word again doesn't make it younger: peers repeat it to each
         // newcomer, and would keep it alive among themselves for ever.
-        if strikes > entry.told {
-            entry.told = strikes;
+        if strikes > entry.reported {
+            entry.reported = strikes;
             entry.at = now;
         }
     }
 
     /// Requests that are refused for good.
-    pub fn culprits(&self) -> impl Iterator<Item = Change> {
-        let refused = self.entries.iter().filter(|e| e.strikes() >= STRIKES);
-        refused.map(|entry| Change {
-            print: entry.print,
+    pub fn rejected(&self) -> impl Iterator<Item = StrikeUpdate> {
+        let refused = self.entries.iter().filter(|e| e.strikes() >= STRIKES_MAX);
+        refused.map(|entry| StrikeUpdate {
+            fingerprint: entry.fingerprint,
             strikes: entry.strikes(),
         })
     }
 
     /// Requests that were struck within `span`, for peers.
-    pub fn lately(&self, now: Time, span: Duration) -> impl Iterator<Item = Change> {
+    pub fn recent(&self, now: Time, span: Duration) -> impl Iterator<Item = StrikeUpdate> {
         let fresh = self.entries.iter().filter(move |e| now.since(e.at) < span);
-        fresh.map(|entry| Change {
-            print: entry.print,
+        fresh.map(|entry| StrikeUpdate {
+            fingerprint: entry.fingerprint,
             strikes: entry.strikes(),
         })
     }
 
     /// The request succeeded: it doesn't crash targets.
-    pub fn clear(&mut self, print: Fingerprint) -> Option<Change> {
-        let at = self.find(print)?;
-        if self.entries[at].strikes() >= STRIKES {
+    pub fn clear(&mut self, fingerprint: Fingerprint) -> Option<StrikeUpdate> {
+        let at = self.find(fingerprint)?;
+        if self.entries[at].strikes() >= STRIKES_MAX {
             return None;
         }
         self.entries.remove(at);
-        Some(Change { print, strikes: 0 })
+        Some(StrikeUpdate {
+            fingerprint,
+            strikes: 0,
+        })
     }
 
     /// `target` answered a request begun at `begun`: it survived every break
     /// since then, so the marks of those breaks are withdrawn.
-    pub fn survived(&mut self, target: &str, begun: Time, out: &mut Vec<Change>) {
+    pub fn withdraw(&mut self, target: &str, begun: Time, out: &mut Vec<StrikeUpdate>) {
         for entry in &mut self.entries {
             let before = entry.marks.len();
             entry
@@ -166,36 +170,40 @@
                 continue;
             }
             let own = u8::try_from(entry.marks.len()).unwrap_or(u8::MAX);
-            entry.told = entry.told.saturating_sub(1).max(own);
-            out.push(Change {
-                print: entry.print,
-                strikes: entry.told,
+            entry.reported = entry.reported.saturating_sub(1).max(own);
+            out.push(StrikeUpdate {
+                fingerprint: entry.fingerprint,
+                strikes: entry.reported,
             });
         }
         self.entries.retain(|e| e.strikes() > 0);
     }
 
-    /// Forgets what is older than [`KEPT`].
-    pub fn forget(&mut self, now: Time) {
-        self.entries.retain(|e| now.since(e.at) < KEPT);
+    /// Forgets what is older than [`SUSPECT_TTL`].
+    pub fn expire(&mut self, now: Time) {
+        self.entries.retain(|e| now.since(e.at) < SUSPECT_TTL);
     }
 
-    fn find(&self, print: Fingerprint) -> Option<usize> {
-        self.entries.binary_search_by_key(&print, |e| e.print).ok()
+    fn find(&self, fingerprint: Fingerprint) -> Option<usize> {
+        self.entries
+            .binary_search_by_key(&fingerprint, |e| e.fingerprint)
+            .ok()
     }
 
-    fn ensure(&mut self, now: Time, print: Fingerprint) -> usize {
-        if let Some(at) = self.find(print) {
+    fn ensure(&mut self, now: Time, fingerprint: Fingerprint) -> usize {
+        if let Some(at) = self.find(fingerprint) {
             return at;
         }
-        if self.entries.len() >= MOST {
+        if self.entries.len() >= SUSPECTS_MAX {
             self.evict();
         }
-        let at = self.entries.partition_point(|e| e.print < print);
+        let at = self
+            .entries
+            .partition_point(|e| e.fingerprint < fingerprint);
         let entry = Entry {
-            print,
+            fingerprint,
             marks: Vec::new(),
-            told: 0,
+            reported: 0,
             at: now,
         };
         self.entries.insert(at, entry);
@@ -206,7 +214,7 @@
     fn evict(&mut self) {
         let oldest = (0..self.entries.len()).min_by_key(|&i| {
             let entry = &self.entries[i];
-            (entry.strikes() >= STRIKES, entry.at)
+            (entry.strikes() >= STRIKES_MAX, entry.at)
         });
         if let Some(at) = oldest {
             self.entries.remove(at);
--- a/crates/steer/tests/dispatch_newcomer.rs
+++ b/crates/steer/tests/dispatch_newcomer.rs
@@ -69,12 +69,12 @@
 fn word_forgotten_though_repeated() {
     let mut suspects = Suspects::default();
     let mut now = Time::ZERO;
-    suspects.told(now, PRINT, poison::STRIKES);
+    suspects.merge(now, PRINT, poison::STRIKES_MAX);
     for _ in 0..4 {
-        now = now + poison::KEPT / 3;
-        suspects.forget(now);
+        now = now + poison::SUSPECT_TTL / 3;
+        suspects.expire(now);
         if suspects.strikes(PRINT) > 0 {
-            suspects.told(now, PRINT, poison::STRIKES);
+            suspects.merge(now, PRINT, poison::STRIKES_MAX);
         }
     }
     assert_eq!(suspects.strikes(PRINT), 0);
