--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -48,7 +48,7 @@
     /// Indices of `services`, sorted by class, highest first.
     class_order: Vec<usize>,
     running: RunningRequests,
-    callers: admission::Counts,
+    callers: admission::CallerCounts,
     budget: retry::Budget,
     suspects: poison::Suspects,
     shares: share::Shares,
@@ -79,7 +79,7 @@
             services: Vec::new(),
             class_order: Vec::new(),
             running: RunningRequests::default(),
-            callers: admission::Counts::default(),
+            callers: admission::CallerCounts::default(),
             budget: retry::Budget::default(),
             suspects: poison::Suspects::default(),
             shares: share::Shares::default(),
@@ -159,13 +159,13 @@
             }
         };
         if let Err(wait) = self.admit_inbound(now, &arrival) {
-            let after = Some(admission::jitter(wait, &mut self.rng));
+            let after = Some(admission::retry_after(wait, &mut self.rng));
             let refusal = Refusal::not_run(Reason::Cap, after);
             return self.refuse(arrival.id, refusal, out);
         }
         let allowed = arrival.deadline.unwrap_or(self.services[service].deadline);
         self.callers.add(&arrival.caller);
-        self.budget.earn();
+        self.budget.deposit();
         let job = Job {
             deadline: now + allowed,
             arrived_at: now,
@@ -212,7 +212,7 @@
         let left = job.deadline.since(now);
         let on = self.tuning.safeguards;
         if self.is_too_late(service, left) {
-            let wait = self.services[service].outlook().wait();
+            let wait = self.services[service].estimate().wait();
             let reason = job.last_failure.unwrap_or(Reason::Deadline);
             return self.refuse_job(&job, reason, wait, out);
         }
@@ -225,17 +225,18 @@
         {
             return self.send(now, service, job, pick, out);
         }
-        let outlook = self.services[service].outlook();
+        let estimate = self.services[service].estimate();
         if job.arrival.origin == Origin::Peer {
             // Only the instance that the caller reached queues requests: one
             // that waits here could be served by another peer.
-            return self.refuse_job(&job, Reason::Overloaded, outlook.wait(), out);
+            return self.refuse_job(&job, Reason::Overloaded, estimate.wait(), out);
         }
-        let is_short = outlook.wait() <= self.wait_limit(now, service);
-        let is_hopeful = !on.has(Safeguard::Admission) || (is_short && outlook.hopeful(left));
-        let is_queueable =
-            is_hopeful && self.has_open_target(now, service, &job) && self.has_queue_share(service);
-        let wait_max = if is_queueable { outlook.wait() } else { left };
+        let is_short = estimate.wait() <= self.wait_limit(now, service);
+        let is_feasible = !on.has(Safeguard::Admission) || (is_short && estimate.is_feasible(left));
+        let is_queueable = is_feasible
+            && self.has_open_target(now, service, &job)
+            && self.has_queue_share(service);
+        let wait_max = if is_queueable { estimate.wait() } else { left };
         // A request that a cap admits counts as used: caps are only checked for
         // the peer that the request is then sent to.
         let remote = if has_room {
@@ -251,7 +252,7 @@
         if is_queueable && self.make_room(service, out) {
             return self.enqueue(now, service, job);
         }
-        if outlook.limit == 0
+        if estimate.limit == 0
             && has_room
             && let Some(pick) = self.pick_ejected(now, service, &job)
         {
@@ -260,16 +261,16 @@
         let reason = match job.last_failure {
             _ if cap_wait.is_some() => Reason::Cap,
             Some(failed) => failed,
-            None if outlook.limit == 0 => Reason::NoTarget,
+            None if estimate.limit == 0 => Reason::NoTarget,
             // The reason is the deadline only if the expected wait and run
             // time exceed it. A wait that the limits exclude is overload.
-            None if outlook.hopeful(left) => Reason::Overloaded,
+            None if estimate.is_feasible(left) => Reason::Overloaded,
             None => Reason::Deadline,
         };
         let wait = match cap_wait {
             Some(after) => after,
-            None if outlook.limit == 0 => admission::COME_BACK.0 * 10,
-            None => outlook.wait(),
+            None if estimate.limit == 0 => admission::RETRY_AFTER_BOUNDS.0 * 10,
+            None => estimate.wait(),
         };
         self.refuse_job(&job, reason, wait, out);
     }
@@ -332,8 +333,8 @@
         out: &mut Vec<Action>,
     ) {
         let after = match job.arrival.origin {
-            Origin::Peer => admission::pause(wait, &mut self.rng),
-            Origin::Caller | Origin::Forward => admission::jitter(wait, &mut self.rng),
+            Origin::Peer => admission::peer_pause(wait, &mut self.rng),
+            Origin::Caller | Origin::Forward => admission::retry_after(wait, &mut self.rng),
         };
         let refusal = job.refusal(reason, Some(after));
         self.finish_job(job, refusal, out);
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -18,7 +18,7 @@
 use crate::request::arrival::{AttemptId, Fingerprint, RequestId};
 use crate::request::outcome::{Reason, Refusal};
 use crate::request::poison::{self, StrikeUpdate};
-use crate::request::retry::{self, Doubt};
+use crate::request::retry::{self, Execution};
 use crate::version::view::State;
 
 impl Dispatch {
@@ -48,7 +48,7 @@
     ) {
         let mut job = running.job;
         let id = job.arrival.id;
-        let Some(doubt) = retry::doubt(&outcome) else {
+        let Some(execution) = retry::execution(&outcome) else {
             if let AttemptOutcome::Answered(answer) = outcome {
                 self.callers.remove(&job.arrival.caller);
                 self.stats.replied += 1;
@@ -56,14 +56,14 @@
             }
             return;
         };
-        job.is_uncertain |= doubt == Doubt::MayHaveRun;
-        job.last_failure = Some(retry::reason(&outcome));
+        job.is_uncertain |= execution == Execution::MayHaveRun;
+        job.last_failure = Some(retry::failure_reason(&outcome));
         if self.is_poisoned(&job) {
             let refusal = Refusal::unknown(Reason::Poison, None);
             return self.finish_job(&job, refusal, out);
         }
         if let AttemptOutcome::PeerRefused(refusal) = outcome
-            && doubt == Doubt::MayHaveRun
+            && execution == Execution::MayHaveRun
         {
             return self.finish_job(&job, refusal, out);
         }
@@ -71,16 +71,16 @@
             let refusal = job.refusal(Reason::UnknownService, None);
             return self.finish_job(&job, refusal, out);
         };
-        let is_safe = doubt == Doubt::NotRun || self.services[service].is_idempotent;
-        let wait = self.services[service].outlook().wait();
+        let is_safe = execution == Execution::NotRun || self.services[service].is_idempotent;
+        let wait = self.services[service].estimate().wait();
         if !is_safe || now >= job.deadline {
-            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
+            return self.refuse_job(&job, retry::failure_reason(&outcome), wait, out);
         }
-        if !self.budget.spend(retry::cost(&outcome))
+        if !self.budget.withdraw(retry::cost(&outcome))
             && self.tuning.safeguards.has(Safeguard::Budget)
         {
             self.stats.budget_denied += 1;
-            return self.refuse_job(&job, retry::reason(&outcome), wait, out);
+            return self.refuse_job(&job, retry::failure_reason(&outcome), wait, out);
         }
         self.place(now, service, job, out);
     }
@@ -332,7 +332,7 @@
 
     /// Time after which to ask again if no waiting time is known, with jitter.
     pub(super) fn default_retry_after(&mut self) -> core::time::Duration {
-        admission::jitter(admission::COME_BACK.0, &mut self.rng)
+        admission::retry_after(admission::RETRY_AFTER_BOUNDS.0, &mut self.rng)
     }
 }
 
--- a/crates/steer/src/process/dispatch/queue.rs
+++ b/crates/steer/src/process/dispatch/queue.rs
@@ -74,7 +74,7 @@
             other.class > class && !other.queue.is_empty() && !is_kept
         });
         let Some(evicted) = evicted else { return false };
-        let wait = self.services[evicted].outlook().wait();
+        let wait = self.services[evicted].estimate().wait();
         if let Some(job) = self.services[evicted].queue.pop_back() {
             self.refuse_job(&job, Reason::Overloaded, wait, out);
         }
--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -84,7 +84,7 @@
         {
             return Some(pick);
         }
-        let wait = latency::micros(state.outlook().wait());
+        let wait = latency::micros(state.estimate().wait());
         let is_fast = |endpoint: &Endpoint| {
             !on.has(Safeguard::SlowTarget)
                 || match endpoint.latency.speed(now, state.best_mean, wait) {
@@ -226,7 +226,7 @@
         if job.arrival.origin == Origin::Peer || (self.is_suspect(job) && state.limit > 0) {
             return Ok(None);
         }
-        let run = state.outlook().run();
+        let run = state.estimate().run_time();
         let tiers = [
             (SAME_REGION_HOP, 0..state.same_region),
             (CROSS_REGION_HOP, state.same_region..state.remotes.len()),
@@ -339,7 +339,7 @@
             && state.is_idempotent
             && has_others
             && pick.is_local()
-            && self.budget.any();
+            && self.budget.has_retry();
         match state.latency.high().filter(|_| is_bounded) {
             Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
             None if is_bounded && is_first_unmeasured(state, job) => left / 2,
--- a/crates/steer/src/process/dispatch/service.rs
+++ b/crates/steer/src/process/dispatch/service.rs
@@ -12,7 +12,7 @@
 use crate::process::dispatch::job::Job;
 use crate::process::safeguard::{Safeguard, Safeguards};
 use crate::process::target::{Availability, EndpointTable, latency};
-use crate::request::admission::Outlook;
+use crate::request::admission::QueueEstimate;
 use crate::version::view::{Incarnation, Member, Region};
 
 /// A target of this failure domain.
@@ -111,8 +111,8 @@
 
     /// Returns the figures from which the next request's waiting time follows.
     #[must_use]
-    pub fn outlook(&self) -> Outlook {
-        Outlook {
+    pub fn estimate(&self) -> QueueEstimate {
+        QueueEstimate {
             ahead: self.queue.len(),
             limit: self.limit,
             mean: self.latency.mean(),
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -44,9 +44,9 @@
     /// Refuses the waiting requests that can no longer be answered in time.
     fn refuse_expired(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         let on = self.tuning.safeguards;
-        let outlook = self.services[service].outlook();
+        let estimate = self.services[service].estimate();
         let run = if on.has(Safeguard::Admission) {
-            outlook.mean
+            estimate.mean
         } else {
             None
         };
@@ -62,7 +62,7 @@
         let queue = mem::take(&mut self.services[service].queue);
         for job in queue {
             if late(job.deadline) {
-                self.refuse_job(&job, Reason::Deadline, outlook.wait(), out);
+                self.refuse_job(&job, Reason::Deadline, estimate.wait(), out);
             } else {
                 self.services[service].queue.push_back(job);
             }
@@ -88,7 +88,7 @@
     /// wait here is longer than the way to a peer.
     fn spill_over(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
         while self.has_room(service) {
-            let wait = self.services[service].outlook().wait();
+            let wait = self.services[service].estimate().wait();
             let Some(job) = self.services[service].queue.pop_back() else {
                 return;
             };
--- a/crates/steer/src/process/gate/held.rs
+++ b/crates/steer/src/process/gate/held.rs
@@ -72,7 +72,7 @@
 #[derive(Default)]
 pub struct HeldSet {
     items: Vec<Held>,
-    callers: admission::Counts,
+    callers: admission::CallerCounts,
 }
 
 impl HeldSet {
--- a/crates/steer/src/request/admission.rs
+++ b/crates/steer/src/request/admission.rs
@@ -9,14 +9,16 @@
 use crate::process::target::latency;
 
 /// Shortest and longest time after which a caller is asked to come back.
-pub const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(10));
+pub const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(10));
 
 /// Shortest and longest time for which a peer is asked to send nothing.
-pub const PAUSE: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(200));
+pub const PEER_PAUSE_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(2), Duration::from_millis(200));
 
 /// What waiting here would mean.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook {
+pub struct QueueEstimate {
     /// Requests that wait in front.
     pub ahead: usize,
     /// Requests that may run at a time; zero if no target is usable.
@@ -27,7 +29,7 @@
     pub high: Option<Duration>,
 }
 
-impl Outlook {
+impl QueueEstimate {
     /// Expected time in the queue.
     #[must_use]
     pub fn wait(&self) -> Duration {
@@ -43,13 +45,13 @@
     /// it queues. Half the way from the mean to the high time is asked for: by
     /// the mean alone every second one would be late.
     #[must_use]
-    pub fn hopeful(&self, left: Duration) -> bool {
-        self.wait().saturating_add(self.run()) <= left
+    pub fn is_feasible(&self, left: Duration) -> bool {
+        self.wait().saturating_add(self.run_time()) <= left
     }
 
     /// Time to allow for running.
     #[must_use]
-    pub fn run(&self) -> Duration {
+    pub fn run_time(&self) -> Duration {
         let mean = self.mean.unwrap_or_default();
         let high = self.high.unwrap_or_default();
         (mean + high) / 2
@@ -58,33 +60,33 @@
     /// When a request that is refused now should come back. Jittered, so that
     /// those refused together don't come back together.
     #[must_use]
-    pub fn come_back(&self, rng: &mut fastrand::Rng) -> Duration {
-        jitter(self.wait(), rng)
+    pub fn retry_after(&self, rng: &mut fastrand::Rng) -> Duration {
+        retry_after(self.wait(), rng)
     }
 }
 
-/// Between one and two times `span`, within [`COME_BACK`].
+/// Between one and two times `span`, within [`RETRY_AFTER_BOUNDS`].
 #[must_use]
-pub fn jitter(span: Duration, rng: &mut fastrand::Rng) -> Duration {
-    let span = span.clamp(COME_BACK.0, COME_BACK.1 / 2);
+pub fn retry_after(span: Duration, rng: &mut fastrand::Rng) -> Duration {
+    let span = span.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1 / 2);
     span + Duration::from_micros(rng.u64(..=latency::micros(span)))
 }
 
 /// The same for a peer. It asks on behalf of many and has room elsewhere to
 /// find; a slot here is free again in a fraction of a request's time.
 #[must_use]
-pub fn pause(span: Duration, rng: &mut fastrand::Rng) -> Duration {
-    let span = span.clamp(PAUSE.0, PAUSE.1);
+pub fn peer_pause(span: Duration, rng: &mut fastrand::Rng) -> Duration {
+    let span = span.clamp(PEER_PAUSE_BOUNDS.0, PEER_PAUSE_BOUNDS.1);
     span + Duration::from_micros(rng.u64(..=latency::micros(span)))
 }
 
 /// Requests per caller, sorted by name; callers without requests are dropped.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct CallerCounts {
     names: Vec<(Arc<str>, usize)>,
 }
 
-impl Counts {
+impl CallerCounts {
     /// Requests of this caller.
     #[must_use]
     pub fn get(&self, name: &str) -> usize {
--- a/crates/steer/src/request/retry.rs
+++ b/crates/steer/src/request/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a request that may have run is sent again only if its service is
 //! idempotent; and over any time an instance sends no more repeats than
-//! [`SHARE`] of its first tries, plus [`BURST`].
+//! [`BUDGET_RATIO_PERMILLE`] of its first tries, plus [`BUDGET_BURST_MAX`].
 
 use core::time::Duration;
 
@@ -10,42 +10,42 @@
 use crate::request::outcome::{Outcome, Reason};
 
 /// Repeats earned by a first try, in thousandths.
-pub const SHARE: u64 = 200;
+pub const BUDGET_RATIO_PERMILLE: u64 = 200;
 /// Repeats that may be saved up.
-pub const BURST: u64 = 20;
+pub const BUDGET_BURST_MAX: u64 = 20;
 
 /// Shortest time an attempt gets where the request could be tried elsewhere.
 pub const ATTEMPT_MIN: Duration = Duration::from_millis(50);
 
 /// What an attempt that failed leaves open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum Execution {
     /// Certainly not run.
     NotRun,
     /// It may have run.
     MayHaveRun,
 }
 
-/// What an ending says about whether the request ran. `None` for an answer.
+/// What an outcome says about whether the request ran. `None` for an answer.
 #[must_use]
-pub fn doubt(ending: &AttemptOutcome) -> Option<Doubt> {
-    match ending {
+pub fn execution(outcome: &AttemptOutcome) -> Option<Execution> {
+    match outcome {
         AttemptOutcome::Answered(_) => None,
-        AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable => Some(Doubt::NotRun),
+        AttemptOutcome::Refused { .. } | AttemptOutcome::Unreachable => Some(Execution::NotRun),
         AttemptOutcome::PeerRefused(refusal) if refusal.outcome == Outcome::NotRun => {
-            Some(Doubt::NotRun)
+            Some(Execution::NotRun)
         }
         AttemptOutcome::PeerRefused(_)
         | AttemptOutcome::Broken
         | AttemptOutcome::BadAnswer
-        | AttemptOutcome::TimedOut => Some(Doubt::MayHaveRun),
+        | AttemptOutcome::TimedOut => Some(Execution::MayHaveRun),
     }
 }
 
 /// Why a request that is not tried again failed.
 #[must_use]
-pub fn reason(ending: &AttemptOutcome) -> Reason {
-    match ending {
+pub fn failure_reason(outcome: &AttemptOutcome) -> Reason {
+    match outcome {
         AttemptOutcome::PeerRefused(refusal) => refusal.reason,
         AttemptOutcome::Refused { .. } => Reason::Overloaded,
         AttemptOutcome::Unreachable | AttemptOutcome::Answered(_) => Reason::NoTarget,
@@ -55,13 +55,13 @@
     }
 }
 
-/// What the repeat after this ending costs, in thousandths. A refusal cost the
+/// What the repeat after this outcome costs, in thousandths. A refusal cost the
 /// target next to nothing and is how instances that share targets learn of each
 /// other; at full cost the budget refuses what the next target would take. For
 /// nothing, overload lets refused requests wander from target to target.
 #[must_use]
-pub const fn cost(ending: &AttemptOutcome) -> u64 {
-    match ending {
+pub const fn cost(outcome: &AttemptOutcome) -> u64 {
+    match outcome {
         AttemptOutcome::Refused { .. } => 500,
         _ => 1000,
     }
@@ -73,32 +73,34 @@
 /// becomes two, which makes more fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    left: u64,
+    balance: u64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { left: BURST * 1000 }
+        Self {
+            balance: BUDGET_BURST_MAX * 1000,
+        }
     }
 }
 
 impl Budget {
     /// Notes a first try.
-    pub fn earn(&mut self) {
-        self.left = (self.left + SHARE).min(BURST * 1000);
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + BUDGET_RATIO_PERMILLE).min(BUDGET_BURST_MAX * 1000);
     }
 
     /// Whether a repeat may be sent.
     #[must_use]
-    pub const fn any(&self) -> bool {
-        self.left >= 1000
+    pub const fn has_retry(&self) -> bool {
+        self.balance >= 1000
     }
 
     /// Takes a repeat's cost, if there is so much.
-    pub const fn spend(&mut self, cost: u64) -> bool {
-        let enough = self.left >= cost;
+    pub const fn withdraw(&mut self, cost: u64) -> bool {
+        let enough = self.balance >= cost;
         if enough {
-            self.left -= cost;
+            self.balance -= cost;
         }
         enough
     }
