--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use steer::connection::pool::{Connection, Taken};
+use steer::connection::pool::{Checkout, Connection};
 use steer::process::dispatch::{Action, AttemptOutcome, Destination, Event, Report};
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::record::QuestionId;
@@ -98,8 +98,8 @@
             Destination::Target { name, .. } => {
                 let target = self.target(name);
                 let open = match self.entries[entry].pools[target].take() {
-                    Taken::Open(_) => Duration::ZERO,
-                    Taken::Permit | Taken::Full => OPEN,
+                    Checkout::Open(_) => Duration::ZERO,
+                    Checkout::Permit | Checkout::Full => OPEN,
                 };
                 self.served(entry, id);
                 if self.targets[target].sign.is_some() {
@@ -223,9 +223,9 @@
                 AttemptOutcome::Answered(_) | AttemptOutcome::Refused { .. }
             );
             if whole {
-                pool.give(self.now, Connection::warm(()));
+                pool.put(self.now, Connection::warm(()));
             } else {
-                pool.closed();
+                pool.release();
             }
         }
         if let Some((target, report)) = report {
@@ -265,7 +265,7 @@
         let id = RequestId(0);
         let work = Work { entry, id, attempt };
         if let Some(Way::Target(target)) = self.land(&work) {
-            self.entries[entry].pools[target].closed();
+            self.entries[entry].pools[target].release();
             self.after(LOCAL, Happening::Stop(target, work));
         }
     }
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -204,7 +204,7 @@
 
 pub(super) fn entries(setup: &Setup, targets: usize, rng: &mut fastrand::Rng) -> Vec<Entry> {
     let layout = &setup.layout;
-    let bound = Pool::<()>::share(330, layout.entries.len());
+    let bound = Pool::<()>::per_instance(330, layout.entries.len());
     let make = |(at, &domain): (usize, &usize)| {
         let name: Arc<str> = Arc::from(format!("entry-{at:02}"));
         let home = dispatch::Identity {
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -128,11 +128,11 @@
     /// The answer was read to its end: the connection may be used again.
     pub fn put_back(self) {
         let Self { busy, mut seat, .. } = self;
-        let idle = busy.whole();
+        let idle = busy.into_idle();
         seat.kept = true;
         let pool = Arc::clone(&seat.pool);
         let now = pool.now();
-        pool.with(seat.addr, |kept| kept.give(now, idle));
+        pool.with(seat.addr, |kept| kept.put(now, idle));
     }
 }
 
@@ -176,9 +176,9 @@
         loop {
             let taken = self.with(addr, pool::Pool::take);
             let (busy, fresh) = match taken {
-                pool::Taken::Full => return Err(Error::Full),
-                pool::Taken::Open(busy) => (Some(busy), false),
-                pool::Taken::Permit => (None, true),
+                pool::Checkout::Full => return Err(Error::Full),
+                pool::Checkout::Open(busy) => (Some(busy), false),
+                pool::Checkout::Permit => (None, true),
             };
             let seat = Seat {
                 pool: Arc::clone(self),
@@ -209,8 +209,8 @@
         request: Request,
     ) -> Result<Exchange, Error> {
         match self.with(addr, pool::Pool::permit) {
-            pool::Taken::Full => Err(Error::Full),
-            pool::Taken::Open(_) | pool::Taken::Permit => {
+            pool::Checkout::Full => Err(Error::Full),
+            pool::Checkout::Open(_) | pool::Checkout::Permit => {
                 let seat = Seat {
                     pool: Arc::clone(self),
                     addr,
@@ -241,7 +241,7 @@
         let mut stale = Vec::new();
         for kept in self.lock().iter_mut() {
             stale.extend(kept.pool.expire(now));
-            if kept.pool.wants() {
+            if kept.pool.reserve_warm() {
                 wanted.push(kept.addr);
             }
         }
@@ -252,7 +252,7 @@
                 match all.connect(addr).await {
                     Ok(link) => {
                         let idle = pool::Connection::warm(link);
-                        all.with(addr, |kept| kept.give(now, idle));
+                        all.with(addr, |kept| kept.put(now, idle));
                     }
                     Err(_) => all.closed(addr),
                 }
@@ -287,7 +287,7 @@
     fn closed(&self, addr: SocketAddr) {
         let mut kept = self.lock();
         if let Ok(at) = kept.binary_search_by_key(&addr, |t| t.addr) {
-            kept[at].pool.closed();
+            kept[at].pool.release();
         }
     }
 
--- a/crates/steer/tests/dispatch_pool.rs
+++ b/crates/steer/tests/dispatch_pool.rs
@@ -1,13 +1,13 @@
 //! Pools of connections.
 
 use steer::clock::Time;
-use steer::connection::pool::{self, Connection, Pool, Taken};
+use steer::connection::pool::{self, Checkout, Connection, Pool};
 
 fn opened(pool: &mut Pool<u32>, name: u32) -> Connection<u32, pool::Busy> {
     match pool.take() {
-        Taken::Open(connection) => connection,
-        Taken::Permit => Connection::opened(name),
-        Taken::Full => panic!("the pool is full"),
+        Checkout::Open(connection) => connection,
+        Checkout::Permit => Connection::opened(name),
+        Checkout::Full => panic!("the pool is full"),
     }
 }
 
@@ -19,10 +19,10 @@
     let mut pool = Pool::new(2, 0);
     let whole = opened(&mut pool, 1);
     let late = opened(&mut pool, 2);
-    assert!(matches!(pool.take(), Taken::Full));
-    pool.give(Time::ZERO, whole.whole());
-    assert_eq!(late.spoiled(), 2);
-    pool.closed();
+    assert!(matches!(pool.take(), Checkout::Full));
+    pool.put(Time::ZERO, whole.into_idle());
+    assert_eq!(late.into_inner(), 2);
+    pool.release();
     let mut again = opened(&mut pool, 3);
     assert_eq!(*again.get(), 1);
     assert_eq!(pool.open(), 1);
@@ -33,14 +33,14 @@
 #[test]
 fn idle_keeps_warm() {
     let mut pool = Pool::new(4, 1);
-    assert!(pool.wants());
-    pool.give(Time::ZERO, Connection::warm(1));
-    assert!(!pool.wants());
+    assert!(pool.reserve_warm());
+    pool.put(Time::ZERO, Connection::warm(1));
+    assert!(!pool.reserve_warm());
     let first = opened(&mut pool, 0);
     let second = opened(&mut pool, 2);
-    pool.give(Time::ZERO, first.whole());
-    pool.give(Time::ZERO, second.whole());
-    let closed = pool.expire(Time::ZERO + pool::IDLE);
+    pool.put(Time::ZERO, first.into_idle());
+    pool.put(Time::ZERO, second.into_idle());
+    let closed = pool.expire(Time::ZERO + pool::IDLE_TIMEOUT);
     assert_eq!(closed, [1]);
     assert_eq!(pool.open(), 1);
 }
@@ -48,6 +48,6 @@
 /// Seven instances share 330 connections; one alone must not take them all.
 #[test]
 fn share_splits_bound() {
-    assert_eq!(Pool::<u32>::share(330, 7), 47);
-    assert_eq!(Pool::<u32>::share(3, 7), 1);
+    assert_eq!(Pool::<u32>::per_instance(330, 7), 47);
+    assert_eq!(Pool::<u32>::per_instance(3, 7), 1);
 }
