--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -11,7 +11,7 @@
 
 use core::time::Duration;
 
-use super::target::{COLD_SPAN, Target};
+use super::target::{COLD_WINDOW, Target};
 use super::{Direct, allotment, members, unit_interval};
 use crate::clock::Time;
 
@@ -181,7 +181,7 @@
         let limit = target
             .limit()
             .map(|rate| self.bounds.limit.count_span(rate));
-        limit.unwrap_or_default().max(COLD_SPAN)
+        limit.unwrap_or_default().max(COLD_WINDOW)
     }
 
     /// What heartbeats tell of limits: all that targets have told this instance, in
