--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -118,8 +118,8 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(heartbeat)) => {
-                shared.update(|now, direct| direct.receive_heartbeat(now, (*heartbeat).into()));
+            Ok(Message::Beat(beat)) => {
+                shared.update(|now, d| d.receive_heartbeat(now, (*beat).into()));
             }
             Ok(Message::Report(report)) => {
                 let grant = {
