--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -1,13 +1,14 @@
-//! How a target does: whether it is slow, and what share of requests it fails.
+//! Health of a target: its slowness, and the shares of requests that it fails and
+//! refuses.
 //!
-//! In a large fleet an instance sends a given target a request every many
-//! seconds, and would learn nothing from its own alone before the trouble is
-//! over. So instances tell each other what they saw, as samples, and each
-//! takes them as its own. Only bad news is told; it fades, or a target that
-//! nobody tries any more would stay avoided for ever.
+//! In a large fleet one instance sends a given target a request only every many
+//! seconds, too few to notice a fault before it is over. So instances report slow
+//! and failed requests to each other in heartbeats, and each takes them as samples
+//! of its own. Good answers are not reported. Instead the estimates decay, or a
+//! target that nobody tries any more would be avoided for ever.
 //!
-//! Invariant: an estimate that isn't renewed is back at "well" after a few
-//! times [`HEAL`].
+//! Invariant: an estimate without new samples returns to its healthy value within
+//! a few times [`DECAY_TIME`].
 
 use core::time::Duration;
 
@@ -17,113 +18,115 @@
 use super::members::name_hash;
 use crate::clock::Time;
 
-/// Weight of a new sample.
-const SAMPLE: f64 = 0.2;
+/// Weight of a new sample in the moving means.
+const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Time in which what is known fades to a third.
-const HEAL: Duration = Duration::from_secs(6);
+/// Time constant of the exponential decay of estimates to their healthy values.
+const DECAY_TIME: Duration = Duration::from_secs(6);
 
-/// Largest and smallest time over the time expected that a sample may have.
-const RATIO: core::ops::RangeInclusive<f64> = 0.2..=20.0;
+/// Range to which samples of slowness are clamped.
+const SLOWNESS_RANGE: core::ops::RangeInclusive<f64> = 0.2..=20.0;
 
-/// Time over the time expected from which on others are told.
-const TOLD_RATIO: f64 = 2.0;
+/// Latency over the expected one from which an answer is reported to other
+/// instances.
+const REPORTED_RATIO_MIN: f64 = 2.0;
 
-/// The same for a request that is still there, over the time for an object that
-/// the target doesn't hold: it may only be longer than usual.
-const OVERDUE: f64 = 1.6;
+/// Time in flight over the expected latency for an object that is not warm, from
+/// which a request without an answer is reported. The final latency will be higher
+/// still.
+const OVERDUE_RATIO_MIN: f64 = 1.6;
 
-/// Slowness over the usual one, and part of requests failed beyond the usual one,
-/// from which on an object's first target is another one for the time being.
-const SLOW: f64 = 2.5;
-const ILL: f64 = 0.25;
+/// Slowness over the baseline above which a target counts as degraded.
+const DEGRADED_SLOWNESS_RATIO: f64 = 2.5;
 
-/// Difference from "well" that changes no decision.
-const NOTHING: f64 = 0.01;
+/// Failure rate in excess of the baseline above which a target counts as degraded.
+const DEGRADED_FAILURE_EXCESS: f64 = 0.25;
 
-/// A moving mean that fades to what it is for a target that does well.
+/// Deviation from the healthy value that is too small to change a decision.
+const NEGLIGIBLE_DEVIATION: f64 = 0.01;
+
+/// A moving mean that decays to its value for a healthy target.
 #[derive(Clone, Copy, Debug)]
-struct Faded {
-    well: f64,
+struct DecayingMean {
+    healthy: f64,
     value: f64,
     at: Time,
 }
 
-impl Faded {
-    const fn new(well: f64) -> Self {
+impl DecayingMean {
+    const fn new(healthy: f64) -> Self {
         Self {
-            well,
-            value: well,
+            healthy,
+            value: healthy,
             at: Time::ZERO,
         }
     }
 
-    /// The mean now. Most targets do well, and this is asked for all of them
-    /// with each request.
+    /// The decayed mean at `now`. It is read for every target with each request, and
+    /// most targets are healthy, so that the exponential is rarely computed.
     fn get(&self, now: Time) -> f64 {
-        let off = self.value - self.well;
-        if off.abs() < NOTHING {
-            return self.well;
+        let deviation = self.value - self.healthy;
+        if deviation.abs() < NEGLIGIBLE_DEVIATION {
+            return self.healthy;
         }
-        let age = now.since(self.at).as_secs_f64() / HEAL.as_secs_f64();
-        self.well + off * (-age).exp()
+        let age = now.since(self.at).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        self.healthy + deviation * (-age).exp()
     }
 
     fn add(&mut self, now: Time, sample: f64) {
         let value = self.get(now);
-        self.value = value + (sample - value) * SAMPLE;
+        self.value = value + (sample - value) * SAMPLE_WEIGHT;
         self.at = now;
     }
 }
 
-/// How one target does.
+/// Health estimates of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    slowness: Faded,
-    failures: Faded,
-    refusals: Faded,
+    slowness: DecayingMean,
+    failures: DecayingMean,
+    refusals: DecayingMean,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            slowness: Faded::new(1.0),
-            failures: Faded::new(0.0),
-            refusals: Faded::new(0.0),
+            slowness: DecayingMean::new(1.0),
+            failures: DecayingMean::new(0.0),
+            refusals: DecayingMean::new(0.0),
         }
     }
 }
 
 impl Health {
-    /// Time that it needs, over that of others of its service.
+    /// Mean latency over the expected one; 1 if healthy.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f64 {
         self.slowness.get(now)
     }
 
-    /// Share of the last requests that it failed, and that may have run.
+    /// Share of recent requests that failed, refusals not counted.
     #[must_use]
     pub fn failure_rate(&self, now: Time) -> f64 {
         self.failures.get(now)
     }
 
-    /// Share of the last requests that it turned away unrun.
+    /// Share of recent requests that the target refused without running them.
     #[must_use]
     pub fn refusal_rate(&self, now: Time) -> f64 {
         self.refusals.get(now)
     }
 
-    /// Whether objects are better handled elsewhere for the time being. One that
-    /// turns requests away still serves the rest, and its objects are warm there;
-    /// what it didn't run can be sent again.
+    /// Whether objects should prefer other targets for now. Refusals don't count: a
+    /// target that refuses some requests still serves the rest, with its objects warm,
+    /// and what it didn't run can be sent again.
     #[must_use]
-    pub fn is_degraded(&self, now: Time, usual: &Baseline) -> bool {
-        self.slowness(now) > SLOW * usual.slowness
-            || self.failure_rate(now) > ILL + usual.failure_rate
+    pub fn is_degraded(&self, now: Time, baseline: &Baseline) -> bool {
+        self.slowness(now) > DEGRADED_SLOWNESS_RATIO * baseline.slowness
+            || self.failure_rate(now) > DEGRADED_FAILURE_EXCESS + baseline.failure_rate
     }
 
-    /// An answer, with the time it took over the time expected, if that says
-    /// something.
+    /// Records an answer, with its latency over the expected one if that is known.
     pub fn record_answer(&mut self, now: Time, ratio: Option<f64>) {
         self.failures.add(now, 0.0);
         self.refusals.add(now, 0.0);
@@ -132,26 +135,28 @@
         }
     }
 
-    /// A request that it failed.
+    /// Records a failed request.
     pub fn record_failure(&mut self, now: Time) {
         self.failures.add(now, 1.0);
     }
 
-    /// A request that it turned away.
+    /// Records a request that the target refused.
     pub fn record_refusal(&mut self, now: Time) {
         self.refusals.add(now, 1.0);
     }
 
-    /// A request that took so many times the time expected.
+    /// Records a latency, as a multiple of the expected one.
     fn record_slowness(&mut self, now: Time, ratio: f64) {
-        self.slowness
-            .add(now, ratio.clamp(*RATIO.start(), *RATIO.end()));
+        self.slowness.add(
+            now,
+            ratio.clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end()),
+        );
     }
 }
 
-/// How targets of a service do that do well. Where a region is overloaded all of
-/// its targets are slow and miss deadlines; moving objects among them would only
-/// make them cold besides.
+/// Health of the better targets of a service in a region, against which the others
+/// are judged. In an overloaded region all targets are slow and miss deadlines;
+/// moving objects among them would only make the objects cold as well.
 #[derive(Clone, Copy, Debug)]
 pub struct Baseline {
     slowness: f64,
@@ -159,29 +164,29 @@
 }
 
 impl Baseline {
-    /// How targets do that do well.
+    /// The baseline of healthy targets.
     const HEALTHY: Self = Self {
         slowness: 1.0,
         failure_rate: 0.0,
     };
 
-    /// By the best quarter of these targets.
+    /// Computes the baseline as the lower quartile of these targets.
     pub(super) fn of<'a>(now: Time, all: impl Iterator<Item = &'a Health> + Clone) -> Self {
-        // Asked with each request, and mostly there is nothing to compare.
+        // Fast path: computed with each request, and mostly no target is degraded.
         if !all.clone().any(|h| h.is_degraded(now, &Self::HEALTHY)) {
             return Self::HEALTHY;
         }
         let (mut slowness, mut failure_rate): (Vec<f64>, Vec<f64>) =
             all.map(|h| (h.slowness(now), h.failure_rate(now))).unzip();
         Self {
-            slowness: quarter(&mut slowness).max(1.0),
-            failure_rate: quarter(&mut failure_rate),
+            slowness: lower_quartile(&mut slowness).max(1.0),
+            failure_rate: lower_quartile(&mut failure_rate),
         }
     }
 }
 
-/// The value below which a quarter lies; 0 of none.
-fn quarter(values: &mut [f64]) -> f64 {
+/// The lower quartile of some values; 0 if there are none.
+fn lower_quartile(values: &mut [f64]) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
@@ -189,23 +194,23 @@
     *values.select_nth_unstable_by(at, f64::total_cmp).1
 }
 
-/// What an instance saw of a target since its last heartbeat.
+/// Failed and slow requests that an instance saw at a target since its last
+/// heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Observation {
-    /// The target's mark.
+    /// Short hash of the target's name.
     pub target_hash: u32,
-    /// Requests that it failed.
+    /// Requests that failed.
     pub failures: u8,
-    /// Time that a request took over the time expected, in eighths; 0 if none
-    /// was slow.
+    /// Largest latency over the expected one, in eighths; 0 if no request was slow.
     pub ratio_eighths: u8,
 }
 
-/// Eighths in one.
-const EIGHTHS: f64 = 8.0;
+/// Steps in which a latency ratio of 1 is encoded.
+const RATIO_STEPS: f64 = 8.0;
 
 impl Observation {
-    /// A failed request.
+    /// Observation of a failed request.
     #[must_use]
     pub const fn failed(target_hash: u32) -> Self {
         Self {
@@ -215,7 +220,7 @@
         }
     }
 
-    /// A slow one.
+    /// Observation of a slow request; `ratio` is its latency over the expected one.
     #[must_use]
     #[allow(
         clippy::cast_possible_truncation,
@@ -223,7 +228,7 @@
         reason = "clamped to what fits"
     )]
     pub fn slow(target_hash: u32, ratio: f64) -> Self {
-        let eighths = (ratio * EIGHTHS).clamp(1.0, f64::from(u8::MAX));
+        let eighths = (ratio * RATIO_STEPS).clamp(1.0, f64::from(u8::MAX));
         Self {
             target_hash,
             failures: 0,
@@ -232,45 +237,45 @@
     }
 
     fn ratio(self) -> Option<f64> {
-        (self.ratio_eighths > 0).then(|| f64::from(self.ratio_eighths) / EIGHTHS)
+        (self.ratio_eighths > 0).then(|| f64::from(self.ratio_eighths) / RATIO_STEPS)
     }
 }
 
-/// Puts what was seen of each target together, sorted by mark.
-pub(super) fn merge_observations(mut seen: Vec<Observation>) -> Vec<Observation> {
-    seen.sort_unstable();
-    let mut all: Vec<Observation> = Vec::new();
-    for next in seen {
-        match all.last_mut() {
+/// Merges the observations of each target into one; sorted by target hash.
+pub(super) fn merge_observations(mut observations: Vec<Observation>) -> Vec<Observation> {
+    observations.sort_unstable();
+    let mut merged: Vec<Observation> = Vec::new();
+    for next in observations {
+        match merged.last_mut() {
             Some(last) if last.target_hash == next.target_hash => {
                 last.failures = last.failures.saturating_add(next.failures);
                 last.ratio_eighths = last.ratio_eighths.max(next.ratio_eighths);
             }
-            _ => all.push(next),
+            _ => merged.push(next),
         }
     }
-    all
+    merged
 }
 
 impl Direct {
-    /// Notes a slow answer for the next heartbeat.
+    /// Records a slow answer for the next heartbeat.
     pub(super) fn note_slow(&mut self, id: &str, ratio: Option<f64>) {
-        if let Some(ratio) = ratio.filter(|r| *r >= TOLD_RATIO) {
+        if let Some(ratio) = ratio.filter(|r| *r >= REPORTED_RATIO_MIN) {
             self.observations
                 .push(Observation::slow(name_hash(id), ratio));
         }
     }
 
-    /// Notes a failed request for the next heartbeat.
+    /// Records a failed request for the next heartbeat.
     pub(super) fn note_failed(&mut self, id: &str) {
         self.observations.push(Observation::failed(name_hash(id)));
     }
 
-    /// What the next heartbeat tells: what was noted, and requests that are at
-    /// targets for far longer than they should be. Their answers come too late
-    /// to keep others from the same target.
+    /// Takes the observations for the next heartbeat: those recorded, and requests in
+    /// flight that are long overdue. Their answers would come too late to warn other
+    /// instances of the target.
     pub(super) fn take_observations(&mut self, now: Time) -> Vec<Observation> {
-        let mut seen = core::mem::take(&mut self.observations);
+        let mut observations = core::mem::take(&mut self.observations);
         let mut overdue = Vec::new();
         for job in &self.jobs {
             if let State::InFlight {
@@ -280,35 +285,36 @@
                 ..
             } = &job.state
             {
-                let work = self.estimate(job);
-                let ratio = now.since(*sent_at).as_secs_f64() / work.not_warm;
-                if work.is_reliable && ratio >= OVERDUE {
+                let estimate = self.estimate(job);
+                let ratio = now.since(*sent_at).as_secs_f64() / estimate.not_warm;
+                if estimate.is_reliable && ratio >= OVERDUE_RATIO_MIN {
                     overdue.push((target.clone(), ratio));
                 }
             }
         }
         for (id, ratio) in overdue {
-            seen.push(Observation::slow(name_hash(&id), ratio));
+            observations.push(Observation::slow(name_hash(&id), ratio));
             if let Some(target) = self.roster.get_mut(&id) {
                 target.health.record_slowness(now, ratio);
             }
         }
-        merge_observations(seen)
+        merge_observations(observations)
     }
 
-    /// Takes what another instance saw.
-    pub(super) fn receive_observations(&mut self, now: Time, told: &[Observation]) {
-        if told.is_empty() || !self.mechanisms.has(Mechanism::SharedHealth) {
+    /// Records the observations of another instance, sorted by target hash.
+    pub(super) fn receive_observations(&mut self, now: Time, observations: &[Observation]) {
+        if observations.is_empty() || !self.mechanisms.has(Mechanism::SharedHealth) {
             return;
         }
         for target in self.roster.all_mut() {
-            let Ok(at) = told.binary_search_by_key(&target.short_hash(), |t| t.target_hash) else {
+            let Ok(at) = observations.binary_search_by_key(&target.short_hash(), |o| o.target_hash)
+            else {
                 continue;
             };
-            for _ in 0..told[at].failures {
+            for _ in 0..observations[at].failures {
                 target.health.record_failure(now);
             }
-            if let Some(ratio) = told[at].ratio() {
+            if let Some(ratio) = observations[at].ratio() {
                 target.health.record_slowness(now, ratio);
             }
         }
