--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -96,7 +96,7 @@
         if best.has_room && !self.outlasts_process(now, &best) {
             return Some(Decision::Send(self.send(now, at, &best)));
         }
-        let held = now.since(job.arrived).as_secs_f64();
+        let waited = now.since(job.arrived).as_secs_f64();
         let goal = job.request.route.goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
         let will_be_late =
@@ -104,7 +104,7 @@
         let may_be_late =
             now + Duration::from_secs_f64(best.cost * COST_UNCERTAINTY_FACTOR) > job.time_limit;
         let may_reject = self.mechanisms.has(Mechanism::EarlyReject);
-        if may_reject && (will_be_late || (may_be_late && held <= goal * REJECT_HOLD_RATIO)) {
+        if may_reject && (will_be_late || (may_be_late && waited <= goal * REJECT_HOLD_RATIO)) {
             let after = Self::retry_after(&self.jobs[at], best.wait);
             return Some(self.reject(now, at, Rejection::Overload, Some(after)));
         }
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -1,8 +1,8 @@
-//! One target: what service discovery said of it last, and what this instance
-//! has learnt of it.
+//! State of one target: its latest entry in service discovery, and what this
+//! instance has learned of its load, health, limit and warm objects.
 //!
-//! Invariant: a target that leaves or is gone is never usable again under the
-//! same incarnation.
+//! Invariant: a target that has announced that it is draining receives no request
+//! under the same incarnation any more.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -15,95 +15,105 @@
 use super::members;
 use crate::clock::Time;
 
-/// What service discovery says of one target.
+/// Service discovery's entry of a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name, new with most starts.
+    /// Name of the target; it mostly changes with each start.
     pub id: Arc<str>,
-    /// Service that it serves.
+    /// Name of its service.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens for requests.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Name of its failure domain.
     pub domain: Arc<str>,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has announced that it leaves.
+    /// Whether it has announced that it is about to stop.
     pub draining: bool,
-    /// Counts its reports since its start.
+    /// Sequence number of its entry since its start.
     pub seq: u64,
-    /// How much longer it stays cold.
+    /// Remaining time for which it is cold after its start.
     pub cold: Duration,
-    /// When it started, in the target's own terms; tells incarnations apart.
+    /// Start time by the target's own clock, which distinguishes incarnations.
     pub incarnation: u64,
 }
 
-/// What a target's answer says of the target itself.
+/// Report of a target on itself, sent along with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Feedback {
-    /// Requests there.
+    /// Requests running or queued at the target, the answered one included.
     pub load: Option<u32>,
-    /// Requests a second that it takes from all instances together.
+    /// Largest rate that it accepts from all instances together, in requests per
+    /// second.
     pub limit: Option<f64>,
 }
 
-/// How long an object counts as warm at a target since its last request. A
-/// target forgets objects by their number, which isn't known here.
-const WARM_SPAN: Duration = Duration::from_mins(1);
+/// Time since its last request for which an object counts as warm at a target. A
+/// target evicts objects by their number, which isn't known here.
+const WARM_TIME: Duration = Duration::from_mins(1);
 
-/// Objects remembered for each target.
-const WARM_MOST: usize = 256;
+/// Warm objects remembered per target; above it, those older than half of
+/// [`WARM_TIME`] are dropped.
+const WARM_OBJECTS_MAX: usize = 256;
 
-/// Span over which requests to a cold target are counted. The bound is on what
-/// arrives within one second; the rest covers different delays on the way.
+/// Window over which requests to a cold target are counted. The bound is on the
+/// requests that arrive within one second; the rest covers differences in delay.
 pub const COLD_WINDOW: Duration = Duration::from_millis(1250);
 
-/// First pause after a failure to reach a target; doubles with each further one.
-const ASIDE_FIRST: Duration = Duration::from_millis(400);
-/// Longest such pause.
-const ASIDE_MOST: Duration = Duration::from_secs(3);
+/// Ejection time after the first failure to reach a target; it doubles with each
+/// further failure.
+const EJECTION_TIME_MIN: Duration = Duration::from_millis(400);
 
-/// An object that a target handled lately.
+/// Longest ejection time.
+const EJECTION_TIME_MAX: Duration = Duration::from_secs(3);
+
+/// An object that is warm at a target.
 #[derive(Clone, Copy, Debug)]
 struct WarmObject {
+    /// Short hash of the object.
     object: u32,
+    /// Time of its last request.
     at: Time,
-    /// Whether this instance sent it there. Only that is told to others: what
-    /// was heard would be told to and fro for ever.
-    own: bool,
+    /// Whether this instance sent the request. Only such objects are reported to
+    /// other instances; otherwise they would pass a report to and fro for ever.
+    is_own: bool,
 }
 
-/// One target and what this instance knows of it.
+/// A target with all that this instance knows of it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What discovery said last.
+    /// Latest entry in service discovery.
     pub entry: Entry,
-    /// Its region.
+    /// Region of its failure domain.
     pub region: Arc<str>,
-    /// Whether discovery has dropped it.
+    /// Whether it is no longer listed in service discovery.
     pub is_gone: bool,
-    /// Requests of this instance that are at it now.
+    /// Requests of this instance that are in flight to it.
     pub in_flight: u32,
-    /// Requests planned for it in the current step.
+    /// Requests of this instance that wait for it, counted anew in each step.
     pub reserved: u32,
-    /// Requests of others that were there at the last report.
+    /// Requests of other instances at the target's last load report.
     others_load: f64,
+    /// Time of the last load report; of the first entry before one.
     reported_at: Time,
     limit: Limit,
-    /// Requests that other instances say they have there.
+    /// Requests that other instances have in flight to it, by their heartbeats.
     pub(super) peers_in_flight: u32,
+    /// 32-bit hash of its name, used in heartbeats.
     short_hash: u32,
-    /// Hash of its name.
+    /// 64-bit hash of its name, used for placement.
     hash: u64,
-    /// When it is dropped unless it is listed again.
+    /// Time at which it is dropped unless it is listed again.
     pub(super) drop_at: Option<Time>,
-    /// How it does.
+    /// Slowness, failures and refusals.
     pub health: Health,
+    /// Consecutive failures to reach it.
     failure_streak: u32,
     ejected_until: Time,
     pub(super) cold_until: Time,
+    /// Times of this instance's recent requests, oldest first.
     sent_at: VecDeque<Time>,
-    /// Sorted by object.
+    /// Warm objects, sorted by hash.
     objects: Vec<WarmObject>,
 }
 
@@ -132,152 +142,153 @@
         }
     }
 
-    /// The mark by which heartbeats name it.
+    /// The 32-bit hash of its name, by which heartbeats identify it.
     #[must_use]
     pub const fn short_hash(&self) -> u32 {
         self.short_hash
     }
 
-    /// Hash of its name.
+    /// The 64-bit hash of its name.
     #[must_use]
     pub const fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Whether it may be sent requests at all.
+    /// Whether it is listed and not draining.
     #[must_use]
     pub fn is_available(&self) -> bool {
         !self.is_gone && !self.entry.draining
     }
 
-    /// Whether it is set aside after failures.
+    /// Whether it is ejected after failures to reach it.
     #[must_use]
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it is cold.
+    /// Whether it is cold after its start or an evacuation.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
-    /// Marks it cold for a while, as after its domain was evacuated.
+    /// Marks it as cold until a time, as after an evacuation of its domain.
     pub fn mark_cold(&mut self, until: Time) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Requests believed to be at it, or planned for it. What others have there
-    /// fades with the time since the target last told.
+    /// Estimated number of requests at it or reserved for it. The load of other
+    /// instances in the target's last report decays with the time constant `decay_time`; it
+    /// counts if it exceeds what their heartbeats say.
     #[must_use]
-    pub fn load(&self, now: Time, fade: Duration) -> f64 {
+    pub fn load(&self, now: Time, decay_time: Duration) -> f64 {
         let mut others = f64::from(self.peers_in_flight);
         if self.others_load > 0.0 {
-            let age = now.since(self.reported_at).as_secs_f64() / fade.as_secs_f64().max(0.001);
+            let age =
+                now.since(self.reported_at).as_secs_f64() / decay_time.as_secs_f64().max(0.001);
             others = others.max(self.others_load * (-age).exp());
         }
         f64::from(self.in_flight + self.reserved) + others
     }
 
-    /// Notes the target's own report: requests running and waiting there, with
-    /// the one that it answers and that has ended here.
+    /// Records the target's load report: `present` counts requests running and queued
+    /// there, including the answered one, which has already ended here.
     pub fn record_load(&mut self, now: Time, present: u32) {
         self.others_load = f64::from(present.saturating_sub(self.in_flight + 1));
         self.reported_at = now;
     }
 
-    /// The limit that it names, in requests a second.
+    /// The rate limit that it reports, in requests per second.
     #[must_use]
     pub const fn limit(&self) -> Option<f64> {
         self.limit.rate
     }
 
-    /// The same, with when it was named.
+    /// The rate limit, with the time at which it was reported.
     pub(super) const fn limit_state(&self) -> &Limit {
         &self.limit
     }
 
-    /// Notes the limit that an answer to this instance names, or that it names none.
-    /// Says whether that is news.
+    /// Records the rate limit in an answer to this instance; `None` lifts it. Returns
+    /// whether the limit has changed.
     pub fn update_limit(&mut self, now: Time, rate: Option<f64>) -> bool {
-        let named = self.limit.answered(now, rate);
-        core::mem::replace(&mut self.limit, named).rate != rate
+        let limit = self.limit.answered(now, rate);
+        core::mem::replace(&mut self.limit, limit).rate != rate
     }
 
-    /// Notes what another instance was told of its limit.
-    pub(super) fn merge_limit(&mut self, told: Limit) {
-        if self.limit.is_before(&told) {
-            self.limit = told;
+    /// Adopts a rate limit that it reported to another instance, if that is newer.
+    pub(super) fn merge_limit(&mut self, limit: Limit) {
+        if self.limit.is_before(&limit) {
+            self.limit = limit;
         }
     }
 
-    /// Time since its own last report of its requests; since it was listed, if
-    /// there is none.
+    /// Time since its last load report, or since it was first listed.
     #[must_use]
     pub fn age(&self, now: Time) -> Duration {
         now.since(self.reported_at)
     }
 
-    /// Whether an object was handled lately, as far as this instance knows.
+    /// Whether an object is warm there, as far as this instance knows.
     #[must_use]
     pub fn has_object(&self, now: Time, object: u32) -> bool {
-        let found = self.objects.binary_search_by_key(&object, |h| h.object);
-        found.is_ok_and(|at| now.since(self.objects[at].at) < WARM_SPAN)
+        let found = self.objects.binary_search_by_key(&object, |o| o.object);
+        found.is_ok_and(|at| now.since(self.objects[at].at) < WARM_TIME)
     }
 
-    /// Notes that it has handled an object, for this instance or for another.
-    /// Says whether that is news.
-    pub fn record_object(&mut self, now: Time, object: u32, own: bool) -> bool {
-        let held = WarmObject {
+    /// Records a request for an object, sent by this instance if `is_own`. Returns
+    /// whether the object was not warm before, or only by reports of other instances.
+    pub fn record_object(&mut self, now: Time, object: u32, is_own: bool) -> bool {
+        let warm_object = WarmObject {
             object,
             at: now,
-            own,
+            is_own,
         };
-        match self.objects.binary_search_by_key(&object, |h| h.object) {
+        match self.objects.binary_search_by_key(&object, |o| o.object) {
             Ok(at) => {
                 let known = self.objects[at];
-                let lapsed = now.since(known.at) >= WARM_SPAN;
-                // Another's word doesn't make what was seen here its own.
-                if own || !known.own || lapsed {
-                    self.objects[at] = held;
+                let is_expired = now.since(known.at) >= WARM_TIME;
+                // A report of another instance doesn't replace what was seen here.
+                if is_own || !known.is_own || is_expired {
+                    self.objects[at] = warm_object;
                 }
-                lapsed || own && !known.own
+                is_expired || is_own && !known.is_own
             }
             Err(at) => {
-                self.objects.insert(at, held);
-                if self.objects.len() > WARM_MOST {
-                    self.objects.retain(|h| now.since(h.at) < WARM_SPAN / 2);
+                self.objects.insert(at, warm_object);
+                if self.objects.len() > WARM_OBJECTS_MAX {
+                    self.objects.retain(|o| now.since(o.at) < WARM_TIME / 2);
                 }
                 true
             }
         }
     }
 
-    /// It has forgotten all objects.
+    /// Forgets all objects, as the target has.
     pub(super) fn clear_objects(&mut self) {
         self.objects.clear();
     }
 
-    /// Objects that this instance sent there lately.
+    /// Objects that are warm by this instance's own requests.
     pub(super) fn own_objects(&self, now: Time) -> impl Iterator<Item = u32> {
-        let own = move |h: &&WarmObject| h.own && now.since(h.at) < WARM_SPAN;
-        self.objects.iter().filter(own).map(|h| h.object)
+        let is_recent = move |o: &&WarmObject| o.is_own && now.since(o.at) < WARM_TIME;
+        self.objects.iter().filter(is_recent).map(|o| o.object)
     }
 
-    /// Requests of this instance sent to it within `span`, which is [`COLD_WINDOW`] or
-    /// that of its limit.
+    /// Number of requests that this instance sent to it within `span`, which is
+    /// [`COLD_WINDOW`] or the window of its rate limit.
     #[must_use]
     pub fn sent_within(&self, now: Time, span: Duration) -> usize {
         let recent = |at: &&Time| now.since(**at) < span;
         self.sent_at.iter().rev().take_while(recent).count()
     }
 
-    /// When this instance last sent it a request, if that is remembered.
+    /// Time of this instance's last request to it, if it is remembered.
     pub(super) fn last_sent(&self) -> Option<Time> {
         self.sent_at.back().copied()
     }
 
-    /// Notes a request sent to it; those older than `span` are forgotten.
+    /// Records a request sent to it; the times of those older than `span` are dropped.
     pub fn record_sent(&mut self, now: Time, span: Duration) {
         self.in_flight += 1;
         while self
@@ -290,19 +301,19 @@
         self.sent_at.push_back(now);
     }
 
-    /// Notes an answer, with the time it took over the time expected.
+    /// Records an answer, with its latency over the expected one if that is known.
     pub fn record_answer(&mut self, now: Time, ratio: Option<f64>) {
         self.failure_streak = 0;
         self.ejected_until = Time::ZERO;
         self.health.record_answer(now, ratio);
     }
 
-    /// Notes that it couldn't be reached or broke off: it gets nothing for a
-    /// while, or each request would find out anew.
+    /// Ejects it for a while because it couldn't be reached or the connection was lost;
+    /// otherwise each request would have to find out by itself.
     pub fn eject(&mut self, now: Time) {
         self.health.record_failure(now);
         let factor = 1 << self.failure_streak.min(4);
         self.failure_streak += 1;
-        self.ejected_until = now + (ASIDE_FIRST * factor).min(ASIDE_MOST);
+        self.ejected_until = now + (EJECTION_TIME_MIN * factor).min(EJECTION_TIME_MAX);
     }
 }
