--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -20,7 +20,7 @@
     Time::from_micros(millis * 1000)
 }
 
-pub fn row(region: &str) -> Registration {
+pub fn registration(region: &str) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
     Registration {
         region: region.into(),
@@ -31,7 +31,7 @@
     }
 }
 
-pub fn beat(name: &str, seq: u64) -> Heartbeat {
+pub fn heartbeat(name: &str, seq: u64) -> Heartbeat {
     Heartbeat {
         name: name.into(),
         life: 7,
@@ -40,7 +40,7 @@
         doubtful: false,
         revision: 0,
         version: 0,
-        row: Some(row("near")),
+        row: Some(registration("near")),
         flying: Vec::new(),
         held: Vec::new(),
         struck: Vec::new(),
@@ -129,7 +129,7 @@
             name: name.into(),
             region: "near".into(),
             life: 1,
-            row: row("near"),
+            row: registration("near"),
         };
         let bounds = Bounds {
             repeats: Rule {
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -8,7 +8,7 @@
 use steer::process::direct::members::Heartbeat;
 use steer::process::direct::target::Entry;
 
-use super::bench::{Bench, at, beat, entry, route};
+use super::bench::{Bench, at, entry, heartbeat, route};
 
 fn sharer(number: u32, near: bool) -> Participant {
     Participant {
@@ -69,8 +69,8 @@
 fn shared() -> Bench {
     let mut bench = Bench::new(route(), &[cold_target()]);
     for i in 0..6 {
-        let beat = beat(&format!("near-{}", i + 2), 1);
-        bench.direct.hear(at(2_000), beat);
+        let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
+        bench.direct.hear(at(2_000), heartbeat);
     }
     bench
 }
@@ -99,7 +99,7 @@
     let mut bench = Bench::new(route(), &[cold_target()]);
     let leaving = |seq| Heartbeat {
         leaving: true,
-        ..beat("near-2", seq)
+        ..heartbeat("near-2", seq)
     };
     bench.direct.hear(at(2_000), leaving(1));
     assert_eq!(burst(&mut bench, 2_000), 3);
@@ -113,8 +113,8 @@
 fn take_targets_for_cold_while_cut_off() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     for i in 0..6 {
-        let beat = beat(&format!("near-{}", i + 2), 1);
-        bench.direct.hear(at(2_000), beat);
+        let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
+        bench.direct.hear(at(2_000), heartbeat);
     }
     bench.direct.in_touch(at(2_000), 1);
     assert!(burst(&mut bench, 3_000) > 2, "in touch, it isn't cold");
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -8,7 +8,7 @@
 use steer::process::direct::{AttemptOutcome, Decision};
 use steer::version::routes::Route;
 
-use super::bench::{Bench, MS, at, beat, entry, route};
+use super::bench::{Bench, MS, at, entry, heartbeat, route};
 
 const OBJECT: u64 = 5;
 
@@ -26,7 +26,7 @@
 fn tell(bench: &mut Bench, millis: u64, seq: u64, observations: &[Observation]) {
     let told = Heartbeat {
         observations: observations.to_vec(),
-        ..beat("near-2", seq)
+        ..heartbeat("near-2", seq)
     };
     bench.direct.hear(at(millis), told);
 }
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -9,7 +9,7 @@
 use steer::process::direct::target::{Entry, Feedback};
 use steer::process::direct::{AttemptOutcome, Bounds, Decision};
 
-use super::bench::{Bench, MS, at, beat, entry, route};
+use super::bench::{Bench, MS, at, entry, heartbeat, route};
 
 fn wide(id: &str) -> Entry {
     Entry {
@@ -22,8 +22,8 @@
 fn one_of(count: usize) -> Bench {
     let mut bench = Bench::new(route(), &[wide("t1")]);
     for number in 2..=count {
-        let beat = beat(&format!("near-{number}"), 1);
-        bench.direct.hear(at(1_000), beat);
+        let heartbeat = heartbeat(&format!("near-{number}"), 1);
+        bench.direct.hear(at(1_000), heartbeat);
     }
     bench
 }
@@ -145,7 +145,7 @@
 fn told(rate: Option<f64>, age: Duration, seq: u64) -> Heartbeat {
     Heartbeat {
         limits: vec![named(rate, age)],
-        ..beat("near-2", seq)
+        ..heartbeat("near-2", seq)
     }
 }
 
--- a/crates/steer/tests/direct/members.rs
+++ b/crates/steer/tests/direct/members.rs
@@ -4,7 +4,7 @@
 use steer::process::direct::StoreContact;
 use steer::process::direct::members::{Heartbeat, Members, name_hash};
 
-use super::bench::{Bench, MS, at, beat, entry, route, row};
+use super::bench::{Bench, MS, at, entry, heartbeat, registration, route};
 
 fn names(members: &Members, millis: u64, store: bool) -> Vec<String> {
     let present = members.present(at(millis), store);
@@ -26,12 +26,12 @@
     #[case] there: bool,
 ) {
     let mut members = Members::default();
-    members.list(at(0), "a", row("near"));
+    members.list(at(0), "a", registration("near"));
     if !listed {
         members.unlist(at(10_000), "a");
     }
     if silent.is_some() {
-        members.hear(at(10_000), beat("a", 1));
+        members.hear(at(10_000), heartbeat("a", 1));
     }
     let now = 10_000 + silent.unwrap_or_default();
     assert_eq!(!names(&members, now, store).is_empty(), there);
@@ -42,18 +42,18 @@
 #[test]
 fn stay_gone_on_older_heartbeat() {
     let mut members = Members::default();
-    members.list(at(0), "a", row("near"));
-    members.hear(at(0), beat("a", 1));
+    members.list(at(0), "a", registration("near"));
+    members.hear(at(0), heartbeat("a", 1));
     let leaving = Heartbeat {
         leaving: true,
-        ..beat("a", 3)
+        ..heartbeat("a", 3)
     };
     members.hear(at(10), leaving);
-    members.hear(at(20), beat("a", 2));
+    members.hear(at(20), heartbeat("a", 2));
     assert!(names(&members, 30, true).is_empty());
     let anew = Heartbeat {
         life: 8,
-        ..beat("a", 1)
+        ..heartbeat("a", 1)
     };
     members.hear(at(40), anew);
     assert_eq!(names(&members, 50, true), ["a"]);
@@ -68,7 +68,7 @@
         at(0),
         Heartbeat {
             revision: 5,
-            ..beat("a", 1)
+            ..heartbeat("a", 1)
         },
     );
     assert_eq!(bench.direct.ahead(at(10)), None);
@@ -76,7 +76,7 @@
         at(20),
         Heartbeat {
             revision: 9,
-            ..beat("b", 1)
+            ..heartbeat("b", 1)
         },
     );
     assert!(bench.direct.ahead(at(30)).is_some());
@@ -90,7 +90,9 @@
 fn tell_who_is_silent() {
     let mut bench = Bench::new(route(), &[]);
     bench.direct.told(at(0), StoreContact::default(), 5);
-    bench.direct.member(at(0), "near-2", Some(row("near")));
+    bench
+        .direct
+        .member(at(0), "near-2", Some(registration("near")));
     let told = |now| {
         let to = bench.direct.recipients(at(now));
         to.near.len() + to.region.len() + to.far.len()
@@ -112,8 +114,10 @@
 fn gather_by_regions(#[case] others: usize, #[case] each: usize, #[case] millis: u32) {
     let mut bench = Bench::new(route(), &[]);
     for i in 0..others {
-        let row = row(&format!("region-{}", i / each));
-        bench.direct.member(at(0), &format!("i{i}"), Some(row));
+        let registration = registration(&format!("region-{}", i / each));
+        bench
+            .direct
+            .member(at(0), &format!("i{i}"), Some(registration));
     }
     bench.direct.in_touch(at(0), 1);
     assert_eq!(bench.direct.gather(at(0)), MS * millis);
@@ -126,7 +130,7 @@
     let mut bench = Bench::new(route(), &targets);
     let busy = Heartbeat {
         flying: vec![(name_hash("t1"), 4)],
-        ..beat("near-2", 1)
+        ..heartbeat("near-2", 1)
     };
     bench.direct.hear(at(0), busy);
     for i in 0..4 {
@@ -150,7 +154,7 @@
         at(1_000),
         Heartbeat {
             held: told.held,
-            ..beat("near-2", 1)
+            ..heartbeat("near-2", 1)
         },
     );
     let go = other.send(at(1_010), Some(object));
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -14,7 +14,7 @@
 use steer::request::arrival::Fingerprint;
 use steer::version::teams::{KeyDigest, Quota, Team, Teams};
 
-use super::bench::{entry, route, routes, row};
+use super::bench::{entry, registration, route, routes};
 
 pub const RULE: quota::Rule = quota::Rule {
     window: Duration::from_secs(5),
@@ -101,7 +101,7 @@
     let port = u16::try_from(at).expect("few") + 1;
     Registration {
         beats: ([127, 0, 0, 1], port).into(),
-        ..row(REGIONS[at % REGIONS.len()])
+        ..registration(REGIONS[at % REGIONS.len()])
     }
 }
 
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -140,11 +140,11 @@
     );
     // Another instance hears of it.
     let mut other = Bench::new(route(), &targets);
-    let beat = steer::process::direct::members::Heartbeat {
+    let heartbeat = steer::process::direct::members::Heartbeat {
         struck: told,
-        ..super::bench::beat("near-2", 1)
+        ..super::bench::heartbeat("near-2", 1)
     };
-    other.direct.hear(at(0), beat);
+    other.direct.hear(at(0), heartbeat);
     assert_eq!(other.direct.submit(at(10), ask), Err(Rejection::Poison));
 }
 
--- a/crates/steer/tests/direct/upstream.rs
+++ b/crates/steer/tests/direct/upstream.rs
@@ -8,7 +8,7 @@
 use steer::process::direct::members::Registration;
 use steer::process::direct::upstream::{Upstream, weight};
 
-use super::bench::{Bench, at, beat, route, row};
+use super::bench::{Bench, at, heartbeat, registration, route};
 
 /// This instance and others of its region, in the order in which they read the
 /// store. It stands in `near-a`.
@@ -27,7 +27,7 @@
             let name = format!("{domain}-{i}");
             let row = Registration {
                 domain: domain.into(),
-                ..row("near")
+                ..registration("near")
             };
             bench.direct.member(at(0), &name, Some(row));
             order.push((name, domain));
@@ -141,7 +141,7 @@
     for i in 0..20 {
         bench
             .direct
-            .member(at(0), &format!("far-{i}"), Some(row("far")));
+            .member(at(0), &format!("far-{i}"), Some(registration("far")));
     }
     assert_eq!(bench.direct.upstream(at(10)), Upstream::Store);
 }
@@ -172,7 +172,7 @@
 fn pass_over_who_leaves() {
     let mut region = region(12);
     let first = region.upstream(10);
-    let mut last = beat(&first, 1);
+    let mut last = heartbeat(&first, 1);
     last.leaving = true;
     region.bench.direct.hear(at(20), last);
     assert_ne!(region.upstream(30), first);
