--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -289,7 +289,7 @@
     fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Word>) {
         let mut inner = self.lock();
         let ask = inner.expect(mailbox);
-        self.handle(&mut inner, traffic::Event::Asked { ask, question });
+        self.handle(&mut inner, traffic::Event::PeerAsked { ask, question });
     }
 
     fn gone(&self, id: arrival::RequestId) {
@@ -341,7 +341,7 @@
                     budget,
                 );
             }
-            traffic::Action::Tell { ask, word } => inner.tell(ask, word),
+            traffic::Action::Respond { ask, reply: word } => inner.tell(ask, word),
             traffic::Action::Store {
                 id,
                 key,
--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/errand.rs
@@ -135,7 +135,7 @@
                 question,
             } => {
                 let word = engine.means.peers.ask(addr, &question, budget).await;
-                engine.report(traffic::Event::Told { ask, word });
+                engine.report(traffic::Event::AskEnded { ask, reply: word });
             }
             Kind::Store { id, key, call } => {
                 let result = claim::settle(&*engine.means.store, &key, call, budget).await;
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -91,7 +91,7 @@
         if self.work == Work::Witness {
             let ask = record::AskId(number);
             let question = record::Question::Claim(key);
-            return self.feed(now, gate::Event::Asked { ask, question });
+            return self.feed(now, gate::Event::PeerAsked { ask, question });
         }
         let id = arrival::RequestId(number);
         let arrival = arrival::Arrival {
@@ -117,7 +117,7 @@
             match action {
                 gate::Action::Ask { ask, .. } => {
                     let word = Some(record::Word::Claimed);
-                    self.feed(now, gate::Event::Told { ask, word });
+                    self.feed(now, gate::Event::AskEnded { ask, reply: word });
                 }
                 gate::Action::Store { .. } => {
                     let result = record::StoreResult::Created;
@@ -126,7 +126,13 @@
                 gate::Action::Forward { .. } => {
                     let ending =
                         steer::process::dispatch::AttemptOutcome::Answered(self.answer.clone());
-                    self.feed(now, gate::Event::Forwarded { id, ending });
+                    self.feed(
+                        now,
+                        gate::Event::Forwarded {
+                            id,
+                            outcome: ending,
+                        },
+                    );
                 }
                 gate::Action::Run(_) => self.feed(now, gate::Event::Settled { id, verdict }),
                 _ => {}
--- a/crates/explorer/src/world/perform.rs
+++ b/crates/explorer/src/world/perform.rs
@@ -44,7 +44,7 @@
                 };
                 self.post(sender, message::Kind::Ask { to, question });
             }
-            traffic::Action::Tell { ask, word } => self.tell(index, ask, word),
+            traffic::Action::Respond { ask, reply: word } => self.tell(index, ask, word),
             traffic::Action::Store { id, call, .. } => self.call(index, id, call),
             traffic::Action::Reply { id, answer } => self.reply(index, id, answer),
             traffic::Action::Refuse { id, refusal } => {
@@ -236,7 +236,7 @@
                 process.next += 1;
                 let ask = record::AskId(process.next);
                 process.asked.push((ask, sender));
-                self.feed(to, traffic::Event::Asked { ask, question });
+                self.feed(to, traffic::Event::PeerAsked { ask, question });
             }
             message::Kind::Store(payload, call) => {
                 let result = self.in_store(payload, call);
@@ -253,7 +253,7 @@
                 } = sender
                     && self.processes[process].incarnation == incarnation
                 {
-                    self.feed(process, traffic::Event::Told { ask, word });
+                    self.feed(process, traffic::Event::AskEnded { ask, reply: word });
                 }
             }
             message::Kind::Stored(result) => {
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -265,10 +265,10 @@
             Happening::Asked(node, from, ask, question) => {
                 let own = AskId(self.questions.len() as u64);
                 self.questions.push((from, ask));
-                self.tell(node, Event::Asked { ask: own, question });
+                self.tell(node, Event::PeerAsked { ask: own, question });
             }
             Happening::Told(node, ask, word) => {
-                self.tell(node, Event::Told { ask, word });
+                self.tell(node, Event::AskEnded { ask, reply: word });
             }
             Happening::Tick(node) => self.tick(node),
             Happening::Lose => self.lose(),
--- a/crates/measure/src/shift/world/carry.rs
+++ b/crates/measure/src/shift/world/carry.rs
@@ -71,7 +71,7 @@
                 let way = self.way(node, to);
                 self.after(way, Happening::Asked(to, node, ask, question));
             }
-            Action::Tell { ask, word } => {
+            Action::Respond { ask, reply: word } => {
                 let at = usize::try_from(ask.0).unwrap_or(usize::MAX);
                 let (to, ask) = self.questions[at];
                 let way = self.way(node, to);
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -105,15 +105,15 @@
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
             Event::Settled { id, verdict } => self.settled(id, verdict, out),
-            Event::Forwarded { id, ending } => self.forwarded(now, id, ending, out),
-            Event::Told { ask, word } => self.told(now, ask, word, out),
-            Event::Asked { ask, question } => {
+            Event::Forwarded { id, outcome } => self.forwarded(now, id, outcome, out),
+            Event::AskEnded { ask, reply } => self.ask_ended(now, ask, reply, out),
+            Event::PeerAsked { ask, question } => {
                 self.tally.words += 1;
-                let word = self.registry.answer(self.limits.epoch_at(now), &question);
-                out.push(Action::Tell { ask, word });
+                let reply = self.registry.answer(self.limits.epoch_at(now), &question);
+                out.push(Action::Respond { ask, reply });
             }
             Event::Stored { id, result } => self.stored(now, id, result, out),
-            Event::Gone(id) => self.gone(id),
+            Event::Disconnected(id) => self.disconnected(id),
             Event::View(view) => self.set_view(view),
             Event::Tick => self.tick(now, out),
             Event::Leave => self.leaving = true,
@@ -260,14 +260,14 @@
         ask
     }
 
-    fn told(
+    fn ask_ended(
         &mut self,
         now: clock::Time,
         ask: record::AskId,
-        word: Option<record::Word>,
+        reply: Option<record::Word>,
         out: &mut Vec<Action>,
     ) {
-        let epoch = match word {
+        let epoch = match reply {
             Some(record::Word::Epoch(epoch)) => Some(epoch),
             _ => None,
         };
@@ -278,12 +278,12 @@
             return;
         };
         match self.held.get(id).map(|h| &h.stage) {
-            Some(held::Stage::Claiming { .. }) => self.claimed(now, id, word, out),
-            _ => self.sealed(id, word, out),
+            Some(held::Stage::Claiming { .. }) => self.claimed(now, id, reply, out),
+            _ => self.sealed(id, reply, out),
         }
     }
 
-    fn gone(&mut self, id: arrival::RequestId) {
+    fn disconnected(&mut self, id: arrival::RequestId) {
         let Some(held) = self.held.get(id) else {
             return;
         };
@@ -335,7 +335,7 @@
             Some(held::Stage::Claiming { .. }) => self.give_up(now, id, out),
             Some(held::Stage::Storing { .. }) => self.unsettled(id, out),
             Some(held::Stage::Waiting) => {
-                self.gone(id);
+                self.disconnected(id);
                 refuse(
                     id,
                     outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(COME_BACK)),
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -55,17 +55,17 @@
         /// The request.
         id: arrival::RequestId,
         /// How.
-        ending: dispatch::AttemptOutcome,
+        outcome: dispatch::AttemptOutcome,
     },
     /// A peer answered a question; `None` if no answer came.
-    Told {
+    AskEnded {
         /// The question.
         ask: record::AskId,
         /// The answer.
-        word: Option<record::Word>,
+        reply: Option<record::Word>,
     },
     /// A peer asks this process.
-    Asked {
+    PeerAsked {
         /// The driver's name for the question.
         ask: record::AskId,
         /// What it asks.
@@ -79,7 +79,7 @@
         result: record::StoreResult,
     },
     /// The caller left without waiting for its answer.
-    Gone(arrival::RequestId),
+    Disconnected(arrival::RequestId),
     /// A new view is in force.
     View(Arc<view::View>),
     /// Time passed.
@@ -128,11 +128,11 @@
         budget: Duration,
     },
     /// Answer a peer's question.
-    Tell {
+    Respond {
         /// The driver's name for the question.
         ask: record::AskId,
         /// The answer.
-        word: record::Word,
+        reply: record::Word,
     },
     /// Call the platform's store about a key that its caller chose.
     Store {
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -87,24 +87,18 @@
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
             Event::Forwarded { id, outcome } => {
-                self.gate(
-                    now,
-                    gate::Event::Forwarded {
-                        id,
-                        ending: outcome,
-                    },
-                );
+                self.gate(now, gate::Event::Forwarded { id, outcome });
             }
-            Event::Told { ask, word } => self.gate(now, gate::Event::Told { ask, word }),
-            Event::Asked { ask, question } => {
-                self.gate(now, gate::Event::Asked { ask, question });
+            Event::AskEnded { ask, reply } => self.gate(now, gate::Event::AskEnded { ask, reply }),
+            Event::PeerAsked { ask, question } => {
+                self.gate(now, gate::Event::PeerAsked { ask, question });
             }
             Event::Stored { id, result } => self.gate(now, gate::Event::Stored { id, result }),
             Event::Leave => self.gate(now, gate::Event::Leave),
             Event::Disconnected(id) => {
                 self.outbox.forget(id);
                 if self.gate.holds(id) {
-                    self.gate(now, gate::Event::Gone(id));
+                    self.gate(now, gate::Event::Disconnected(id));
                 } else {
                     self.dispatch(now, dispatch::Event::Disconnected(id));
                 }
@@ -305,13 +299,7 @@
             Err(after) => {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Cap, Some(after));
                 let outcome = dispatch::AttemptOutcome::PeerRefused(refusal);
-                self.gate(
-                    now,
-                    gate::Event::Forwarded {
-                        id,
-                        ending: outcome,
-                    },
-                );
+                self.gate(now, gate::Event::Forwarded { id, outcome });
             }
         }
     }
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -31,14 +31,14 @@
         outcome: dispatch::AttemptOutcome,
     },
     /// An [`Action::Ask`] ended; `None` if no answer came.
-    Told {
+    AskEnded {
         /// The question.
         ask: record::AskId,
         /// The peer's word.
-        word: Option<record::Word>,
+        reply: Option<record::Word>,
     },
-    /// A peer asks this process; [`Action::Tell`] answers.
-    Asked {
+    /// A peer asks this process; [`Action::Respond`] answers.
+    PeerAsked {
         /// The driver's name for the question, never reused.
         ask: record::AskId,
         /// What it asks.
@@ -152,7 +152,7 @@
         /// Time after which the driver gives up.
         budget: Duration,
     },
-    /// Ask a peer; report back by [`Event::Told`].
+    /// Ask a peer; report back by [`Event::AskEnded`].
     Ask {
         /// Name of the question.
         ask: record::AskId,
@@ -164,11 +164,11 @@
         budget: Duration,
     },
     /// Answer a peer's question.
-    Tell {
+    Respond {
         /// The driver's name for the question.
         ask: record::AskId,
         /// The answer.
-        word: record::Word,
+        reply: record::Word,
     },
     /// Call the platform's store; report back by [`Event::Stored`].
     Store {
@@ -277,7 +277,7 @@
             question,
             budget,
         },
-        gate::Action::Tell { ask, word } => Action::Tell { ask, word },
+        gate::Action::Respond { ask, reply } => Action::Respond { ask, reply },
         gate::Action::Store {
             id,
             key,
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -92,11 +92,11 @@
                 id: id(),
                 outcome: line.ending(),
             }),
-            "told" => self.feed(traffic::Event::Told {
+            "told" => self.feed(traffic::Event::AskEnded {
                 ask: ask(),
-                word: line.told(),
+                reply: line.told(),
             }),
-            "asked" => self.feed(traffic::Event::Asked {
+            "asked" => self.feed(traffic::Event::PeerAsked {
                 ask: ask(),
                 question: self.question(line),
             }),
@@ -230,7 +230,7 @@
                 };
                 format!("ask{} to {}: {what}", ask.0, peer.name)
             }
-            traffic::Action::Tell { ask, word } => format!("tell ask{}: {word}", ask.0),
+            traffic::Action::Respond { ask, reply: word } => format!("tell ask{}: {word}", ask.0),
             traffic::Action::Store { id, key, call, .. } => {
                 let what = match call {
                     record::StoreCall::Create(attempt) => format!("create {attempt}"),
