--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -212,7 +212,7 @@
     #[must_use]
     pub fn drained(&self) -> bool {
         let inner = self.lock();
-        inner.decide.drained() && inner.waiting() == 0
+        inner.decide.is_drained() && inner.waiting() == 0
     }
 
     /// The state of the traffic decisions, as lines for people.
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -292,7 +292,7 @@
     #[must_use]
     pub fn drained(&self) -> bool {
         let mut living = self.processes.iter().filter_map(|p| p.traffic.as_ref());
-        living.all(traffic::Traffic::drained)
+        living.all(traffic::Traffic::is_drained)
     }
 
     /// Copies that got a target's answer, "not run", "unknown".
--- a/crates/steer/src/process.rs
+++ b/crates/steer/src/process.rs
@@ -1,4 +1,7 @@
-//! What lives as long as the process.
+//! State and decisions that live as long as the process.
+//!
+//! Invariant: modules take events or calls and return actions or values; none
+//! does I/O.
 
 pub mod config;
 pub mod control;
--- a/crates/steer/src/process/slot.rs
+++ b/crates/steer/src/process/slot.rs
@@ -1,25 +1,26 @@
-//! Whether this process may use its name's static share of a cap.
+//! Static slot of a process, which gives it a share of each cap.
 //!
 //! Caps are kept without coordination: each configured entry instance has one
 //! slot, and may use `cap / slots`. Invariant: the shares in use never add up
 //! to more than the larger of the caps that are in force anywhere.
 //!
-//! What breaks that, and what keeps it:
+//! Cases that would break it, and the rule for each:
 //! - A replacement starts while its frozen or dying predecessor still uses the
-//!   share. So the holder has to be confirmed: it uses its share only if a peer
-//!   or the store answered a question that it sent less than [`CONFIRMATION_TTL`] ago, and a
-//!   peer that knows a newer process of the name doesn't answer but says so. A
-//!   newcomer waits [`QUARANTINE_TIME`] from its first confirmation, in which its word
-//!   reaches every peer that could confirm the old one and the last confirmation
-//!   of that one runs out. (From its start would not do: in a domain that is cut
-//!   off nobody hears it.) It needn't
-//!   wait if its predecessor said that it gave up the share.
-//! - Shares that the predecessor passed on are still in use. So no transfer may
-//!   last longer than [`TRANSFER_MAX`], which is below the quarantine, and which
-//!   a newcomer waits out also after its predecessor gave up the share.
-//! - Two versions are in force at different places. So after a change a process
-//!   uses the smallest share of all versions of the last [`TRANSITION_TIME`], and a
-//!   slot new to the configuration starts from nothing for that time.
+//!   share. A process therefore uses its share only while a peer or the store
+//!   has answered a question that it sent less than [`CONFIRMATION_TTL`] ago. A
+//!   peer that knows a newer process of the name reports that instead. A new
+//!   process waits [`QUARANTINE_TIME`] from its first confirmation: its records
+//!   then have reached every peer that could confirm the predecessor, and the
+//!   predecessor's last confirmation has expired. Counted from the start of the
+//!   process the time would not suffice, since a domain that is cut off receives
+//!   no records. The wait is skipped if the predecessor released the share.
+//! - Shares that the predecessor transferred are still in use. No transfer may
+//!   therefore last longer than [`TRANSFER_MAX`], which is less than the
+//!   quarantine, and a new process waits that long also after a release.
+//! - Two versions are in force at different instances. After a change a process
+//!   therefore uses the smallest share of all versions of the last
+//!   [`TRANSITION_TIME`], and a slot that is new to the configuration has no
+//!   share for that time.
 
 use core::fmt;
 use core::time::Duration;
@@ -27,36 +28,37 @@
 use crate::clock::Time;
 use crate::process::member::Stamp;
 
-/// Longest time that a share is used without a new confirmation.
+/// Maximum time for which a share is used without a new confirmation.
 pub const CONFIRMATION_TTL: Duration = Duration::from_secs(5);
 
-/// Time within which a newcomer's word has reached all peers that hear either
-/// it or its predecessor.
+/// Time within which the records of a new process reach all peers that receive
+/// messages of it or of its predecessor.
 pub const PROPAGATION_TIME: Duration = Duration::from_secs(10);
 
-/// Longest time for which a share may be passed on to another process.
+/// Maximum time for which a share may be transferred to another process.
 pub const TRANSFER_MAX: Duration = Duration::from_secs(10);
 
-/// Time that a newcomer waits before it uses its slot: [`CONFIRMATION_TTL`] and
-/// [`PROPAGATION_TIME`], which is more than [`TRANSFER_MAX`], and a third on top for
-/// clocks that run apart.
+/// Time that a new process waits before it uses its slot: [`CONFIRMATION_TTL`]
+/// and [`PROPAGATION_TIME`], together more than [`TRANSFER_MAX`], and a third on
+/// top for clocks that drift apart.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(20);
 
-/// Time for which the share of the version before still counts: [`CONFIRMATION_TTL`], and
-/// the 7 s within which a version is in force everywhere, and a margin.
+/// Time for which the share of the previous version still counts:
+/// [`CONFIRMATION_TTL`], the 7 s within which a version is in force everywhere,
+/// and a margin.
 pub const TRANSITION_TIME: Duration = Duration::from_secs(15);
 
-/// The part of every cap that this process may use, apart from transfers.
+/// Share of every cap that this process may use, apart from transfers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// One part of this many; `None` is nothing.
+    /// The share is the cap divided by this; `None` for no share.
     pub divisor: Option<u32>,
-    /// When the share became what it is.
+    /// Time of the last change of the divisor.
     pub since: Time,
 }
 
 impl Share {
-    /// What the share is of a cap, rounded down.
+    /// Returns the share of a cap, rounded down.
     #[must_use]
     pub fn of(&self, cap: u64) -> u64 {
         self.divisor
@@ -73,27 +75,27 @@
     }
 }
 
-/// What a version gives this name.
+/// Share that a version of the configuration gives this name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
     divisor: Option<u32>,
-    /// End of the time in which the grant counts; `None` for the one in force.
+    /// Time at which the grant expires; `None` for the version in force.
     until: Option<Time>,
 }
 
-/// Switches of the safeguards, all on in a live process.
+/// Switches of the safeguards, all enabled in a live process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each switch is turned off alone"
 )]
 pub struct Guards {
-    /// Newcomers wait.
+    /// A new process waits for [`QUARANTINE_TIME`].
     pub quarantine: bool,
-    /// The successor of a process that gave up its share waits for what that one
-    /// had passed on.
+    /// The successor of a process that released its share waits for transfers of
+    /// that process to end.
     pub transfer: bool,
-    /// Holders have to be confirmed.
+    /// A share is used only with a recent confirmation.
     pub confirm: bool,
     /// The smallest share counts while versions change.
     pub transition: bool,
@@ -110,31 +112,31 @@
     }
 }
 
-/// One process's claim to its name's slot.
+/// Claim of a process to the slot of its name.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// First confirmation under the present stamp.
-    start: Option<Time>,
-    /// When the release by the predecessor was heard of.
-    free: Option<Time>,
+    /// Time of the first confirmation under the current stamp.
+    first_confirmed: Option<Time>,
+    /// Time at which the predecessor's release was received.
+    released: Option<Time>,
     predecessor: Option<Stamp>,
-    confirmed: Option<Time>,
-    behind: Option<Time>,
+    last_confirmed: Option<Time>,
+    behind_since: Option<Time>,
     grants: Vec<Grant>,
     share: Share,
     guards: Guards,
 }
 
 impl Slot {
-    /// The slot of a process that starts at `now`.
+    /// Creates the slot of a process that starts at `now`.
     #[must_use]
     pub const fn new(now: Time, guards: Guards) -> Self {
         Self {
-            start: None,
-            free: None,
+            first_confirmed: None,
+            released: None,
             predecessor: None,
-            confirmed: None,
-            behind: None,
+            last_confirmed: None,
+            behind_since: None,
             grants: Vec::new(),
             share: Share {
                 divisor: None,
@@ -144,43 +146,45 @@
         }
     }
 
-    /// A process of this name and of an older stamp is known. A release of one
-    /// before it no longer counts: the later one may have held the slot since.
+    /// Records that a process of this name has an older stamp. A release by a
+    /// process before that one no longer counts: the later one may have held
+    /// the slot since.
     pub fn note_predecessor(&mut self, stamp: Stamp) {
         if self.predecessor < Some(stamp) {
             self.predecessor = Some(stamp);
-            self.free = None;
+            self.released = None;
         }
     }
 
-    /// The predecessor of this stamp gave up its share for good.
+    /// Records that the predecessor with this stamp released its share for good.
     pub fn note_release(&mut self, now: Time, stamp: Stamp) {
         if self.predecessor < Some(stamp) {
-            self.free = None;
+            self.released = None;
         }
         if self.predecessor <= Some(stamp) {
             self.predecessor = Some(stamp);
-            self.free.get_or_insert(now);
+            self.released.get_or_insert(now);
         }
     }
 
-    /// Somebody answered a question that was sent at `asked`, and knows of no
-    /// newer process of this name.
-    pub fn confirm(&mut self, asked: Time) {
-        self.confirmed = self.confirmed.max(Some(asked));
-        self.start.get_or_insert(asked);
+    /// Records a confirmation: a peer or the store answered a question that was
+    /// sent at `asked_at`, and knows no newer process of this name.
+    pub fn confirm(&mut self, asked_at: Time) {
+        self.last_confirmed = self.last_confirmed.max(Some(asked_at));
+        self.first_confirmed.get_or_insert(asked_at);
     }
 
-    /// Whether a version above the one in force was heard of.
-    pub fn set_behind(&mut self, now: Time, behind: bool) {
-        if !behind {
-            self.behind = None;
-        } else if self.behind.is_none() {
-            self.behind = Some(now);
+    /// Sets whether a version newer than the one in force is known to exist.
+    pub fn set_behind(&mut self, now: Time, is_behind: bool) {
+        if !is_behind {
+            self.behind_since = None;
+        } else if self.behind_since.is_none() {
+            self.behind_since = Some(now);
         }
     }
 
-    /// A version came in force that has this many slots, or none for this name.
+    /// Records that a version came into force. `divisor` is its number of slots,
+    /// or `None` if it has none for this name.
     pub fn configure(&mut self, now: Time, divisor: Option<u32>) {
         if !self.guards.transition {
             self.grants.clear();
@@ -197,28 +201,30 @@
         });
     }
 
-    /// The process raised its stamp: its word begins to spread anew.
+    /// Restarts the quarantine: the process raised its stamp, and its records
+    /// have to reach all peers again.
     pub const fn reset_quarantine(&mut self) {
-        self.start = None;
+        self.first_confirmed = None;
     }
 
-    /// Whether this process holds the slot, so that a graceful stop gives it up.
+    /// Returns whether this process holds the slot, so that a graceful stop
+    /// releases it.
     #[must_use]
     pub fn is_held(&self, now: Time) -> bool {
-        let since = |start: Time| now.since(start) >= QUARANTINE_TIME;
-        let waited = self.start.is_some_and(since);
-        let free = self
-            .free
-            .is_some_and(|heard| now.since(heard) >= TRANSFER_MAX || !self.guards.transfer);
-        waited || free || !self.guards.quarantine
+        let has_passed = |start: Time| now.since(start) >= QUARANTINE_TIME;
+        let has_waited = self.first_confirmed.is_some_and(has_passed);
+        let is_free = self
+            .released
+            .is_some_and(|received| now.since(received) >= TRANSFER_MAX || !self.guards.transfer);
+        has_waited || is_free || !self.guards.quarantine
     }
 
-    /// The share at `now`. `sure` is off while the process is in doubt whether
-    /// what it knows is of today.
-    pub fn share(&mut self, now: Time, sure: bool) -> Share {
+    /// Returns the share at `now`. `is_certain` is false while the process does
+    /// not know whether its own state is up to date, such as after a freeze.
+    pub fn share(&mut self, now: Time, is_certain: bool) -> Share {
         self.grants.retain(|g| g.until.is_none_or(|u| now < u));
-        let divisor = if sure && self.is_held(now) && self.is_current(now) {
-            self.smallest()
+        let divisor = if is_certain && self.is_held(now) && self.is_current(now) {
+            self.smallest_share()
         } else {
             None
         };
@@ -235,11 +241,11 @@
         if !self.guards.confirm {
             return true;
         }
-        let fresh = |t: Time| now.since(t) < CONFIRMATION_TTL;
-        self.confirmed.is_some_and(fresh) && self.behind.is_none_or(fresh)
+        let is_fresh = |t: Time| now.since(t) < CONFIRMATION_TTL;
+        self.last_confirmed.is_some_and(is_fresh) && self.behind_since.is_none_or(is_fresh)
     }
 
-    fn smallest(&self) -> Option<u32> {
+    fn smallest_share(&self) -> Option<u32> {
         let mut divisor = Some(1);
         for grant in &self.grants {
             divisor = match (divisor, grant.divisor) {
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -1,8 +1,8 @@
-//! All decisions about requests in one engine: the gate, then the dispatcher.
+//! Request engine of a process: gate, dispatcher and outbox in one.
 //!
 //! Invariant: every request that arrives gets exactly one [`Action::Reply`] or
-//! [`Action::Refuse`], unless its caller left. A request that the gate holds is
-//! answered by the gate alone.
+//! [`Action::Refuse`], unless its caller disconnects. A request that the gate
+//! holds is answered only by the gate.
 
 mod message;
 
@@ -17,90 +17,95 @@
 pub use self::message::{Action, Event};
 pub use dispatch::TICK;
 
-/// The gate and the dispatcher of one process.
+/// Gate, dispatcher and outbox of one process.
 pub struct Traffic {
     gate: gate::Gate,
     dispatch: dispatch::Dispatch,
     outbox: outbox::Outbox,
-    /// The request that arrived last, and its size.
-    arriving: Option<(arrival::RequestId, u64)>,
-    /// Scratch space, empty between events.
-    asked: Vec<gate::Action>,
-    sent: Vec<dispatch::Action>,
+    /// Request that arrived last, and its size in bytes.
+    last_arrival: Option<(arrival::RequestId, u64)>,
+    /// Actions not yet passed on; empty between events.
+    gate_actions: Vec<gate::Action>,
+    dispatch_actions: Vec<dispatch::Action>,
 }
 
 impl Traffic {
-    /// An engine with nothing in flight and an empty view.
+    /// Creates an engine with no requests and an empty view.
     #[must_use]
     pub fn new(
         identity: dispatch::Identity,
-        me: view::Incarnation,
+        incarnation: view::Incarnation,
         limits: gate::Limits,
         rng: fastrand::Rng,
     ) -> Self {
-        Self::with_safeguards(identity, me, limits, gate::Safeguards::ALL, rng)
+        Self::with_safeguards(identity, incarnation, limits, gate::Safeguards::ALL, rng)
     }
 
-    /// The same with the dispatcher's limits of choice.
+    /// Creates an engine with the given settings of the dispatcher.
     #[must_use]
     pub fn with_tuning(
         identity: dispatch::Identity,
-        me: view::Incarnation,
+        incarnation: view::Incarnation,
         limits: gate::Limits,
         tuning: dispatch::tuning::Tuning,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
             dispatch: dispatch::Dispatch::with_tuning(identity.clone(), tuning, rng.clone()),
-            ..Self::new(identity, me, limits, rng)
+            ..Self::new(identity, incarnation, limits, rng)
         }
     }
 
-    /// The same with safeguards taken out. For the explorer and tests only.
+    /// Creates an engine with some safeguards of the gate disabled. For the
+    /// explorer and tests only.
     #[must_use]
     pub fn with_safeguards(
         identity: dispatch::Identity,
-        me: view::Incarnation,
+        incarnation: view::Incarnation,
         limits: gate::Limits,
-        safe: gate::Safeguards,
+        safeguards: gate::Safeguards,
         rng: fastrand::Rng,
     ) -> Self {
         Self {
-            gate: gate::Gate::with_safeguards(identity.clone(), me, limits, safe),
+            gate: gate::Gate::with_safeguards(identity.clone(), incarnation, limits, safeguards),
             dispatch: dispatch::Dispatch::new(identity, rng),
             outbox: outbox::Outbox::default(),
-            arriving: None,
-            asked: Vec::new(),
-            sent: Vec::new(),
+            last_arrival: None,
+            gate_actions: Vec::new(),
+            dispatch_actions: Vec::new(),
         }
     }
 
-    /// The same with other safeguards of caps. For models and tests only.
+    /// Replaces the safeguards of caps. For models and tests only.
     #[must_use]
     pub fn with_shares(mut self, guards: share::Guards) -> Self {
         *self.dispatch.shares() = share::Shares::new(guards);
         self
     }
 
-    /// Takes one event and appends what is to be done to `out`.
+    /// Handles one event and appends the actions to perform to `out`.
     pub fn handle(&mut self, now: clock::Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
             Event::Forwarded { id, outcome } => {
-                self.gate(now, gate::Event::Forwarded { id, outcome });
+                self.handle_gate(now, gate::Event::Forwarded { id, outcome });
+            }
+            Event::AskEnded { ask, reply } => {
+                self.handle_gate(now, gate::Event::AskEnded { ask, reply })
             }
-            Event::AskEnded { ask, reply } => self.gate(now, gate::Event::AskEnded { ask, reply }),
             Event::PeerAsked { ask, question } => {
-                self.gate(now, gate::Event::PeerAsked { ask, question });
+                self.handle_gate(now, gate::Event::PeerAsked { ask, question });
+            }
+            Event::Stored { id, result } => {
+                self.handle_gate(now, gate::Event::Stored { id, result })
             }
-            Event::Stored { id, result } => self.gate(now, gate::Event::Stored { id, result }),
-            Event::Leave => self.gate(now, gate::Event::Leave),
+            Event::Leave => self.handle_gate(now, gate::Event::Leave),
             Event::Disconnected(id) => {
                 self.outbox.forget(id);
                 if self.gate.holds(id) {
-                    self.gate(now, gate::Event::Disconnected(id));
+                    self.handle_gate(now, gate::Event::Disconnected(id));
                 } else {
-                    self.dispatch(now, dispatch::Event::Disconnected(id));
+                    self.handle_dispatch(now, dispatch::Event::Disconnected(id));
                 }
             }
             Event::Ended {
@@ -113,13 +118,13 @@
                     attempt,
                     outcome,
                 };
-                self.dispatch(now, event);
+                self.handle_dispatch(now, event);
             }
             Event::Report { target, report } => {
-                self.dispatch(now, dispatch::Event::Report { target, report });
+                self.handle_dispatch(now, dispatch::Event::Report { target, report });
             }
             Event::Probed { target, report } => {
-                self.dispatch(now, dispatch::Event::Probed { target, report });
+                self.handle_dispatch(now, dispatch::Event::Probed { target, report });
             }
             Event::Suspected {
                 fingerprint,
@@ -129,9 +134,9 @@
                     fingerprint,
                     strikes,
                 };
-                self.dispatch(now, event);
+                self.handle_dispatch(now, event);
             }
-            Event::SlotHeld(held) => self.dispatch(now, dispatch::Event::SlotHeld(held)),
+            Event::SlotHeld(held) => self.handle_dispatch(now, dispatch::Event::SlotHeld(held)),
             Event::LoanGranted {
                 route,
                 amount,
@@ -142,29 +147,29 @@
                     amount,
                     asked_at,
                 };
-                self.dispatch(now, event);
+                self.handle_dispatch(now, event);
             }
             Event::LoanRequested { ask, route, amount } => {
-                self.dispatch(now, dispatch::Event::LoanRequested { ask, route, amount });
+                self.handle_dispatch(now, dispatch::Event::LoanRequested { ask, route, amount });
             }
             Event::View(view) => {
-                self.dispatch(now, dispatch::Event::View(Arc::clone(&view)));
-                self.gate(now, gate::Event::View(view));
+                self.handle_dispatch(now, dispatch::Event::View(Arc::clone(&view)));
+                self.handle_gate(now, gate::Event::View(view));
             }
             Event::Tick => {
-                self.dispatch(now, dispatch::Event::Tick);
-                self.gate(now, gate::Event::Tick);
+                self.handle_dispatch(now, dispatch::Event::Tick);
+                self.handle_gate(now, gate::Event::Tick);
             }
         }
-        self.settle(now, out);
+        self.process_actions(now, out);
     }
 
-    /// A request that came over a link is refused at once if its answer may
-    /// find no room on the way back. Another copy of a request that must not
-    /// repeat may have run, so its refusal isn't "not run".
+    /// Refuses a request that came over a link if its answer may find no room
+    /// on the way back. The refusal of a request that was forwarded to its key's
+    /// owner does not say "not run": another copy of it may have run.
     fn arrive(&mut self, now: clock::Time, arrival: arrival::Arrival, out: &mut Vec<Action>) {
         let id = arrival.id;
-        if let Some(link) = self.link_back(&arrival)
+        if let Some(link) = self.return_link(&arrival)
             && !self.outbox.admit(now, id, link, self.dispatch.shares())
         {
             let after = Some(share::window::SPAN);
@@ -175,11 +180,12 @@
             };
             return out.push(Action::Refuse { id, refusal });
         }
-        self.arriving = Some((id, arrival.bytes));
-        self.gate(now, gate::Event::Arrive(arrival));
+        self.last_arrival = Some((id, arrival.bytes));
+        self.handle_gate(now, gate::Event::Arrive(arrival));
     }
 
-    fn link_back(&self, arrival: &arrival::Arrival) -> Option<share::Route> {
+    /// Link over which the answer goes back to another region, if any.
+    fn return_link(&self, arrival: &arrival::Arrival) -> Option<share::Route> {
         let via = arrival.via.as_ref()?;
         let here = self.dispatch.region()?;
         (via != here).then(|| share::Route::Link {
@@ -188,19 +194,19 @@
         })
     }
 
-    /// The prefix for keys issued now; `None` while the process can't serve.
-    /// A change is told by [`Action::Issue`].
+    /// Prefix of the keys issued now; `None` while the process cannot serve.
+    /// Changes are reported by [`Action::Issue`].
     #[must_use]
     pub fn key_prefix(&self, now: clock::Time) -> Option<key::Prefix> {
         self.gate.key_prefix(now)
     }
 
-    /// Whether nothing is in flight or waits: after [`Event::Leave`], the process may
-    /// end without cutting a request.
+    /// Returns whether no request is in flight and none waits. After
+    /// [`Event::Leave`] the process may then exit without losing a request.
     #[must_use]
-    pub fn drained(&self) -> bool {
-        let busy = self.gate.in_flight() + self.dispatch.in_flight() + self.dispatch.waiting();
-        busy + self.outbox.waiting() == 0
+    pub fn is_drained(&self) -> bool {
+        let pending = self.gate.in_flight() + self.dispatch.in_flight() + self.dispatch.waiting();
+        pending + self.outbox.waiting() == 0
     }
 
     /// The gate, for counts and dumps.
@@ -209,7 +215,7 @@
         &self.gate
     }
 
-    /// Caps with this process's limit and use, for dumps.
+    /// Caps with this process's limit and use per second, for dumps.
     pub fn share_rows(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
         self.dispatch.shares().rows(now)
     }
@@ -220,30 +226,31 @@
         &self.dispatch
     }
 
-    /// All caps with what this process may use and uses of them in a second,
-    /// for dumps.
+    /// Caps with this process's limit and use per second, for dumps.
     pub fn caps(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
         self.dispatch.shares().rows(now)
     }
 
-    fn gate(&mut self, now: clock::Time, event: gate::Event) {
-        self.gate.handle(now, event, &mut self.asked);
+    fn handle_gate(&mut self, now: clock::Time, event: gate::Event) {
+        self.gate.handle(now, event, &mut self.gate_actions);
     }
 
-    fn dispatch(&mut self, now: clock::Time, event: dispatch::Event) {
-        self.dispatch.handle(now, event, &mut self.sent);
+    fn handle_dispatch(&mut self, now: clock::Time, event: dispatch::Event) {
+        self.dispatch.handle(now, event, &mut self.dispatch_actions);
     }
 
-    /// Passes actions between the parts until only the driver's are left.
-    fn settle(&mut self, now: clock::Time, out: &mut Vec<Action>) {
-        let first = out.len();
+    /// Exchanges actions between gate and dispatcher until only those for the
+    /// driver are left, and applies the limits of links to answers.
+    fn process_actions(&mut self, now: clock::Time, out: &mut Vec<Action>) {
+        let start = out.len();
         self.exchange(now, out);
-        self.hold_back(now, first, out);
+        self.apply_link_limits(now, start, out);
     }
 
-    /// Takes out answers that go over a link, and puts in those with room.
-    fn hold_back(&mut self, now: clock::Time, first: usize, out: &mut Vec<Action>) {
-        for action in out.split_off(first) {
+    /// Moves answers that go over a link to the outbox, and takes from there
+    /// those that have room now.
+    fn apply_link_limits(&mut self, now: clock::Time, start: usize, out: &mut Vec<Action>) {
+        for action in out.split_off(start) {
             match action {
                 Action::Reply { id, answer } if self.outbox.holds(id) => {
                     self.outbox.put(id, outbox::Last::Reply(answer));
@@ -254,37 +261,37 @@
                 other => out.push(other),
             }
         }
-        let free = self.outbox.release(now, self.dispatch.shares());
+        let released = self.outbox.release(now, self.dispatch.shares());
         if let Some((link, bytes)) = self.outbox.lacking() {
             self.dispatch.request_link_loan(now, link, *bytes);
         }
-        out.extend(free.into_iter().map(|(id, last)| match last {
+        out.extend(released.into_iter().map(|(id, last)| match last {
             outbox::Last::Reply(answer) => Action::Reply { id, answer },
             outbox::Last::Refuse(refusal) => Action::Refuse { id, refusal },
         }));
     }
 
     fn exchange(&mut self, now: clock::Time, out: &mut Vec<Action>) {
-        while !self.asked.is_empty() || !self.sent.is_empty() {
-            for action in core::mem::take(&mut self.asked) {
+        while !self.gate_actions.is_empty() || !self.dispatch_actions.is_empty() {
+            for action in core::mem::take(&mut self.gate_actions) {
                 match action {
                     gate::Action::Run(arrival) => {
-                        self.dispatch(now, dispatch::Event::Arrive(arrival));
+                        self.handle_dispatch(now, dispatch::Event::Arrive(arrival));
                     }
                     gate::Action::Forward { id, peer, budget } => {
                         self.forward(now, id, peer, budget, out);
                     }
-                    other => out.extend(message::outward(other)),
+                    other => out.extend(message::driver_action(other)),
                 }
             }
-            for action in core::mem::take(&mut self.sent) {
-                self.after_dispatch(now, action, out);
+            for action in core::mem::take(&mut self.dispatch_actions) {
+                self.pass_on(now, action, out);
             }
         }
     }
 
-    /// A request goes to its key's owner if the link has room for it. Another
-    /// copy of it may have run there, so a refusal isn't "not run".
+    /// Forwards a request to its key's owner if the link has room for it.
+    /// Another copy may have run there, so the refusal does not say "not run".
     fn forward(
         &mut self,
         now: clock::Time,
@@ -293,33 +300,28 @@
         budget: Duration,
         out: &mut Vec<Action>,
     ) {
-        let bytes = self.arriving.filter(|a| a.0 == id).map_or(0, |a| a.1);
+        let bytes = self.last_arrival.filter(|a| a.0 == id).map_or(0, |a| a.1);
         match self.dispatch.admit_forward(now, &peer.name, bytes) {
             Ok(()) => out.push(Action::Forward { id, peer, budget }),
             Err(after) => {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Cap, Some(after));
                 let outcome = dispatch::AttemptOutcome::PeerRefused(refusal);
-                self.gate(now, gate::Event::Forwarded { id, outcome });
+                self.handle_gate(now, gate::Event::Forwarded { id, outcome });
             }
         }
     }
 
-    /// The dispatcher's answer to a request that the gate holds is the gate's
-    /// to record before any caller hears it.
-    fn after_dispatch(
-        &mut self,
-        now: clock::Time,
-        action: dispatch::Action,
-        out: &mut Vec<Action>,
-    ) {
+    /// Passes on an action of the dispatcher. Its answer to a request that the
+    /// gate holds goes to the gate, which records it before a caller gets it.
+    fn pass_on(&mut self, now: clock::Time, action: dispatch::Action, out: &mut Vec<Action>) {
         match action {
             dispatch::Action::Reply { id, answer } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Answered(answer);
-                self.gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Settled { id, verdict });
             }
             dispatch::Action::Refuse { id, refusal } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Refused(refusal);
-                self.gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Settled { id, verdict });
             }
             other => out.push(other.into()),
         }
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -1,4 +1,7 @@
-//! What goes into the traffic engine and what comes out.
+//! Events and actions of the request engine.
+//!
+//! Invariant: each [`Action::Send`] is followed by one [`Event::Ended`] of the
+//! same attempt, or by its [`Action::Cancel`].
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -9,114 +12,115 @@
 use crate::request::{answer, arrival, key, outcome, record};
 use crate::version::view;
 
-/// What happens to the engine.
+/// Event that the engine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request arrived, from a caller or a peer.
     Arrive(arrival::Arrival),
     /// An [`Action::Send`] ended.
     Ended {
-        /// The request it was for.
+        /// The request.
         id: arrival::RequestId,
         /// The attempt.
         attempt: arrival::AttemptId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: dispatch::AttemptOutcome,
     },
     /// An [`Action::Forward`] ended.
     Forwarded {
         /// The request.
         id: arrival::RequestId,
-        /// How it ended.
+        /// Outcome of the forwarded request.
         outcome: dispatch::AttemptOutcome,
     },
-    /// An [`Action::Ask`] ended; `None` if no answer came.
+    /// An [`Action::Ask`] ended.
     AskEnded {
-        /// The question.
+        /// Id of the question.
         ask: record::AskId,
-        /// The peer's word.
+        /// Reply of the peer; `None` if none was received.
         reply: Option<record::Word>,
     },
     /// A peer asks this process; [`Action::Respond`] answers.
     PeerAsked {
-        /// The driver's name for the question, never reused.
+        /// The driver's id of the question, never reused.
         ask: record::AskId,
-        /// What it asks.
+        /// The question.
         question: record::Question,
     },
     /// An [`Action::Store`] ended.
     Stored {
         /// The request.
         id: arrival::RequestId,
-        /// How it ended.
+        /// Result of the store call.
         result: record::StoreResult,
     },
     /// A target reported its load.
     Report {
         /// Name of the target.
         target: Arc<str>,
-        /// What it says.
+        /// Load and state that it reports.
         report: dispatch::Report,
     },
     /// An [`Action::Probe`] ended.
     Probed {
         /// Name of the target.
         target: Arc<str>,
-        /// What it said; `None` if it couldn't be reached.
+        /// Load and state that it reports; `None` if it could not be reached.
         report: Option<dispatch::Report>,
     },
-    /// A peer says how many targets broke under a request.
+    /// A peer reports how many targets broke while they ran a request.
     Suspected {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: arrival::Fingerprint,
-        /// Targets that broke; zero clears it.
+        /// Number of targets that broke; zero clears the request.
         strikes: u8,
     },
-    /// Control says whether this process holds its part of every cap. Due every
-    /// two seconds; an old word doesn't count.
+    /// Control reports whether this process holds its slot, and so its share of
+    /// every cap. Due every two seconds; an older report is ignored.
     SlotHeld(bool),
-    /// A peer lent a part of a cap, as [`Action::Borrow`] asked.
+    /// A peer lent a part of its share of a cap, as [`Action::Borrow`] asked.
     LoanGranted {
-        /// The cap.
+        /// Route of the cap.
         route: share::Route,
-        /// How much of it.
+        /// Amount lent, per second.
         amount: u64,
-        /// When it was asked for.
+        /// Time of the request, as in [`Action::Borrow`].
         asked_at: clock::Time,
     },
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
     LoanRequested {
-        /// The driver's name for the question.
+        /// The driver's id of the request.
         ask: record::AskId,
-        /// The cap.
+        /// Route of the cap.
         route: share::Route,
-        /// How much of it.
+        /// Amount requested, per second.
         amount: u64,
     },
-    /// The caller left without waiting for its answer.
+    /// The caller disconnected without waiting for its answer.
     Disconnected(arrival::RequestId),
     /// A new view is in force.
     View(Arc<view::View>),
     /// Time passed; due at least every [`TICK`].
     Tick,
-    /// The process is to stop: it runs no new keys, and finishes what it has.
+    /// The process is to stop: it runs no new keys, and finishes the requests it
+    /// has.
     Leave,
 }
 
-/// What the engine wants done.
+/// Action that the driver is to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to a place; report back by [`Event::Ended`]. A place
-    /// that is a member takes it as [`Origin::Peer`](crate::request::arrival::Origin::Peer).
-    /// Sent over one connection, once: no layer below may repeat it.
+    /// Send the request to a target or peer; report back by [`Event::Ended`]. A
+    /// peer receives it as [`Origin::Peer`](crate::request::arrival::Origin::Peer).
+    /// Sent once, over one connection: no layer below may retry it.
     Send {
         /// The request.
         id: arrival::RequestId,
-        /// Name of this try.
+        /// Id of the attempt.
         attempt: arrival::AttemptId,
-        /// Where to.
+        /// Target or peer to send to.
         destination: dispatch::Destination,
-        /// Time after which the driver gives the attempt up.
+        /// Time after which the driver cancels the attempt.
         budget: Duration,
     },
     /// Stop an attempt; no [`Event::Ended`] is due for it, and its connection
@@ -124,50 +128,50 @@
     Cancel {
         /// The request.
         id: arrival::RequestId,
-        /// The try to stop.
+        /// The attempt to stop.
         attempt: arrival::AttemptId,
     },
     /// Give the caller a target's answer.
     Reply {
         /// The request.
         id: arrival::RequestId,
-        /// The whole answer.
+        /// The complete answer.
         answer: Arc<answer::Answer>,
     },
     /// Give the caller a final refusal.
     Refuse {
         /// The request.
         id: arrival::RequestId,
-        /// What to say.
+        /// Reason, outcome and time after which to ask again.
         refusal: outcome::Refusal,
     },
-    /// Send the whole request to its key's owner, which takes it as
+    /// Forward the complete request to its key's owner, which receives it as
     /// [`Origin::Forward`](crate::request::arrival::Origin::Forward); report
     /// back by [`Event::Forwarded`].
     Forward {
         /// The request.
         id: arrival::RequestId,
-        /// The owner.
+        /// Owner of the key.
         peer: gate::Peer,
-        /// Time after which the driver gives up.
+        /// Time after which the driver reports a time-out.
         budget: Duration,
     },
     /// Ask a peer; report back by [`Event::AskEnded`].
     Ask {
-        /// Name of the question.
+        /// Id of the question.
         ask: record::AskId,
         /// The peer.
         peer: gate::Peer,
         /// The question.
         question: record::Question,
-        /// Time after which the driver gives up.
+        /// Time after which the driver reports that there is no reply.
         budget: Duration,
     },
     /// Answer a peer's question.
     Respond {
-        /// The driver's name for the question.
+        /// The driver's id of the question.
         ask: record::AskId,
-        /// The answer.
+        /// The reply.
         reply: record::Word,
     },
     /// Call the platform's store; report back by [`Event::Stored`].
@@ -178,43 +182,43 @@
         key: Arc<str>,
         /// The call.
         call: record::StoreCall,
-        /// Time after which the driver gives up.
+        /// Time after which the driver reports a lost call.
         budget: Duration,
     },
-    /// Ask a target how it is; report back by [`Event::Probed`].
+    /// Probe a target; report back by [`Event::Probed`].
     Probe {
-        /// Its name.
+        /// Name of the target.
         target: Arc<str>,
-        /// Where it listens.
+        /// Address on which it listens.
         addr: SocketAddr,
     },
     /// Ask a peer for a part of a cap; report back by [`Event::LoanGranted`] if it
     /// lends any.
     Borrow {
-        /// The peer's address.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// The cap.
+        /// Route of the cap.
         route: share::Route,
-        /// How much of it.
+        /// Amount requested, per second.
         amount: u64,
-        /// To be given back with the answer.
+        /// Time of the request, to be returned in [`Event::LoanGranted`].
         asked_at: clock::Time,
     },
-    /// Answer a peer that asked for a part of a cap; zero is "nothing".
+    /// Answer a peer that asked for a part of a cap.
     Lend {
-        /// The driver's name for the question.
+        /// The driver's id of the request.
         ask: record::AskId,
-        /// How much it gets.
+        /// Amount lent, per second; zero if none is.
         amount: u64,
     },
-    /// Tell all peers how many targets broke under a request.
+    /// Report to all peers how many targets broke while they ran a request.
     Suspect {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: arrival::Fingerprint,
-        /// Targets that broke; zero clears it.
+        /// Number of targets that broke; zero clears the request.
         strikes: u8,
     },
-    /// Look-up answers carry this key prefix from now on; `None`: none.
+    /// Put this key prefix into look-up answers from now on; `None` for none.
     Issue(Option<key::Prefix>),
 }
 
@@ -259,8 +263,9 @@
     }
 }
 
-/// The driver's part of a gate's action; `None` for what stays inside.
-pub(super) fn outward(action: gate::Action) -> Option<Action> {
+/// Converts an action of the gate to one for the driver; `None` for
+/// [`gate::Action::Run`], which goes to the dispatcher.
+pub(super) fn driver_action(action: gate::Action) -> Option<Action> {
     Some(match action {
         gate::Action::Run(_) => return None,
         gate::Action::Reply { id, answer } => Action::Reply { id, answer },
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -116,7 +116,7 @@
             }
             "state" => {
                 let counts = self.traffic.gate_state().counts();
-                let drained = self.traffic.drained();
+                let drained = self.traffic.is_drained();
                 vec![
                     format!("{counts}; drained: {drained}"),
                     self.traffic.gate_state().tally().to_string(),
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -265,7 +265,7 @@
     for (_, _, refusal) in &engine.log.refused {
         assert_eq!(refusal.outcome, Outcome::NotRun);
     }
-    assert!(engine.traffic.drained());
+    assert!(engine.traffic.is_drained());
 }
 
 /// A planned stop waits for answers that wait for the link.
@@ -279,11 +279,11 @@
     engine.run(SECOND / 2);
     engine.feed(Event::Leave);
     assert!(engine.log.replied.is_empty());
-    assert!(!engine.traffic.drained());
+    assert!(!engine.traffic.is_drained());
     engine.run(SECOND * 3);
     assert_eq!(engine.log.replied.len(), 1);
     assert_eq!(engine.log.replied[0].1, id);
-    assert!(engine.traffic.drained());
+    assert!(engine.traffic.is_drained());
 }
 
 /// A region's callers all come at once, to caches that don't know them. What is
