--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -91,13 +91,13 @@
                 self.handle_gate(now, gate::Event::Forwarded { id, outcome });
             }
             Event::AskEnded { ask, reply } => {
-                self.handle_gate(now, gate::Event::AskEnded { ask, reply })
+                self.handle_gate(now, gate::Event::AskEnded { ask, reply });
             }
             Event::PeerAsked { ask, question } => {
                 self.handle_gate(now, gate::Event::PeerAsked { ask, question });
             }
             Event::Stored { id, result } => {
-                self.handle_gate(now, gate::Event::Stored { id, result })
+                self.handle_gate(now, gate::Event::Stored { id, result });
             }
             Event::Leave => self.handle_gate(now, gate::Event::Leave),
             Event::Disconnected(id) => {
