--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -35,7 +35,7 @@
         smol::Timer::after(HEARTBEAT_INTERVAL).await;
         count += 1;
         let all = count % REMOTE_EVERY == 0;
-        let in_flight = shared.read(|_, d| d.roster.flying());
+        let in_flight = shared.read(|_, d| d.roster.in_flight());
         if !all && in_flight == last_sent {
             continue;
         }
@@ -55,25 +55,25 @@
     let (heartbeat, recipients) = {
         let mut steering = lock(&shared.steering);
         let now = shared.now();
-        let heartbeat = steering.direct.beat(now, with_registration);
+        let heartbeat = steering.direct.heartbeat(now, with_registration);
         (heartbeat, steering.direct.recipients(now))
     };
     // The state of this region's targets is of no use in other regions, and
     // traffic between regions costs most.
     let reduced = members::Heartbeat {
-        flying: Vec::new(),
-        held: Vec::new(),
+        in_flight: Vec::new(),
+        warm_objects: Vec::new(),
         observations: Vec::new(),
         ..heartbeat.clone()
     };
     let complete = Message::Beat(Box::new(Beat::from(heartbeat))).encode();
     let reduced = Message::Beat(Box::new(Beat::from(reduced))).encode();
     let region = recipients.region.into_iter().filter(|_| all);
-    for addr in recipients.near.into_iter().chain(region) {
+    for addr in recipients.local.into_iter().chain(region) {
         // A failed send counts as a lost datagram: the next heartbeat follows soon.
         let _ = socket.send_to(&complete, addr).await;
     }
-    for addr in recipients.far.into_iter().filter(|_| all) {
+    for addr in recipients.remote.into_iter().filter(|_| all) {
         let _ = socket.send_to(&reduced, addr).await;
     }
 }
@@ -118,7 +118,9 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(beat)) => shared.update(|now, d| d.hear(now, (*beat).into())),
+            Ok(Message::Beat(beat)) => {
+                shared.update(|now, d| d.receive_heartbeat(now, (*beat).into()));
+            }
             Ok(Message::Report(report)) => {
                 let grant = {
                     let mut steering = lock(&shared.steering);
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -64,7 +64,7 @@
 /// takes the time as an argument.
 #[derive(Debug)]
 pub struct Direct {
-    home: Identity,
+    identity: Identity,
     bounds: Bounds,
     mechanisms: Mechanisms,
     routes: Option<Arc<Routes>>,
@@ -110,20 +110,20 @@
     /// Creates steering with no configuration and no targets. `domains` lists the
     /// failure domains, each with its region.
     #[must_use]
-    pub fn new(home: Identity, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
-        Self::with(home, bounds, domains, Mechanisms::ALL)
+    pub fn new(identity: Identity, bounds: Bounds, domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
+        Self::with(identity, bounds, domains, Mechanisms::ALL)
     }
 
     /// Creates steering with only some mechanisms, to measure the others.
     #[must_use]
     pub fn with(
-        home: Identity,
+        identity: Identity,
         bounds: Bounds,
         domains: Vec<(Arc<str>, Arc<str>)>,
         mechanisms: Mechanisms,
     ) -> Self {
         Self {
-            home,
+            identity,
             bounds,
             mechanisms,
             routes: None,
@@ -153,7 +153,7 @@
     /// Installs a version of the configuration unless the one in force is at least as
     /// new. Returns whether it was installed.
     pub fn install(&mut self, routes: Arc<Routes>) -> bool {
-        self.configuration_read();
+        self.config_readable();
         let is_newer = self
             .routes
             .as_ref()
@@ -211,18 +211,18 @@
     /// Returns the reason if the route has no service, if no region is allowed by
     /// both the route and the team, or if the request has crashed targets before.
     pub fn submit(&mut self, now: Time, request: Request) -> Result<Ticket, Rejection> {
-        if self.suspects.strikes(request.print) >= STRIKES_MAX {
+        if self.suspects.strikes(request.fingerprint) >= STRIKES_MAX {
             return Err(Rejection::Poison);
         }
         if !self.has_region(&request) {
             return Err(Rejection::NoRegion);
         }
-        let offset = unit_interval(hash(self.home.name.as_bytes()));
+        let offset = unit_interval(hash(self.identity.name.as_bytes()));
         let service = self
             .splits
             .next(&request.route, offset)
             .ok_or(Rejection::NoTarget)?;
-        let rule = self.bounds.repeats;
+        let rule = self.bounds.retries;
         self.budget(&service).record_request(now, &rule);
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
