--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens, in whatever order.
+//! Property test: invariants of the dispatcher under random sequences of events.
 
 #[path = "dispatch_scenarios/world.rs"]
 mod world;
@@ -42,12 +42,12 @@
     &[],
 ];
 
-/// One step of a history.
+/// One step of a random history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Arrive {
         service: usize,
-        print: u128,
+        fingerprint: u128,
         within: u64,
         peer: bool,
     },
@@ -55,7 +55,7 @@
         nth: usize,
         how: usize,
     },
-    Gone {
+    Disconnect {
         nth: u64,
     },
     View(usize),
@@ -65,44 +65,48 @@
         leaving: bool,
     },
     Suspected {
-        print: u128,
+        fingerprint: u128,
         strikes: u8,
     },
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..3usize, 0..20u128, 1..400u64, any::<bool>()).prop_map(
-            |(service, print, within, peer)| Step::Arrive { service, print, within, peer }
+            |(service, fingerprint, within, peer)| Step::Arrive { service, fingerprint, within, peer }
         ),
         6 => (0..50usize, 0..9usize).prop_map(|(nth, how)| Step::End { nth, how }),
-        1 => (0..200u64).prop_map(|nth| Step::Gone { nth }),
+        1 => (0..200u64).prop_map(|nth| Step::Disconnect { nth }),
         1 => (0..VIEWS.len()).prop_map(Step::View),
         1 => (1..4usize, 0..100u32, any::<bool>()).prop_map(|(target, load, leaving)| {
             Step::Report { target, load, leaving }
         }),
-        1 => (0..20u128, 0..3u8).prop_map(|(print, strikes)| Step::Suspected { print, strikes }),
-        3 => (0..60u64).prop_map(Step::Pass),
+        1 => (0..20u128, 0..3u8).prop_map(|(fingerprint, strikes)| Step::Suspected { fingerprint, strikes }),
+        3 => (0..60u64).prop_map(Step::Wait),
     ]
 }
 
-/// What became of a request.
+/// State of a request as observed by the test.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct Observed {
     service: usize,
+    /// Number of final answers and refusals.
     finals: usize,
-    gone: bool,
-    doubt: bool,
-    peer: bool,
+    /// Whether its caller disconnected.
+    is_gone: bool,
+    /// Whether an attempt may have run.
+    is_uncertain: bool,
+    /// Whether it came from a peer.
+    is_from_peer: bool,
 }
 
 struct History {
     dispatch: Dispatch,
     now: Time,
     version: u64,
-    fates: Vec<Fate>,
-    out: Vec<(RequestId, AttemptId, Arc<str>)>,
+    requests: Vec<Observed>,
+    attempts: Vec<(RequestId, AttemptId, Arc<str>)>,
 }
 
 impl History {
@@ -118,24 +122,24 @@
             dispatch: Dispatch::with_tuning(identity, tuning, fastrand::Rng::with_seed(seed)),
             now: Time::ZERO,
             version: 0,
-            fates: Vec::new(),
-            out: Vec::new(),
+            requests: Vec::new(),
+            attempts: Vec::new(),
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.dispatch.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.check(action);
         }
     }
 
-    fn fate(&mut self, id: RequestId) -> &mut Fate {
-        &mut self.fates[usize::try_from(id.0).expect("few requests")]
+    fn observed(&mut self, id: RequestId) -> &mut Observed {
+        &mut self.requests[usize::try_from(id.0).expect("few requests")]
     }
 
-    fn act(&mut self, action: Action) {
+    fn check(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -144,28 +148,38 @@
                 budget,
             } => {
                 assert!(budget > Duration::ZERO, "{id} is sent past its deadline");
-                let fate = self.fate(id).clone();
-                assert_eq!(fate.finals, 0, "{id} is sent after its answer");
-                assert!(!fate.gone, "{id} is sent for nobody");
-                let harmless = SERVICES[fate.service] != "book";
-                assert!(harmless || !fate.doubt, "{id} may run twice");
-                let on = matches!(destination, Destination::Member { .. });
-                assert!(!(on && fate.peer), "{id} is passed on again");
+                let request = self.observed(id).clone();
+                assert_eq!(request.finals, 0, "{id} is sent after its answer");
                 assert!(
-                    self.out.iter().all(|o| o.0 != id),
+                    !request.is_gone,
+                    "{id} is sent though its caller disconnected"
+                );
+                let is_idempotent = SERVICES[request.service] != "book";
+                assert!(is_idempotent || !request.is_uncertain, "{id} may run twice");
+                let is_forwarded = matches!(destination, Destination::Member { .. });
+                assert!(
+                    !(is_forwarded && request.is_from_peer),
+                    "{id} is forwarded a second time"
+                );
+                assert!(
+                    self.attempts.iter().all(|o| o.0 != id),
                     "{id} is sent twice at once"
                 );
-                self.out.push((id, attempt, Arc::clone(destination.name())));
+                self.attempts
+                    .push((id, attempt, Arc::clone(destination.name())));
             }
-            Action::Cancel { id, .. } => self.out.retain(|o| o.0 != id),
-            Action::Reply { id, .. } => self.fate(id).finals += 1,
+            Action::Cancel { id, .. } => self.attempts.retain(|o| o.0 != id),
+            Action::Reply { id, .. } => self.observed(id).finals += 1,
             Action::Refuse { id, refusal } => {
-                let running = self.out.iter().any(|o| o.0 == id);
-                assert!(!running, "{id} is refused while it runs");
-                let fate = self.fate(id);
-                fate.finals += 1;
-                let promise = refusal.outcome == Outcome::NotRun;
-                assert!(!(promise && fate.doubt), "{id} may have run: {refusal}");
+                let is_running = self.attempts.iter().any(|o| o.0 == id);
+                assert!(!is_running, "{id} is refused while it runs");
+                let request = self.observed(id);
+                request.finals += 1;
+                let is_not_run = refusal.outcome == Outcome::NotRun;
+                assert!(
+                    !(is_not_run && request.is_uncertain),
+                    "{id} may have run: {refusal}"
+                );
             }
             Action::Probe { .. }
             | Action::Suspect { .. }
@@ -178,22 +192,22 @@
         match step {
             Step::Arrive {
                 service,
-                print,
+                fingerprint,
                 within,
                 peer,
             } => {
-                let id = RequestId(self.fates.len() as u64);
-                self.fates.push(Fate {
+                let id = RequestId(self.requests.len() as u64);
+                self.requests.push(Observed {
                     service,
-                    peer,
-                    ..Fate::default()
+                    is_from_peer: peer,
+                    ..Observed::default()
                 });
-                self.take(Event::Arrive(Arrival {
+                self.handle(Event::Arrive(Arrival {
                     id,
                     service: Arc::from(SERVICES[service]),
                     caller: Arc::from(format!("caller-{}", id.0 % 3)),
                     key: None,
-                    fingerprint: Fingerprint(print),
+                    fingerprint: Fingerprint(fingerprint),
                     deadline: Some(Duration::from_millis(within)),
                     bytes: 1,
                     origin: if peer { Origin::Peer } else { Origin::Caller },
@@ -201,32 +215,32 @@
                     via: None,
                 }));
             }
-            Step::End { nth, how } if !self.out.is_empty() => {
-                let (id, attempt, _) = self.out.remove(nth % self.out.len());
+            Step::End { nth, how } if !self.attempts.is_empty() => {
+                let (id, attempt, _) = self.attempts.remove(nth % self.attempts.len());
                 let outcome = attempt_outcome(how);
-                let doubt = matches!(
+                let is_uncertain = matches!(
                     &outcome,
                     AttemptOutcome::Broken | AttemptOutcome::BadAnswer | AttemptOutcome::TimedOut
                 ) || matches!(&outcome, AttemptOutcome::PeerRefused(r) if r.outcome != Outcome::NotRun);
-                self.fate(id).doubt |= doubt;
-                self.take(Event::Ended {
+                self.observed(id).is_uncertain |= is_uncertain;
+                self.handle(Event::Ended {
                     id,
                     attempt,
                     outcome,
                 });
             }
             Step::End { .. } => {}
-            Step::Gone { nth } => {
+            Step::Disconnect { nth } => {
                 let id = RequestId(nth);
-                if nth < self.fates.len() as u64 && self.fate(id).finals == 0 {
-                    self.fate(id).gone = true;
-                    self.take(Event::Disconnected(id));
+                if nth < self.requests.len() as u64 && self.observed(id).finals == 0 {
+                    self.observed(id).is_gone = true;
+                    self.handle(Event::Disconnected(id));
                 }
             }
             Step::View(which) => {
                 self.version += 1;
                 let view = world::view(self.version, VIEWS[which]);
-                self.take(Event::View(Arc::new(view)));
+                self.handle(Event::View(Arc::new(view)));
             }
             Step::Report {
                 target,
@@ -236,42 +250,46 @@
                 let target = Arc::from(format!("look-{target}"));
                 let state = if leaving { State::Leaving } else { State::Live };
                 let report = Report { load, state };
-                self.take(Event::Report { target, report });
+                self.handle(Event::Report { target, report });
             }
-            Step::Suspected { print, strikes } => {
-                let fingerprint = Fingerprint(print);
-                self.take(Event::Suspected {
+            Step::Suspected {
+                fingerprint: value,
+                strikes,
+            } => {
+                let fingerprint = Fingerprint(value);
+                self.handle(Event::Suspected {
                     fingerprint,
                     strikes,
                 });
             }
-            Step::Pass(millis) => {
+            Step::Wait(millis) => {
                 self.now = self.now + Duration::from_millis(millis);
-                self.take(Event::Tick);
+                self.handle(Event::Tick);
             }
         }
     }
 
-    /// Ends all that runs, and lets the deadlines of all that waits pass.
+    /// Ends all attempts by time-outs, and passes the deadlines of all requests
+    /// that wait.
     fn drain(&mut self) {
         for _ in 0..1000 {
-            if let Some((id, attempt, _)) = self.out.pop() {
+            if let Some((id, attempt, _)) = self.attempts.pop() {
                 let outcome = AttemptOutcome::TimedOut;
-                self.fate(id).doubt = true;
-                self.take(Event::Ended {
+                self.observed(id).is_uncertain = true;
+                self.handle(Event::Ended {
                     id,
                     attempt,
                     outcome,
                 });
             }
             self.now = self.now + dispatch::TICK;
-            self.take(Event::Tick);
+            self.handle(Event::Tick);
         }
         assert_eq!(self.dispatch.in_flight(), 0);
         assert_eq!(self.dispatch.waiting(), 0);
-        for (id, fate) in self.fates.iter().enumerate() {
-            let wanted = usize::from(!fate.gone);
-            assert_eq!(fate.finals, wanted, "answers of request {id}");
+        for (id, request) in self.requests.iter().enumerate() {
+            let finals = usize::from(!request.is_gone);
+            assert_eq!(request.finals, finals, "answers of request {id}");
         }
     }
 }
@@ -315,9 +333,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Callers see one final answer each, never "not run" for what may have
-    /// run, and no second run of what must not repeat; while targets refuse,
-    /// hang, break and leave, peers refuse, views change and callers go.
+    /// Guards against lost or double answers, "not run" for a request that may
+    /// have run, and a second run of one that is not idempotent, while targets
+    /// refuse, hang, break and leave, peers refuse, views change and callers
+    /// disconnect.
     #[test]
     fn every_history_holds(seed in 0..1000u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut history = History::new(seed);
--- a/crates/steer/tests/dispatch_newcomer.rs
+++ b/crates/steer/tests/dispatch_newcomer.rs
@@ -1,4 +1,4 @@
-//! A request that crashes targets is told to whoever joins later.
+//! Reports of requests that crash targets to instances that join later.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use steer::request::poison::{self, Suspects};
 use steer::version::view;
 
-const PRINT: Fingerprint = Fingerprint(66);
+const FINGERPRINT: Fingerprint = Fingerprint(66);
 
 fn fleet(members: &[(&str, u64)]) -> Arc<view::View> {
     let mut view = view::View {
@@ -34,14 +34,18 @@
     Arc::new(view)
 }
 
-/// An instance joins, or is replaced, after a request was found to crash its
-/// targets. Unless it is told, the caller's next repeat there costs two more.
+/// An instance joins or is replaced after a request was found to crash targets.
+/// Without a report the caller's next retry there crashes two more.
 #[rstest]
 #[case::joined(2, &[("a", 1), ("b", 2)], 1)]
 #[case::replaced(2, &[("a", 9)], 1)]
 #[case::nobody_new(2, &[("a", 1)], 0)]
 #[case::only_suspected(1, &[("a", 1), ("b", 2)], 0)]
-fn newcomer_told(#[case] strikes: u8, #[case] members: &[(&str, u64)], #[case] told: usize) {
+fn announce_new_member(
+    #[case] strikes: u8,
+    #[case] members: &[(&str, u64)],
+    #[case] reports: usize,
+) {
     let identity = Identity {
         name: "a".into(),
         domain: "d".into(),
@@ -51,31 +55,36 @@
     let now = Time::ZERO;
     dispatch.handle(now, Event::View(fleet(&[("a", 1)])), &mut out);
     let event = Event::Suspected {
-        fingerprint: PRINT,
+        fingerprint: FINGERPRINT,
         strikes,
     };
     dispatch.handle(now, event, &mut out);
     out.clear();
     dispatch.handle(now, Event::View(fleet(members)), &mut out);
-    let word = Action::Suspect {
-        fingerprint: PRINT,
+    let report = Action::Suspect {
+        fingerprint: FINGERPRINT,
         strikes,
     };
-    assert_eq!(out.iter().filter(|a| **a == word).count(), told, "{out:?}");
+    assert_eq!(
+        out.iter().filter(|a| **a == report).count(),
+        reports,
+        "{out:?}"
+    );
 }
 
-/// Peers repeat a word to each newcomer; it is forgotten all the same.
+/// Peers repeat a report for each new instance. That must not keep the
+/// fingerprint alive for ever.
 #[test]
-fn word_forgotten_though_repeated() {
+fn forget_repeated_report() {
     let mut suspects = Suspects::default();
     let mut now = Time::ZERO;
-    suspects.told(now, PRINT, poison::STRIKES);
+    suspects.told(now, FINGERPRINT, poison::STRIKES);
     for _ in 0..4 {
         now = now + poison::KEPT / 3;
         suspects.forget(now);
-        if suspects.strikes(PRINT) > 0 {
-            suspects.told(now, PRINT, poison::STRIKES);
+        if suspects.strikes(FINGERPRINT) > 0 {
+            suspects.told(now, FINGERPRINT, poison::STRIKES);
         }
     }
-    assert_eq!(suspects.strikes(PRINT), 0);
+    assert_eq!(suspects.strikes(FINGERPRINT), 0);
 }
--- a/crates/steer/tests/dispatch_pool.rs
+++ b/crates/steer/tests/dispatch_pool.rs
@@ -1,4 +1,4 @@
-//! Pools of connections.
+//! Tests of connection pools.
 
 use steer::clock::Time;
 use steer::connection::pool::{self, Connection, Pool, Taken};
@@ -11,11 +11,11 @@
     }
 }
 
-/// The caller sees another caller's answer. Its request was sent over a
-/// connection whose earlier request had timed out, and whose answer came late.
-/// A connection goes back only by `whole`; a spoiled one is closed.
+/// A late answer to a request that timed out must not reach the next caller on
+/// the same connection: only a connection whose answer was read completely goes
+/// back to the pool, any other one is closed.
 #[test]
-fn reuse_whole_only() {
+fn reuse_complete_only() {
     let mut pool = Pool::new(2, 0);
     let whole = opened(&mut pool, 1);
     let late = opened(&mut pool, 2);
@@ -28,8 +28,9 @@
     assert_eq!(pool.open(), 1);
 }
 
-/// Callers see a millisecond more after each quiet time. Connections are kept
-/// open ahead of need; what is above that is closed when idle for long.
+/// Without warm connections, requests after an idle time take a millisecond
+/// longer. A number of connections is kept open ahead of need; those above it
+/// are closed after an idle time.
 #[test]
 fn idle_keeps_warm() {
     let mut pool = Pool::new(4, 1);
@@ -45,7 +46,8 @@
     assert_eq!(pool.open(), 1);
 }
 
-/// Seven instances share 330 connections; one alone must not take them all.
+/// Seven instances share the 330 connections of a target: none may open them
+/// all.
 #[test]
 fn share_splits_bound() {
     assert_eq!(Pool::<u32>::share(330, 7), 47);
--- a/crates/steer/tests/dispatch_scenarios.rs
+++ b/crates/steer/tests/dispatch_scenarios.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios for the dispatcher: each file in `tests/dispatch` tells
-//! of one failure, runs it with the safeguard on, and again with it off.
+//! Scripted scenarios of the dispatcher. Each file in `tests/dispatch` describes
+//! a failure, and runs it with the safeguard enabled and disabled.
 //!
-//! `REWRITE=1 cargo test -p steer --test dispatch_scenarios` records outputs.
+//! `REWRITE=1 cargo test -p steer --test dispatch_scenarios` records the outputs.
 
 #[path = "dispatch_scenarios/script.rs"]
 mod script;
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -1,22 +1,22 @@
-//! Runs one script against a dispatcher and prints what it wants done.
+//! Interpreter of the scripts: feeds events to a dispatcher, prints its actions.
 //!
 //! | line | meaning |
 //! |---|---|
 //! | `at 20ms` / `+5ms` | time passes, with a tick each 10 ms |
 //! | `view 2 look-1 look-2:leaving e2:near` | a view comes into force |
-//! | `arrive 1..9 look caller=c print=7 within=50ms from=peer` | requests |
-//! | `answer 1 [status=500]` | the whole answer came |
-//! | `refuse 1 [after=5ms] [leaving]` | the place refused |
-//! | `unreachable`, `break`, `garble`, `time-out` `1` | other endings |
-//! | `peer-refuse 1 overloaded [unknown]` | a peer gave up |
-//! | `report look-1 99 [leaving]` | what a target says of itself |
-//! | `probed look-1 [dead]` | a probe ended |
-//! | `suspected 7 2` | a peer's word on fingerprint 7 |
-//! | `gone 1` | the caller left |
+//! | `arrive 1..9 look caller=c print=7 within=50ms from=peer` | requests with fingerprint 7 arrive |
+//! | `answer 1 [status=500]` | a complete answer to request 1 is received |
+//! | `refuse 1 [after=5ms] [leaving]` | the target or peer refuses the request |
+//! | `unreachable`, `break`, `garble`, `time-out` `1` | other outcomes of an attempt |
+//! | `peer-refuse 1 overloaded [unknown]` | a peer sends a final refusal |
+//! | `report look-1 99 [leaving]` | a target reports its load and state |
+//! | `probed look-1 [dead]` | a probe ends |
+//! | `suspected 7 2` | a peer reports 2 strikes against fingerprint 7 |
+//! | `gone 1` | the caller disconnects |
 //! | `quiet` / `loud` | stop or start printing actions |
 //! | `dump` | print the state |
-//! | `mark` | start counting anew |
-//! | `check look-1 <= 3` | sends to a place since the mark |
+//! | `mark` | reset the counts |
+//! | `check look-1 <= 3` | attempts sent to an endpoint since the mark |
 //! | `check refused-poison >= 1` | refusals by reason since the mark |
 //! | `check replies = 9`, `check sends <= 12`, `check probes <= 1` | likewise |
 
@@ -48,7 +48,7 @@
 struct Script {
     dispatch: Dispatch,
     now: Time,
-    loud: bool,
+    is_loud: bool,
     attempts: Vec<(RequestId, AttemptId, Arc<str>)>,
     counts: Vec<(String, usize)>,
     out: String,
@@ -78,7 +78,7 @@
     let mut script = Script {
         dispatch: Dispatch::with_tuning(identity, tuning, rng),
         now: Time::ZERO,
-        loud: true,
+        is_loud: true,
         attempts: Vec::new(),
         counts: Vec::new(),
         out: String::new(),
@@ -86,10 +86,10 @@
     for line in case.input.lines().map(str::trim).filter(|l| !l.is_empty()) {
         script.line(line);
     }
-    // A recorded output must not hide that a check fails, nor that a safeguard
-    // isn't needed.
-    let broken = script.out.contains("BROKEN");
-    assert_eq!(broken, !off.is_empty(), "off {off:?}:\n{}", script.out);
+    // Recording outputs must not hide that a check fails, nor that the checks
+    // hold without the safeguard.
+    let is_broken = script.out.contains("BROKEN");
+    assert_eq!(is_broken, !off.is_empty(), "off {off:?}:\n{}", script.out);
     script.out
 }
 
@@ -111,41 +111,41 @@
 impl Script {
     fn line(&mut self, line: &str) {
         if let Some(span) = line.strip_prefix('+') {
-            return self.pass(self.now + span_of(span));
+            return self.pass_time(self.now + span_of(span));
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[0] {
-            "at" => self.pass(Time::ZERO + span_of(words[1])),
+            "at" => self.pass_time(Time::ZERO + span_of(words[1])),
             "view" => self.view(&words[1..]),
             "arrive" => self.arrive(&words[1..]),
             "report" | "probed" => self.report(&words),
             "suspected" => {
                 let fingerprint = Fingerprint(words[1].parse().expect("a fingerprint"));
                 let strikes = words[2].parse().expect("strikes");
-                self.take(Event::Suspected {
+                self.handle(Event::Suspected {
                     fingerprint,
                     strikes,
                 });
             }
-            "gone" => self.take(Event::Disconnected(RequestId(
+            "gone" => self.handle(Event::Disconnected(RequestId(
                 words[1].parse().expect("a request"),
             ))),
             "dump" => {
                 let dump = self.dispatch.dump(self.now);
-                write!(self.out, "{dump}").expect("a string takes all");
+                write!(self.out, "{dump}").expect("writing to a string succeeds");
             }
-            "quiet" => self.loud = false,
-            "loud" => self.loud = true,
+            "quiet" => self.is_loud = false,
+            "loud" => self.is_loud = true,
             "mark" => self.counts.clear(),
             "check" => self.check(&words[1..]),
             _ => self.end_attempts(&words),
         }
     }
 
-    fn pass(&mut self, until: Time) {
+    fn pass_time(&mut self, until: Time) {
         while self.now + dispatch::TICK <= until {
             self.now = self.now + dispatch::TICK;
-            self.take(Event::Tick);
+            self.handle(Event::Tick);
         }
         self.now = until;
     }
@@ -153,25 +153,29 @@
     fn view(&mut self, words: &[&str]) {
         let version = words[0].parse().expect("a version");
         let view = world::view(version, &words[1..]);
-        self.take(Event::View(Arc::new(view)));
+        self.handle(Event::View(Arc::new(view)));
     }
 
     fn arrive(&mut self, words: &[&str]) {
         let option = |name: &str| words.iter().find_map(|w| w.strip_prefix(name));
         for id in range(words[0]) {
-            let print = option("print=").map_or(1_000_000 + u128::from(id), |p| {
+            let fingerprint = option("print=").map_or(1_000_000 + u128::from(id), |p| {
                 p.parse().expect("a fingerprint")
             });
-            let peer = option("from=").is_some();
-            self.take(Event::Arrive(Arrival {
+            let is_from_peer = option("from=").is_some();
+            self.handle(Event::Arrive(Arrival {
                 id: RequestId(id),
                 service: Arc::from(words[1]),
                 caller: Arc::from(option("caller=").unwrap_or("caller")),
                 key: None,
-                fingerprint: Fingerprint(print),
+                fingerprint: Fingerprint(fingerprint),
                 deadline: option("within=").map(span_of),
                 bytes: 100,
-                origin: if peer { Origin::Peer } else { Origin::Caller },
+                origin: if is_from_peer {
+                    Origin::Peer
+                } else {
+                    Origin::Caller
+                },
                 home: None,
                 via: None,
             }));
@@ -180,20 +184,24 @@
 
     fn report(&mut self, words: &[&str]) {
         let target = Arc::from(words[1]);
-        let leaving = words.last() == Some(&"leaving");
+        let is_leaving = words.last() == Some(&"leaving");
         let report = Report {
             load: words.get(2).and_then(|w| w.parse().ok()).unwrap_or(0),
-            state: if leaving { State::Leaving } else { State::Live },
+            state: if is_leaving {
+                State::Leaving
+            } else {
+                State::Live
+            },
         };
-        let dead = words.last() == Some(&"dead");
+        let is_dead = words.last() == Some(&"dead");
         let event = match words[0] {
             "report" => Event::Report { target, report },
             _ => Event::Probed {
                 target,
-                report: (!dead).then_some(report),
+                report: (!is_dead).then_some(report),
             },
         };
-        self.take(event);
+        self.handle(event);
     }
 
     fn end_attempts(&mut self, words: &[&str]) {
@@ -224,12 +232,12 @@
             "time-out" => AttemptOutcome::TimedOut,
             other => panic!("no line starts with {other:?}; see the table in script.rs"),
         };
-        for id in self.chosen(words[1]) {
+        for id in self.select(words[1]) {
             let Some(at) = self.attempts.iter().position(|a| a.0 == id) else {
                 continue;
             };
             let (id, attempt, _) = self.attempts.remove(at);
-            self.take(Event::Ended {
+            self.handle(Event::Ended {
                 id,
                 attempt,
                 outcome: outcome.clone(),
@@ -237,33 +245,33 @@
         }
     }
 
-    /// Requests of a range, all that are in flight at a place, or those at the
-    /// place of one (`beside-1`).
-    fn chosen(&self, word: &str) -> Vec<RequestId> {
+    /// Returns the requests of a range, those in flight at an endpoint or at all
+    /// (`all`), or those at the endpoint of a request (`beside-1`).
+    fn select(&self, word: &str) -> Vec<RequestId> {
         if let Some(id) = word.strip_prefix("beside-") {
             let id = RequestId(id.parse().expect("a request"));
-            let place = self.attempts.iter().find(|a| a.0 == id).map(|a| &*a.2);
-            return place.map_or_else(Vec::new, |place| self.chosen(place));
+            let name = self.attempts.iter().find(|a| a.0 == id).map(|a| &*a.2);
+            return name.map_or_else(Vec::new, |name| self.select(name));
         }
         if word.starts_with(|c: char| c.is_ascii_digit()) {
             return range(word).map(RequestId).collect();
         }
-        let there = self
+        let running = self
             .attempts
             .iter()
             .filter(|a| word == "all" || *a.2 == *word);
-        there.map(|a| a.0).collect()
+        running.map(|a| a.0).collect()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.dispatch.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(&action);
+            self.print(&action);
         }
     }
 
-    fn act(&mut self, action: &Action) {
+    fn print(&mut self, action: &Action) {
         let now = self.now;
         let line = match action {
             Action::Send {
@@ -313,33 +321,33 @@
                 )
             }
         };
-        if self.loud {
-            writeln!(self.out, "{now} {line}").expect("a string takes all");
+        if self.is_loud {
+            writeln!(self.out, "{now} {line}").expect("writing to a string succeeds");
         }
     }
 
-    fn count(&mut self, what: &str) {
-        match self.counts.iter_mut().find(|c| c.0 == what) {
+    fn count(&mut self, name: &str) {
+        match self.counts.iter_mut().find(|c| c.0 == name) {
             Some(count) => count.1 += 1,
-            None => self.counts.push((what.to_owned(), 1)),
+            None => self.counts.push((name.to_owned(), 1)),
         }
     }
 
     fn check(&mut self, words: &[&str]) {
-        let most: usize = words[2].parse().expect("a number");
+        let bound: usize = words[2].parse().expect("a number");
         let found = self
             .counts
             .iter()
             .find(|c| c.0 == words[0])
             .map_or(0, |c| c.1);
         let holds = match words[1] {
-            "<=" => found <= most,
-            ">=" => found >= most,
-            _ => found == most,
+            "<=" => found <= bound,
+            ">=" => found >= bound,
+            _ => found == bound,
         };
-        let word = if holds { "holds" } else { "BROKEN" };
+        let verdict = if holds { "holds" } else { "BROKEN" };
         let text = words.join(" ");
-        writeln!(self.out, "{word}: {text} ({found})").expect("a string takes all");
+        writeln!(self.out, "{verdict}: {text} ({found})").expect("writing to a string succeeds");
     }
 }
 
--- a/crates/steer/tests/dispatch_scenarios/world.rs
+++ b/crates/steer/tests/dispatch_scenarios/world.rs
@@ -1,9 +1,10 @@
-//! The small world of the scenarios.
+//! Configuration of the scenarios.
 //!
-//! Home is failure domain `a1` of region `a`; `a2` is near, `b1` is far. Three
-//! services: `look` (first class, idempotent), `book` (second, not
-//! idempotent), `archive` (last, idempotent). A target is called after its
-//! service: `look-1`.
+//! The dispatcher is in failure domain `a1` of region `a` (`home`); `a2` is in
+//! the same region (`near`), `b1` in another one (`far`). There are three
+//! services: `look` (first class, idempotent), `book` (second, not idempotent)
+//! and `archive` (last, idempotent). The name of a target begins with that of
+//! its service: `look-1`.
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -23,8 +24,9 @@
 const CLASSES: [(&str, u8); 3] = [("first", 100), ("second", 50), ("last", 25)];
 const DOMAINS: [(&str, usize); 3] = [("a1", 0), ("a2", 0), ("b1", 1)];
 
-/// A view with the places of `words`: `look-1`, `look-2:leaving`, `e4:home`,
-/// `e2:near`, `e3:far`, and `slots=N` for the targets after it.
+/// Builds a view with the targets and instances in `words`: `look-1`,
+/// `look-2:leaving`, `e4:home`, `e2:near`, `e3:far`. `slots=N` sets the slots of
+/// all targets; default 3.
 pub fn view(version: u64, words: &[&str]) -> View {
     let mut view = View {
         version: Version(version),
@@ -45,7 +47,7 @@
     words.sort_by_key(|w| !w.starts_with("slots="));
     for word in words {
         if let Some(count) = word.strip_prefix("slots=") {
-            slots = count.parse().expect("slots are a number");
+            slots = count.parse().expect("a number of slots");
             continue;
         }
         let (name, kind) = word.split_once(':').unwrap_or((word, "live"));
@@ -106,7 +108,7 @@
         name: Arc::from(name),
         addr: addr(),
         site: Site::new(0),
-        service: Service::new(service.expect("targets are called after their service")),
+        service: Service::new(service.expect("the name of a target begins with its service")),
         slots,
         state: if kind == "leaving" {
             State::Leaving
