--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -76,7 +76,7 @@
     /// Decides on one waiting request; `None` leaves it waiting.
     fn decide(&mut self, now: Time, ticket: Ticket) -> Option<Decision> {
         let at = self.find(ticket).ok()?;
-        if let Some(reason) = self.withheld(now, &self.jobs[at].request) {
+        if let Some(reason) = self.withhold_reason(now, &self.jobs[at].request) {
             return Some(self.reject(now, at, reason, None));
         }
         if let Some(held) = self.admit(now, at) {
@@ -164,7 +164,7 @@
     /// Marks a request as sent to the target at `best`.
     fn send(&mut self, now: Time, at: usize, best: &place::Place) -> Assignment {
         let load = self.load(now, &self.roster.all()[best.index]);
-        let span = self.remembered(&self.roster.all()[best.index]);
+        let span = self.sent_memory(&self.roster.all()[best.index]);
         let target = &mut self.roster.all_mut()[best.index];
         let age = target.age(now);
         let queued = load >= f64::from(target.entry.slots);
@@ -174,7 +174,7 @@
         let limit = target.limit();
         let version = self.version();
         let job = &mut self.jobs[at];
-        job.strikes = self.suspects.strikes(job.request.print);
+        job.strikes = self.suspects.strikes(job.request.fingerprint);
         job.tried.push(Arc::clone(&id));
         job.state = State::InFlight {
             target: Arc::clone(&id),
@@ -188,11 +188,11 @@
             target: id,
             addr,
             attempt: job.tried.len(),
-            work: best.service_time,
+            expected_work: best.service_time,
             warm: best.warm,
             load,
             limit,
-            age,
+            load_age: age,
             version,
         }
     }
@@ -221,7 +221,7 @@
             } else {
                 0.0
             };
-            let bound = self.bounds.shift;
+            let bound = self.bounds.shift_max;
             let spillovers = &mut self.spillovers;
             let at = match spillovers.binary_search_by(|p| p.0.cmp(&service)) {
                 Ok(at) => at,
