--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -114,7 +114,7 @@
         // A request on no route is answered here and never runs.
         self.0.read(|_, d| {
             let route = d.routes().and_then(|r| r.find(&host, path));
-            route.is_none_or(|r| r.idempotent)
+            route.is_none_or(|r| r.is_idempotent)
         })
     }
 
@@ -135,15 +135,15 @@
     found.map_or(
         DEFAULT_LIMITS,
         |Limits {
-             head,
-             body,
-             arrive,
-             idle,
+             head_bytes,
+             body_bytes,
+             head_timeout,
+             idle_timeout,
          }| server::Limits {
-            head,
-            body,
-            request_timeout: arrive,
-            idle_timeout: idle,
+            head: head_bytes,
+            body: body_bytes,
+            request_timeout: head_timeout,
+            idle_timeout,
         },
     )
 }
@@ -221,7 +221,7 @@
     }
     let team = authorized.as_ref().map(|p| Arc::clone(&p.team.name));
     let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
-    let object = caller.object.as_ref().filter(|_| route.affinity);
+    let object = caller.object.as_ref().filter(|_| route.has_affinity);
     let object = object.map(|o| object_hash(&route, o.as_bytes()));
     let steer_request = Request {
         fingerprint: fingerprint(incoming.caller, &head.method, &head.uri, object, &body),
@@ -238,7 +238,7 @@
             headers: fields,
             body,
             id: caller.id,
-            is_idempotent: route.idempotent,
+            is_idempotent: route.is_idempotent,
         },
         route,
         team,
--- a/crates/auburnrouter/src/direct/events.rs
+++ b/crates/auburnrouter/src/direct/events.rs
@@ -256,19 +256,19 @@
         priority: team.priority,
         rate: team.quota.map(|quota| quota.rate),
         burst: team.quota.map(|quota| quota.burst),
-        homes: &team.homes,
+        homes: &team.home_regions,
     }
 }
 
 fn route_fields(route: &Route) -> RouteFields<'_> {
     RouteFields {
         route: &route.name,
-        services: route.parts.iter().map(|p| &*p.service).collect(),
-        idempotent: route.idempotent,
+        services: route.services.iter().map(|p| &*p.service).collect(),
+        idempotent: route.is_idempotent,
         priority: route.priority,
-        goal_ms: millis(route.goal),
+        goal_ms: millis(route.latency_goal),
         timeout_ms: millis(route.timeout),
-        homes: &route.homes,
+        homes: &route.home_regions,
     }
 }
 
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -155,7 +155,7 @@
         let routes = direct.routes();
         (
             candidates,
-            routes.map_or_else(Vec::new, |r| r.homes(&from.host)),
+            routes.map_or_else(Vec::new, |r| r.home_regions(&from.host)),
         )
     });
     if candidates.is_empty() && shared.is_serving() {
--- a/crates/emulator/src/world/instance/knowledge.rs
+++ b/crates/emulator/src/world/instance/knowledge.rs
@@ -10,7 +10,7 @@
 use steer::process::direct::StoreContact;
 use steer::process::direct::members::{Heartbeat, Registration};
 use steer::process::direct::target::Entry;
-use steer::version::routes::{Limits, Part, Route, Routes, Service};
+use steer::version::routes::{Limits, Route, Routes, Service, WeightedService};
 
 use super::super::target::Target;
 use super::super::{Event, Micros, World, micros};
@@ -259,31 +259,31 @@
         name: Arc::clone(&kind.name),
         host: "host".into(),
         prefix: path(&kind.name).into(),
-        idempotent: kind.idempotent,
+        is_idempotent: kind.idempotent,
         timeout: kind.timeout,
-        goal: kind.goal,
-        attempts: kind.attempts,
+        latency_goal: kind.goal,
+        attempts_max: kind.attempts,
         priority: kind.priority,
-        parts: vec![Part {
+        services: vec![WeightedService {
             service: Arc::clone(&plan.services[kind.service].name),
             weight: 1.0,
         }],
-        affinity: kind.gain > 0.0,
-        homes: Vec::new(),
-        open: false,
+        has_affinity: kind.gain > 0.0,
+        home_regions: Vec::new(),
+        is_public: false,
     };
     let service = |s: &crate::plan::Service| Service {
         name: Arc::clone(&s.name),
-        health: "/health".into(),
-        connections: 1000,
+        health_path: "/health".into(),
+        connections_max: 1000,
         warmup: s.cold,
         cold_rate: s.cold_rate,
     };
     let limits = Limits {
-        head: 16 * 1024,
-        body: 64 * 1024,
-        arrive: Duration::from_secs(5),
-        idle: Duration::from_secs(15),
+        head_bytes: 16 * 1024,
+        body_bytes: 64 * 1024,
+        head_timeout: Duration::from_secs(5),
+        idle_timeout: Duration::from_secs(15),
     };
     let routes = plan.kinds.iter().map(route).collect();
     let services = plan.services.iter().map(service).collect();
--- a/crates/measure/src/sums/setup.rs
+++ b/crates/measure/src/sums/setup.rs
@@ -10,7 +10,7 @@
 use steer::process::direct::members::Registration;
 use steer::process::direct::target::Entry;
 use steer::process::direct::{Bounds, access, limit, quota};
-use steer::version::routes::{Limits, Part, Route, Routes, Service};
+use steer::version::routes::{Limits, Route, Routes, Service, WeightedService};
 
 /// Targets by region: uneven, as they often are; for each [`SHARE`] instances.
 pub const TARGETS: [usize; 3] = [4, 6, 2];
@@ -116,31 +116,31 @@
         name: "view".into(),
         host: "a.example".into(),
         prefix: "/view/".into(),
-        idempotent: true,
+        is_idempotent: true,
         timeout: Duration::from_secs(3),
-        goal: Duration::from_millis(600),
-        attempts: 3,
+        latency_goal: Duration::from_millis(600),
+        attempts_max: 3,
         priority: 1,
-        parts: vec![Part {
+        services: vec![WeightedService {
             service: "sheets".into(),
             weight: 1.0,
         }],
-        affinity: true,
-        homes: Vec::new(),
-        open: false,
+        has_affinity: true,
+        home_regions: Vec::new(),
+        is_public: false,
     };
     let service = Service {
         name: "sheets".into(),
-        health: "/health".into(),
-        connections: 100,
+        health_path: "/health".into(),
+        connections_max: 100,
         warmup: COLD,
         cold_rate: COLD_RATE,
     };
     let limits = Limits {
-        head: 8192,
-        body: 8192,
-        arrive: Duration::from_secs(1),
-        idle: Duration::from_secs(5),
+        head_bytes: 8192,
+        body_bytes: 8192,
+        head_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(5),
     };
-    Routes::new(1, vec![route], vec![service], limits).expect("one route can't clash")
+    Routes::new(1, vec![route], vec![service], limits).expect("one route can't conflict")
 }
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -261,7 +261,7 @@
     /// Expected service time of a request.
     fn estimate(&self, job: &Job) -> latency::Estimate {
         let route = &job.request.route;
-        let goal = route.goal.as_secs_f64();
+        let goal = route.latency_goal.as_secs_f64();
         if self.mechanisms.has(Mechanism::Learning) {
             self.latency.estimate(&job.service, &route.name, goal)
         } else {
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -177,13 +177,13 @@
             Credential::Missing | Credential::Malformed => None,
         };
         match held {
-            Some((key, team)) if route.open || self.has_current_keys(now) => {
+            Some((key, team)) if route.is_public || self.has_current_keys(now) => {
                 Access::Granted(Authorized {
                     team: Arc::clone(team),
                     key,
                 })
             }
-            None if route.open => Access::Open,
+            None if route.is_public => Access::Open,
             None if self.has_recent_config(now) => Access::Denied,
             _ => Access::KeysStale,
         }
@@ -191,7 +191,7 @@
 
     /// Why a request that was let in may not be sent now.
     pub(super) fn withhold_reason(&self, now: Time, ask: &Request) -> Option<Rejection> {
-        let pass = ask.authorized.as_ref().filter(|_| !ask.route.open)?;
+        let pass = ask.authorized.as_ref().filter(|_| !ask.route.is_public)?;
         let held = self.routes.as_ref().and_then(|r| r.teams.find(&pass.key));
         if held.is_none_or(|team| team.name != pass.team.name) {
             return Some(Rejection::Denied);
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -163,8 +163,8 @@
         let may_retry = self.mechanisms.has(Mechanism::Retry);
         let is_poison = self.suspects.strikes(job.request.fingerprint) >= STRIKES_MAX;
         let is_safe =
-            may_retry && !is_poison && (!job.may_have_run || job.request.route.idempotent);
-        let has_attempts = job.tried.len() < job.request.route.attempts.max(1);
+            may_retry && !is_poison && (!job.may_have_run || job.request.route.is_idempotent);
+        let has_attempts = job.tried.len() < job.request.route.attempts_max.max(1);
         let has_time = now + ANSWER_RESERVE < job.time_limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
--- a/crates/steer/src/process/direct/job.rs
+++ b/crates/steer/src/process/direct/job.rs
@@ -63,6 +63,6 @@
 
     /// Time by which the route's latency objective wants it answered.
     pub(super) fn objective(&self) -> Time {
-        self.arrived + self.request.route.goal
+        self.arrived + self.request.route.latency_goal
     }
 }
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -80,8 +80,8 @@
         let team = self
             .authorized
             .as_ref()
-            .is_none_or(|p| p.team.homes.is_empty());
-        team && self.route.homes.is_empty()
+            .is_none_or(|p| p.team.home_regions.is_empty());
+        team && self.route.home_regions.is_empty()
     }
 
     /// Whether a region may serve it: the homes of route and team both bind.
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -119,7 +119,7 @@
             (None, Some(_)) if self.is_local_limited(now, job) => return (Some(true), position),
             _ => return (None, position),
         };
-        let goal = job.request.route.goal.as_secs_f64();
+        let goal = job.request.route.latency_goal.as_secs_f64();
         let is_late = local.cost > goal;
         let is_gain = remote.cost <= goal || remote.cost * REMOTE_GAIN_RATIO_MIN < local.cost;
         (
@@ -208,7 +208,7 @@
     /// the others.
     fn best(&self, now: Time, job: &Job, is_local: bool) -> Option<Place> {
         let route = &job.request.route;
-        let goal = route.goal.as_secs_f64();
+        let goal = route.latency_goal.as_secs_f64();
         let estimate = self.estimate(job);
         let mechanisms = self.mechanisms;
         let object = job
@@ -228,7 +228,7 @@
         } else {
             f64::INFINITY
         };
-        let failure_cost = if route.idempotent {
+        let failure_cost = if route.is_idempotent {
             RETRY_COST
         } else {
             LOST_COST
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -97,7 +97,7 @@
             return Some(Decision::Send(self.send(now, at, &best)));
         }
         let waited = now.since(job.arrived).as_secs_f64();
-        let goal = job.request.route.goal.as_secs_f64();
+        let goal = job.request.route.latency_goal.as_secs_f64();
         let finish = now + Duration::from_secs_f64(best.cost);
         let will_be_late =
             finish + ANSWER_RESERVE > job.time_limit || self.outlasts_process(now, &best);
@@ -131,7 +131,7 @@
     /// for a while.
     fn reject_without_place(&mut self, now: Time, at: usize) -> Option<Decision> {
         let job = &self.jobs[at];
-        let hold_max = job.request.route.goal.mul_f64(REJECT_HOLD_RATIO);
+        let hold_max = job.request.route.latency_goal.mul_f64(REJECT_HOLD_RATIO);
         // A new request or a retry waits, since its targets may be ejected for a
         // moment only.
         if now < job.arrived + hold_max && now + ANSWER_RESERVE < job.time_limit {
@@ -202,7 +202,7 @@
     /// together from returning together.
     pub(super) fn retry_after(job: &Job, wait: f64) -> Duration {
         let jitter = unit_interval(job.ticket.0.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let goal = job.request.route.goal.as_secs_f64();
+        let goal = job.request.route.latency_goal.as_secs_f64();
         let seconds = wait.max(goal * 0.2) * (0.75 + jitter * 0.75);
         Duration::from_secs_f64(seconds).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
--- a/crates/steer/src/process/direct/split.rs
+++ b/crates/steer/src/process/direct/split.rs
@@ -30,39 +30,43 @@
     /// shifts the first round: if all instances began with the heaviest part, it
     /// would get too much in total.
     pub fn next(&mut self, route: &Route, offset: f64) -> Option<Arc<str>> {
-        if route.parts.len() < 2 {
-            return route.parts.first().map(|p| Arc::clone(&p.service));
+        if route.services.len() < 2 {
+            return route.services.first().map(|p| Arc::clone(&p.service));
         }
         let at = self.ensure(route, offset);
         let credits = &mut self.routes[at].credits;
-        let total: f64 = route.parts.iter().map(|p| p.weight).sum();
+        let total: f64 = route.services.iter().map(|p| p.weight).sum();
         if total <= 0.0 {
             return None;
         }
         let mut best = 0;
-        for (i, part) in route.parts.iter().enumerate() {
+        for (i, part) in route.services.iter().enumerate() {
             credits[i] += part.weight / total;
             if credits[i] > credits[best] {
                 best = i;
             }
         }
         credits[best] -= 1.0;
-        Some(Arc::clone(&route.parts[best].service))
+        Some(Arc::clone(&route.services[best].service))
     }
 
     /// Returns the index of the route's credits, which are reset if the services
     /// of its parts have changed.
     fn ensure(&mut self, route: &Route, offset: f64) -> usize {
         let is_current = |c: &RouteCredits| {
-            c.services.len() == route.parts.len()
+            c.services.len() == route.services.len()
                 && c.services
                     .iter()
-                    .zip(&route.parts)
+                    .zip(&route.services)
                     .all(|(s, p)| *s == p.service)
         };
         let fresh = || RouteCredits {
             route: Arc::clone(&route.name),
-            services: route.parts.iter().map(|p| Arc::clone(&p.service)).collect(),
+            services: route
+                .services
+                .iter()
+                .map(|p| Arc::clone(&p.service))
+                .collect(),
             credits: initial_credits(route, offset),
         };
         match self.routes.binary_search_by(|c| c.route.cmp(&route.name)) {
@@ -83,7 +87,7 @@
 /// Credits of a route's parts at the start: their sum is zero, and `offset` makes
 /// them differ between instances.
 fn initial_credits(route: &Route, offset: f64) -> Vec<f64> {
-    let mut credits = vec![0.0; route.parts.len()];
+    let mut credits = vec![0.0; route.services.len()];
     let shift = offset - 0.5;
     credits[0] = shift;
     if let Some(last) = credits.last_mut() {
--- a/crates/steer/src/version/routes.rs
+++ b/crates/steer/src/version/routes.rs
@@ -12,7 +12,7 @@
 
 /// A part of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service that gets it.
     pub service: Arc<str>,
     /// Its share is this over the sum of all weights.
@@ -29,38 +29,41 @@
     /// Start of the paths it is for; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether a request may run more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Longest time that a request is kept waiting.
     pub timeout: Duration,
     /// Latency objective: an answer within it earns its full benefit.
-    pub goal: Duration,
+    pub latency_goal: Duration,
     /// Targets that one request may be sent to.
-    pub attempts: usize,
+    pub attempts_max: usize,
     /// Rank among the routes of a service; 0 is the most urgent.
     pub priority: u32,
     /// Services and their weights; one part of weight 1 without a split.
-    pub parts: Vec<Part>,
+    pub services: Vec<WeightedService>,
     /// Whether targets are faster with objects that they handled lately.
-    pub affinity: bool,
+    pub has_affinity: bool,
     /// Regions that may serve it; any if empty. Sorted.
-    pub homes: Vec<Arc<str>>,
+    pub home_regions: Vec<Arc<str>>,
     /// Whether it is open to callers without a key.
-    pub open: bool,
+    pub is_public: bool,
 }
 
 impl Route {
     /// Whether a region may serve this route.
     #[must_use]
     pub fn allows(&self, region: &str) -> bool {
-        allows(&self.homes, region)
+        allows(&self.home_regions, region)
     }
 }
 
-/// Whether a region is among these homes, which are sorted; any is if there are
+/// Whether a region is among these home_regions, which are sorted; any is if there are
 /// none.
 #[must_use]
-pub(super) fn allows(homes: &[Arc<str>], region: &str) -> bool {
-    homes.is_empty() || homes.binary_search_by(|home| (**home).cmp(region)).is_ok()
+pub(super) fn allows(home_regions: &[Arc<str>], region: &str) -> bool {
+    home_regions.is_empty()
+        || home_regions
+            .binary_search_by(|home| (**home).cmp(region))
+            .is_ok()
 }
 
 /// What is known of a service besides its targets.
@@ -69,9 +72,9 @@
     /// Name of the service.
     pub name: Arc<str>,
     /// Path of the targets' health check.
-    pub health: Arc<str>,
+    pub health_path: Arc<str>,
     /// Connections that a target takes from all callers together.
-    pub connections: usize,
+    pub connections_max: usize,
     /// How long a target stays cold after its start.
     pub warmup: Duration,
     /// Requests a second that a cold target bears.
@@ -82,19 +85,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head of a request in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Longest body of a request in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Time for a request's head to arrive.
-    pub arrive: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may lie idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Two routes claim the same requests.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("routes {first} and {second} share host and prefix; remove one of them")]
-pub struct Clash {
+pub struct Conflict {
     /// One of the two.
     pub first: Arc<str>,
     /// The other.
@@ -124,14 +127,14 @@
         mut routes: Vec<Route>,
         mut services: Vec<Service>,
         limits: Limits,
-    ) -> Result<Self, Clash> {
+    ) -> Result<Self, Conflict> {
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
         services.sort_by(|a, b| a.name.cmp(&b.name));
-        let clash = routes
+        let conflict = routes
             .windows(2)
             .find(|pair| pair[0].host == pair[1].host && pair[0].prefix == pair[1].prefix);
-        if let Some(pair) = clash {
-            return Err(Clash {
+        if let Some(pair) = conflict {
+            return Err(Conflict {
                 first: Arc::clone(&pair[0].name),
                 second: Arc::clone(&pair[1].name),
             });
@@ -173,18 +176,18 @@
 
     /// Regions that may serve a host's requests, if all of its routes name some.
     #[must_use]
-    pub fn homes(&self, host: &str) -> Vec<Arc<str>> {
+    pub fn home_regions(&self, host: &str) -> Vec<Arc<str>> {
         let host = host.to_ascii_lowercase();
         let start = self.table.partition_point(|route| *route.host < *host);
         let routes = self.table[start..].iter().take_while(|r| *r.host == *host);
-        let mut homes = Vec::new();
+        let mut home_regions = Vec::new();
         for route in routes {
-            if route.homes.is_empty() {
+            if route.home_regions.is_empty() {
                 return Vec::new();
             }
-            homes.extend(route.homes.iter().cloned());
+            home_regions.extend(route.home_regions.iter().cloned());
         }
-        homes
+        home_regions
     }
 
     /// The service of this name.
--- a/crates/steer/src/version/teams.rs
+++ b/crates/steer/src/version/teams.rs
@@ -97,14 +97,14 @@
     /// Rank of its requests in place of the route's; 0 is the most urgent.
     pub priority: Option<u32>,
     /// Regions that may serve it; any if empty. Sorted.
-    pub homes: Vec<Arc<str>>,
+    pub home_regions: Vec<Arc<str>>,
     /// Requests admitted; any number if none.
     pub quota: Option<Quota>,
 }
 
 /// Two teams claim the same.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Clash {
+pub enum Conflict {
     /// A name.
     #[error("two teams are named {0}; rename one of them")]
     Name(Arc<str>),
@@ -134,11 +134,11 @@
     ///
     /// # Errors
     /// If two teams share a name or a key.
-    pub fn new(mut teams: Vec<(Team, Vec<KeyDigest>)>) -> Result<Self, Clash> {
+    pub fn new(mut teams: Vec<(Team, Vec<KeyDigest>)>) -> Result<Self, Conflict> {
         teams.sort_by(|a, b| a.0.name.cmp(&b.0.name));
         let same = teams.windows(2).find(|w| w[0].0.name == w[1].0.name);
         if let Some(same) = same {
-            return Err(Clash::Name(Arc::clone(&same[0].0.name)));
+            return Err(Conflict::Name(Arc::clone(&same[0].0.name)));
         }
         let mut keys = Vec::new();
         for (at, (_, digests)) in teams.iter().enumerate() {
@@ -148,7 +148,7 @@
         keys.dedup();
         if let Some(pair) = keys.windows(2).find(|w| w[0].0 == w[1].0) {
             let name = |at: usize| Arc::clone(&teams[at].0.name);
-            return Err(Clash::Key {
+            return Err(Conflict::Key {
                 key: pair[0].0,
                 first: name(pair[0].1),
                 second: name(pair[1].1),
@@ -195,6 +195,6 @@
     /// Whether a region may serve this team.
     #[must_use]
     pub fn allows(&self, region: &str) -> bool {
-        super::routes::allows(&self.homes, region)
+        super::routes::allows(&self.home_regions, region)
     }
 }
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -12,7 +12,7 @@
 };
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::Route;
-use steer::version::teams::{Clash, KeyDigest, Team, Teams};
+use steer::version::teams::{Conflict, KeyDigest, Team, Teams};
 
 use super::bench::{Bench, at, entry, route, routes};
 
@@ -29,7 +29,7 @@
     Team {
         name: name.into(),
         priority,
-        homes: homes.iter().map(|home| Arc::from(*home)).collect(),
+        home_regions: homes.iter().map(|home| Arc::from(*home)).collect(),
         quota: None,
     }
 }
@@ -106,7 +106,7 @@
 #[test]
 fn serve_open_route_without_key() {
     let open = Route {
-        open: true,
+        is_public: true,
         ..route()
     };
     let bench = bench(open, vec![team("masons", &[], None)]);
@@ -268,8 +268,11 @@
 #[case::both_near(&["near"], &["far", "near"], Some("t1"))]
 #[case::disjoint(&["near"], &["far"], None)]
 fn keep_homes(#[case] of_route: &[&str], #[case] of_team: &[&str], #[case] expected: Option<&str>) {
-    let homes: Vec<Arc<str>> = of_route.iter().map(|home| Arc::from(*home)).collect();
-    let homed = Route { homes, ..route() };
+    let home_regions: Vec<Arc<str>> = of_route.iter().map(|home| Arc::from(*home)).collect();
+    let homed = Route {
+        home_regions,
+        ..route()
+    };
     let mut bench = bench(homed, vec![team("masons", of_team, None)]);
     bench.direct.confirm_up_to(at(0));
     let asked = ask(&bench, at(10), "masons");
@@ -320,10 +323,10 @@
         (team("masons", &[], None), shared.clone()),
         (team("office", &[], None), shared),
     ]);
-    let Err(clash @ Clash::Key { .. }) = found else {
+    let Err(conflict @ Conflict::Key { .. }) = found else {
         panic!("they share a key: {found:?}");
     };
-    assert!(!clash.to_string().contains("shared k"), "{clash}");
+    assert!(!conflict.to_string().contains("shared k"), "{conflict}");
 }
 
 #[test]
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -12,7 +12,7 @@
     access, limit, quota,
 };
 use steer::request::arrival::Fingerprint;
-use steer::version::routes::{Limits, Part, Route, Routes, Service};
+use steer::version::routes::{Limits, Route, Routes, Service, WeightedService};
 
 pub const MS: Duration = Duration::from_millis(1);
 
@@ -54,36 +54,36 @@
         name: "view".into(),
         host: "a.example".into(),
         prefix: "/view/".into(),
-        idempotent: true,
+        is_idempotent: true,
         timeout: Duration::from_secs(2),
-        goal: Duration::from_millis(600),
-        attempts: 2,
+        latency_goal: Duration::from_millis(600),
+        attempts_max: 2,
         priority: 1,
-        parts: vec![Part {
+        services: vec![WeightedService {
             service: "sheets".into(),
             weight: 1.0,
         }],
-        affinity: true,
-        homes: Vec::new(),
-        open: false,
+        has_affinity: true,
+        home_regions: Vec::new(),
+        is_public: false,
     }
 }
 
 pub fn routes(version: u64, route: Route) -> Routes {
     let service = Service {
         name: "sheets".into(),
-        health: "/health".into(),
-        connections: 100,
+        health_path: "/health".into(),
+        connections_max: 100,
         warmup: Duration::from_secs(3),
         cold_rate: 2.0,
     };
     let limits = Limits {
-        head: 8192,
-        body: 8192,
-        arrive: Duration::from_secs(1),
-        idle: Duration::from_secs(5),
+        head_bytes: 8192,
+        body_bytes: 8192,
+        head_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(5),
     };
-    Routes::new(version, vec![route], vec![service], limits).expect("one route can't clash")
+    Routes::new(version, vec![route], vec![service], limits).expect("one route can't conflict")
 }
 
 pub fn entry(id: &str, domain: &str) -> Entry {
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -33,7 +33,7 @@
 
 fn unsafe_route() -> Route {
     Route {
-        idempotent: false,
+        is_idempotent: false,
         ..route()
     }
 }
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -127,9 +127,15 @@
 
 #[test]
 fn stay_in_home_regions() {
-    let homes: Vec<Arc<str>> = vec!["near".into()];
+    let home_regions: Vec<Arc<str>> = vec!["near".into()];
     let only_far = [entry("t1", "far-a")];
-    let mut bench = Bench::new(Route { homes, ..route() }, &only_far);
+    let mut bench = Bench::new(
+        Route {
+            home_regions,
+            ..route()
+        },
+        &only_far,
+    );
     bench.submit(at(0), None);
     assert_eq!(bench.order(at(0)), None);
     let Some(Decision::Reject { why, .. }) = bench.order(at(100)) else {
@@ -223,10 +229,10 @@
 #[rstest]
 #[case::idempotent(true)]
 #[case::once(false)]
-fn withdraw_from_leaving_target(#[case] idempotent: bool) {
+fn withdraw_from_leaving_target(#[case] is_idempotent: bool) {
     let targets = [entry("t1", "near-a"), entry("t2", "near-b")];
     let route = Route {
-        idempotent,
+        is_idempotent,
         ..route()
     };
     let mut bench = Bench::new(route, &targets);
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -110,7 +110,7 @@
         let team = Team {
             name: "masons".into(),
             priority: None,
-            homes: Vec::new(),
+            home_regions: Vec::new(),
             quota: Some(quota),
         };
         let mut fleet = Self {
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/repeat.rs
@@ -6,10 +6,10 @@
 
 use super::bench::{Bench, at, entry, route};
 
-fn after(idempotent: bool, ending: AttemptOutcome) -> (Bench, FollowUp) {
+fn after(is_idempotent: bool, ending: AttemptOutcome) -> (Bench, FollowUp) {
     let targets = ["t1", "t2", "t3"].map(|id| entry(id, "near-a"));
     let route = Route {
-        idempotent,
+        is_idempotent,
         ..route()
     };
     let mut bench = Bench::new(route, &targets);
--- a/crates/steer/tests/direct/routes.rs
+++ b/crates/steer/tests/direct/routes.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use steer::process::direct::split::Splits;
-use steer::version::routes::{Part, Route, Routes};
+use steer::version::routes::{Route, Routes, WeightedService};
 
 use super::bench;
 
@@ -43,20 +43,20 @@
 fn refuse_two_routes_of_one_prefix() {
     let limits = bench::routes(1, bench::route()).limits;
     let routes = vec![bench::route(), bench::route()];
-    let clash = Routes::new(1, routes, Vec::new(), limits).expect_err("they are alike");
-    assert_eq!((&*clash.first, &*clash.second), ("view", "view"));
+    let conflict = Routes::new(1, routes, Vec::new(), limits).expect_err("they are alike");
+    assert_eq!((&*conflict.first, &*conflict.second), ("view", "view"));
 }
 
 /// Each run of ten requests has each part's share to within one, from the
 /// first on: at a few requests a second chance would miss it by a fifth.
 #[test]
 fn split_every_run() {
-    let part = |service: &str, weight| Part {
+    let part = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
     };
     let route = Route {
-        parts: vec![part("old", 70.0), part("new", 30.0)],
+        services: vec![part("old", 70.0), part("new", 30.0)],
         ..bench::route()
     };
     for offset in [0.0, 0.3, 0.99] {
