--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -267,8 +267,8 @@
             deadline: terms.deadline,
             bytes: request.bytes(),
             origin: terms.origin,
-            home: request.home.clone(),
-            via: terms.via,
+            caller_region: request.home.clone(),
+            peer_region: terms.via,
         };
         inner.admit(id, request, mailbox);
         // A word that is there already says the same.
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -103,8 +103,8 @@
             deadline: None,
             bytes: 1000,
             origin: arrival::Origin::Caller,
-            home: None,
-            via: None,
+            caller_region: None,
+            peer_region: None,
         };
         self.feed(now, gate::Event::Arrive(arrival));
         self.follow(now, id);
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -238,8 +238,8 @@
             deadline: Some(scene::DEADLINE),
             bytes: 100,
             origin,
-            home: None,
-            via: None,
+            caller_region: None,
+            peer_region: None,
         };
         self.feed(index, traffic::Event::Arrive(arrival));
     }
--- a/crates/measure/src/cost.rs
+++ b/crates/measure/src/cost.rs
@@ -60,8 +60,8 @@
             deadline: None,
             bytes: 500,
             origin: Origin::Caller,
-            home: None,
-            via: None,
+            caller_region: None,
+            peer_region: None,
         };
         dispatch.handle(now, Event::Arrive(arrival), &mut out);
         end(&mut dispatch, now, &answer, &mut out);
--- a/crates/measure/src/model/asking.rs
+++ b/crates/measure/src/model/asking.rs
@@ -73,8 +73,8 @@
             deadline: Some(Duration::from_secs(spec.deadline)),
             bytes: 500,
             origin: Origin::Caller,
-            home: Some(region_name(request.home)),
-            via: None,
+            caller_region: Some(region_name(request.home)),
+            peer_region: None,
         };
         self.tell(request.entry, Event::Arrive(arrival));
     }
--- a/crates/measure/src/model/driver.rs
+++ b/crates/measure/src/model/driver.rs
@@ -201,8 +201,8 @@
             deadline: Some(budget.saturating_sub(way * 2)),
             bytes: 500,
             origin: Origin::Peer,
-            home: Some(region_name(home)),
-            via: Some(region_name(self.region_of(work.entry))),
+            caller_region: Some(region_name(home)),
+            peer_region: Some(region_name(self.region_of(work.entry))),
         };
         // The peer decides on arrival; the model lets the way there pass with
         // the way back, which no decision can tell apart.
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -380,7 +380,7 @@
         let view = Arc::clone(&self.setup.view);
         let service = &view.services.as_slice()[job.service];
         let name = |region| Arc::clone(&view.regions[region].name);
-        let (origin, via) = match job.hop {
+        let (origin, peer_region) = match job.hop {
             Some((from, ..)) => (Origin::Peer, Some(name(self.nodes[from].region))),
             None => (Origin::Caller, None),
         };
@@ -400,8 +400,8 @@
             deadline: left.or(Some(service.deadline)),
             bytes: REQUEST,
             origin,
-            home: Some(name(job.home)),
-            via,
+            caller_region: Some(name(job.home)),
+            peer_region,
         };
         self.tell(node, Event::Arrive(arrival));
     }
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -46,7 +46,7 @@
     /// # Errors
     /// The time after which the cap may have room, if it has none.
     pub(super) fn admit_inbound(&mut self, now: Time, arrival: &Arrival) -> Result<(), Duration> {
-        let (Some(caller_region), Some(here)) = (&arrival.home, self.region) else {
+        let (Some(caller_region), Some(here)) = (&arrival.caller_region, self.region) else {
             return Ok(());
         };
         let here = &self.view.regions[here].name;
@@ -82,7 +82,10 @@
         }
         let name = |region: Region| Arc::clone(&self.view.regions[region].name);
         let (here, there) = (name(here), name(there));
-        let caller_region = arrival.home.clone().unwrap_or_else(|| Arc::clone(&here));
+        let caller_region = arrival
+            .caller_region
+            .clone()
+            .unwrap_or_else(|| Arc::clone(&here));
         let link = Route::Link {
             from: here,
             to: Arc::clone(&there),
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -186,11 +186,11 @@
 
     /// Link over which the answer goes back to another region, if any.
     fn return_link(&self, arrival: &arrival::Arrival) -> Option<share::Route> {
-        let via = arrival.via.as_ref()?;
+        let peer_region = arrival.peer_region.as_ref()?;
         let here = self.dispatch.region()?;
-        (via != here).then(|| share::Route::Link {
+        (peer_region != here).then(|| share::Route::Link {
             from: Arc::clone(here),
-            to: Arc::clone(via),
+            to: Arc::clone(peer_region),
         })
     }
 
--- a/crates/steer/src/request/arrival.rs
+++ b/crates/steer/src/request/arrival.rs
@@ -63,8 +63,8 @@
     pub origin: Origin,
     /// Name of the region whose caller sent it; `None` if its block is unknown,
     /// and then the caller counts as one of the instance's own region.
-    pub home: Option<Arc<str>>,
+    pub caller_region: Option<Arc<str>>,
     /// Name of the region of the peer that passed it on; the answer goes back
     /// over the link to it.
-    pub via: Option<Arc<str>>,
+    pub peer_region: Option<Arc<str>>,
 }
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -211,8 +211,8 @@
                     deadline: Some(Duration::from_millis(within)),
                     bytes: 1,
                     origin: if peer { Origin::Peer } else { Origin::Caller },
-                    home: None,
-                    via: None,
+                    caller_region: None,
+                    peer_region: None,
                 }));
             }
             Step::End { nth, how } if !self.attempts.is_empty() => {
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -176,8 +176,8 @@
                 } else {
                     Origin::Caller
                 },
-                home: None,
-                via: None,
+                caller_region: None,
+                peer_region: None,
             }));
         }
     }
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -168,8 +168,8 @@
             fingerprint: arrival::Fingerprint(u128::from(line.number("body").unwrap_or(0))),
             deadline: line.number("ms").map(Duration::from_millis),
             bytes: 100,
-            home: None,
-            via: None,
+            caller_region: None,
+            peer_region: None,
             origin: match line.get("from") {
                 Some("forward") => arrival::Origin::Forward,
                 Some("peer") => arrival::Origin::Peer,
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -142,8 +142,8 @@
             deadline: None,
             bytes: 500,
             origin,
-            home: Some(home.into()),
-            via: via.map(Arc::from),
+            caller_region: Some(home.into()),
+            peer_region: via.map(Arc::from),
         }));
         id
     }
