--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -225,7 +225,7 @@
     let mut services: Vec<Service> = services.collect();
     let idempotent = |s: &Service| {
         let service = plan.service(&s.name);
-        service.is_some_and(|s| plan.services[s].idempotent)
+        service.is_some_and(|s| plan.services[s].is_idempotent)
     };
     services.sort_by_key(|s| (!idempotent(s), s.name == "archive"));
     Ok(Plan {
--- a/crates/explorer/src/scene.rs
+++ b/crates/explorer/src/scene.rs
@@ -63,7 +63,7 @@
         .map(|name| view.regions.push(view::RegionData { name: name.into() }));
     let class: view::Class = view.classes.push(view::ClassData {
         name: "work".into(),
-        queue: 100,
+        queue_percent: 100,
     });
     let domains: Vec<view::Domain> = (0..count)
         .map(|i| {
@@ -86,7 +86,7 @@
     let service: view::Service = view.services.push(view::ServiceData {
         name: SERVICE.into(),
         class,
-        idempotent: false,
+        is_idempotent: false,
         deadline: DEADLINE,
         sites: sites.clone(),
     });
--- a/crates/intent/src/plan/build.rs
+++ b/crates/intent/src/plan/build.rs
@@ -94,7 +94,7 @@
 fn class(written: &draft::Class) -> Option<ClassData> {
     Some(ClassData {
         name: Arc::clone(&written.name.value),
-        queue: u8::try_from(written.queue.as_ref()?.value).ok()?,
+        queue_percent: u8::try_from(written.queue.as_ref()?.value).ok()?,
     })
 }
 
@@ -123,7 +123,7 @@
     Some(ServiceData {
         name: Arc::clone(&written.name.value),
         class: Class::new(class),
-        idempotent: written.idempotent?,
+        is_idempotent: written.idempotent?,
         deadline: Duration::from_millis(written.deadline),
         sites,
     })
@@ -135,7 +135,7 @@
         links.push(Link {
             from: plan.region(&written.from.as_ref()?.value)?,
             to: plan.region(&written.to.as_ref()?.value)?,
-            bits: written.mbit? * MEGABIT,
+            bits_per_s: written.mbit? * MEGABIT,
         });
     }
     links.sort_by_key(|link| (link.from, link.to));
--- a/crates/intent/src/plan/print.rs
+++ b/crates/intent/src/plan/print.rs
@@ -12,12 +12,16 @@
             self.print_region(f, region)?;
         }
         for class in self.classes.values() {
-            writeln!(f, "class {} queue {}%", class.name, class.queue)?;
+            writeln!(f, "class {} queue {}%", class.name, class.queue_percent)?;
         }
         self.print_services(f)?;
         for link in &self.links {
             let (from, to) = (self.region_name(link.from), self.region_name(link.to));
-            writeln!(f, "link {from} -> {to} {} Mbit/s", link.bits / 1_000_000)?;
+            writeln!(
+                f,
+                "link {from} -> {to} {} Mbit/s",
+                link.bits_per_s / 1_000_000
+            )?;
         }
         self.print_shifts(f)?;
         for name in &self.leaving {
@@ -63,7 +67,7 @@
     fn print_services(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for service in self.services.values() {
             let class = &self.classes[service.class].name;
-            let kind = if service.idempotent {
+            let kind = if service.is_idempotent {
                 "idempotent"
             } else {
                 "at most once"
--- a/crates/measure/src/cost.rs
+++ b/crates/measure/src/cost.rs
@@ -120,12 +120,12 @@
     });
     view.classes.push(ClassData {
         name: Arc::from("class"),
-        queue: 100,
+        queue_percent: 100,
     });
     view.services.push(ServiceData {
         name: Arc::from("service"),
         class: Class::new(0),
-        idempotent: true,
+        is_idempotent: true,
         deadline: Duration::from_secs(1),
         sites: vec![Site::new(0)],
     });
--- a/crates/measure/src/model/fleet.rs
+++ b/crates/measure/src/model/fleet.rs
@@ -99,15 +99,18 @@
                 state: State::Live,
             });
         }
-        for (name, queue) in [("urgent", 100), ("normal", 70), ("archive", 30)] {
+        for (name, queue_percent) in [("urgent", 100), ("normal", 70), ("archive", 30)] {
             let name = Arc::from(name);
-            view.classes.push(ClassData { name, queue });
+            view.classes.push(ClassData {
+                name,
+                queue_percent,
+            });
         }
         for spec in &self.setup.deployment.services {
             view.services.push(ServiceData {
                 name: Arc::from(spec.name),
                 class: Class::new(spec.class),
-                idempotent: spec.idempotent,
+                is_idempotent: spec.idempotent,
                 deadline: Duration::from_secs(spec.deadline),
                 sites: (0..layout.domains.len()).map(Site::new).collect(),
             });
@@ -153,7 +156,7 @@
             view.links.push(Link {
                 from: Region::new(from),
                 to: Region::new(to),
-                bits: self.setup.deployment.link * 1_000_000,
+                bits_per_s: self.setup.deployment.link * 1_000_000,
             });
         }
         for (service, spec) in self.setup.deployment.services.iter().enumerate() {
--- a/crates/measure/src/shift/cost.rs
+++ b/crates/measure/src/shift/cost.rs
@@ -114,13 +114,13 @@
     }
     view.classes.push(ClassData {
         name: "first".into(),
-        queue: 100,
+        queue_percent: 100,
     });
     for service in 0..SERVICES {
         view.services.push(ServiceData {
             name: format!("service-{service}").into(),
             class: Class::new(0),
-            idempotent: true,
+            is_idempotent: true,
             deadline: Duration::from_secs(2),
             sites: Vec::new(),
         });
@@ -142,7 +142,7 @@
     let link = |&(from, to): &(Region, Region)| Link {
         from,
         to,
-        bits: 4_000_000_000,
+        bits_per_s: 4_000_000_000,
     };
     view.links = pairs.iter().map(link).collect();
     view
--- a/crates/measure/src/shift/tally.rs
+++ b/crates/measure/src/shift/tally.rs
@@ -46,7 +46,7 @@
         });
         let links = view.links.iter().map(|l| {
             let (from, to) = (name(l.from), name(l.to));
-            Tally::new(Route::Link { from, to }, l.bits / 8)
+            Tally::new(Route::Link { from, to }, l.bits_per_s / 8)
         });
         let mut all: Vec<Tally> = shifts.chain(links).collect();
         all.sort_by(|a, b| a.route.cmp(&b.route));
--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -385,7 +385,7 @@
             None => (Origin::Caller, None),
         };
         // A key as a look-up at this instance would have given it.
-        let key = if service.idempotent || job.hop.is_some() {
+        let key = if service.is_idempotent || job.hop.is_some() {
             None
         } else {
             let prefix = self.nodes[node].traffic.key_prefix(self.now);
--- a/crates/steer/src/process/dispatch/view_update.rs
+++ b/crates/steer/src/process/dispatch/view_update.rs
@@ -193,8 +193,8 @@
         ServiceState {
             name: Arc::clone(&data.name),
             class: data.class.index(),
-            queue_share: usize::from(class.queue),
-            is_idempotent: data.idempotent,
+            queue_share: usize::from(class.queue_percent),
+            is_idempotent: data.is_idempotent,
             deadline: data.deadline,
             subset,
             locals,
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -203,7 +203,7 @@
     fn passes(&self, arrival: &arrival::Arrival) -> bool {
         match self.view.service(&arrival.service) {
             _ if arrival.origin == arrival::Origin::Peer => true,
-            Some(service) => self.view.services[service].idempotent,
+            Some(service) => self.view.services[service].is_idempotent,
             None => arrival.key.is_none(),
         }
     }
--- a/crates/steer/src/process/share/route.rs
+++ b/crates/steer/src/process/share/route.rs
@@ -82,7 +82,7 @@
                 from: region(link.from),
                 to: region(link.to),
             },
-            whole: ratio(link.bits / 8, 100 - RESERVE, 100),
+            whole: ratio(link.bits_per_s / 8, 100 - RESERVE, 100),
             ramp: Duration::ZERO,
         });
     }
--- a/crates/steer/src/request/key.rs
+++ b/crates/steer/src/request/key.rs
@@ -17,20 +17,20 @@
 use crate::version::view;
 
 /// What issued keys start with: syntax version 1.
-const SCHEME: &str = "a1.";
+const ISSUED_PREFIX: &str = "a1.";
 
 /// Shortest nonce in bytes. Callers share the part before it, so a nonce has to
 /// be long enough that two callers don't pick the same one.
-pub const NONCE_MIN: usize = 16;
+pub const NONCE_LEN_MIN: usize = 16;
 
 /// Longest nonce in bytes.
-pub const NONCE_MAX: usize = 64;
+pub const NONCE_LEN_MAX: usize = 64;
 
 /// Shortest key in bytes that a caller may choose without a look-up.
-pub const CHOSEN_MIN: usize = 16;
+pub const CHOSEN_LEN_MIN: usize = 16;
 
 /// Longest key in bytes that a caller may choose without a look-up.
-pub const CHOSEN_MAX: usize = 128;
+pub const CHOSEN_LEN_MAX: usize = 128;
 
 /// A process and one of its epochs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
 impl fmt::Display for Prefix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Stamp { incarnation, epoch } = self.owner;
-        write!(f, "{SCHEME}{incarnation}.{epoch}.")?;
+        write!(f, "{ISSUED_PREFIX}{incarnation}.{epoch}.")?;
         match self.witness {
             Some(Stamp { incarnation, epoch }) => write!(f, "{incarnation}.{epoch}."),
             None => write!(f, "0.0."),
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
     /// Too short or too long to be chosen by a caller.
-    #[error("a key has {CHOSEN_MIN} to {CHOSEN_MAX} characters; this one has {0}")]
+    #[error("a key has {CHOSEN_LEN_MIN} to {CHOSEN_LEN_MAX} characters; this one has {0}")]
     Length(usize),
     /// A character that is not allowed.
     #[error("a key is made of letters, digits, '-', '_', '.' and ':'; {0:?} is none")]
@@ -99,7 +99,7 @@
     #[error("copy the look-up's key prefix unchanged; its epoch is malformed")]
     Epoch,
     /// The nonce is too short or too long.
-    #[error("a nonce has {NONCE_MIN} to {NONCE_MAX} characters; this one has {0}")]
+    #[error("a nonce has {NONCE_LEN_MIN} to {NONCE_LEN_MAX} characters; this one has {0}")]
     Nonce(usize),
 }
 
@@ -111,12 +111,12 @@
         if let Some(bad) = text.chars().find(|&c| !fit(c)) {
             return Err(KeyError::Character(bad));
         }
-        match text.strip_prefix(SCHEME) {
+        match text.strip_prefix(ISSUED_PREFIX) {
             Some(rest) => Ok(Self::Issued(Issued {
                 text: Arc::clone(text),
                 prefix: parse(rest)?,
             })),
-            None if (CHOSEN_MIN..=CHOSEN_MAX).contains(&text.len()) => {
+            None if (CHOSEN_LEN_MIN..=CHOSEN_LEN_MAX).contains(&text.len()) => {
                 Ok(Self::Chosen(Arc::clone(text)))
             }
             None => Err(KeyError::Length(text.len())),
@@ -129,7 +129,7 @@
     let &[owner, owner_epoch, witness, witness_epoch, nonce] = parts.as_slice() else {
         return Err(KeyError::Parts(parts.len()));
     };
-    if !(NONCE_MIN..=NONCE_MAX).contains(&nonce.len()) {
+    if !(NONCE_LEN_MIN..=NONCE_LEN_MAX).contains(&nonce.len()) {
         return Err(KeyError::Nonce(nonce.len()));
     }
     let owner = stamp(owner, owner_epoch)?;
--- a/crates/steer/src/version/lookup.rs
+++ b/crates/steer/src/version/lookup.rs
@@ -10,10 +10,10 @@
 use super::view;
 
 /// Choices in one answer: one to use, two to fall back on.
-pub const CHOICES: usize = 3;
+pub const CHOICES_MAX: usize = 3;
 
 /// Entry instances to use, in the order to try them.
-pub type Choices = [Option<view::Member>; CHOICES];
+pub type Choices = [Option<view::Member>; CHOICES_MAX];
 
 /// The live members of each region, made once per view.
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
             found.add(&self.regions[region], caller, None);
         }
         let near = found.len;
-        if near < CHOICES {
+        if near < CHOICES_MAX {
             found.add(&self.all, caller, Some(near));
         }
         found.members
@@ -88,7 +88,7 @@
 #[derive(Default)]
 struct Top {
     members: Choices,
-    ranks: [u64; CHOICES],
+    ranks: [u64; CHOICES_MAX],
     len: usize,
 }
 
@@ -107,14 +107,14 @@
     fn insert(&mut self, floor: usize, member: view::Member, rank: u64) {
         let taken = &self.ranks[floor..self.len];
         let at = floor + taken.partition_point(|&r| r >= rank);
-        if at >= CHOICES {
+        if at >= CHOICES_MAX {
             return;
         }
         self.members[at..].rotate_right(1);
         self.ranks[at..].rotate_right(1);
         self.members[at] = Some(member);
         self.ranks[at] = rank;
-        self.len = (self.len + 1).min(CHOICES);
+        self.len = (self.len + 1).min(CHOICES_MAX);
     }
 }
 
--- a/crates/steer/src/version/view.rs
+++ b/crates/steer/src/version/view.rs
@@ -114,7 +114,7 @@
     /// Name, unique among classes.
     pub name: Arc<str>,
     /// Share of an instance's queue that the class may fill, 1 to 100 percent.
-    pub queue: u8,
+    pub queue_percent: u8,
 }
 
 /// A service's facts.
@@ -125,7 +125,7 @@
     /// Class that decides who yields first.
     pub class: Class,
     /// Whether running a request twice does no harm.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Time a request has when its caller states no deadline.
     pub deadline: Duration,
     /// Sites that serve it, sorted.
@@ -186,7 +186,7 @@
     /// Receiving region.
     pub to: Region,
     /// Limit in bits per second, over all instances.
-    pub bits: u64,
+    pub bits_per_s: u64,
 }
 
 /// How far one service's traffic may shift from one region to another.
--- a/crates/steer/tests/dispatch_scenarios/world.rs
+++ b/crates/steer/tests/dispatch_scenarios/world.rs
@@ -84,18 +84,18 @@
     }
 }
 
-fn class(&(name, queue): &(&str, u8)) -> ClassData {
+fn class(&(name, queue_percent): &(&str, u8)) -> ClassData {
     ClassData {
         name: Arc::from(name),
-        queue,
+        queue_percent,
     }
 }
 
-fn service(&(name, class, idempotent, deadline): &(&str, usize, bool, u64)) -> ServiceData {
+fn service(&(name, class, is_idempotent, deadline): &(&str, usize, bool, u64)) -> ServiceData {
     ServiceData {
         name: Arc::from(name),
         class: Class::new(class),
-        idempotent,
+        is_idempotent,
         deadline: Duration::from_millis(deadline),
         sites: (0..DOMAINS.len()).map(Site::new).collect(),
     }
--- a/crates/steer/tests/gate_scenarios/scene.rs
+++ b/crates/steer/tests/gate_scenarios/scene.rs
@@ -25,7 +25,7 @@
         ["region0", "region1"].map(|n| view.regions.push(view::RegionData { name: n.into() }));
     let class = view.classes.push(view::ClassData {
         name: "work".into(),
-        queue: 100,
+        queue_percent: 100,
     });
     let mut sites = Vec::new();
     let mut domains = Vec::new();
@@ -41,11 +41,11 @@
             state: view::State::Live,
         }));
     }
-    for (name, idempotent) in [("lodgement", false), ("sheetview", true)] {
+    for (name, is_idempotent) in [("lodgement", false), ("sheetview", true)] {
         let service = view.services.push(view::ServiceData {
             name: name.into(),
             class,
-            idempotent,
+            is_idempotent,
             deadline: Duration::from_secs(2),
             sites: sites.clone(),
         });
@@ -88,7 +88,7 @@
         view.links.push(view::Link {
             from,
             to,
-            bits: 1 << 40,
+            bits_per_s: 1 << 40,
         });
         view.shifts
             .extend(view.services.keys().map(|service| view::Shift {
--- a/crates/steer/tests/lookup.rs
+++ b/crates/steer/tests/lookup.rs
@@ -130,7 +130,7 @@
 fn choose_home_then_others() {
     let view = fleet(&[], &[]);
     let near = chosen(&view, Some("cq"), 7);
-    assert_eq!(near.len(), lookup::CHOICES);
+    assert_eq!(near.len(), lookup::CHOICES_MAX);
     assert!(
         near[..2].iter().all(|name| name.starts_with('c')),
         "{near:?}"
--- a/crates/steer/tests/share_model/world.rs
+++ b/crates/steer/tests/share_model/world.rs
@@ -78,12 +78,12 @@
         }
         view.classes.push(ClassData {
             name: "first".into(),
-            queue: 100,
+            queue_percent: 100,
         });
         view.services.push(ServiceData {
             name: "look".into(),
             class: Class::new(0),
-            idempotent: true,
+            is_idempotent: true,
             deadline: Duration::from_secs(2),
             sites: (0..self.regions.len()).map(Site::new).collect(),
         });
