--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -187,20 +187,20 @@
         let Some(service) = self.find_service(&arrival.service) else {
             return Err(Refusal::not_run(Reason::UnknownService, None));
         };
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let strikes = self.suspects.strikes(arrival.fingerprint);
-        if on.has(Safeguard::Poison) && strikes >= poison::STRIKES {
+        if enabled.has(Safeguard::Poison) && strikes >= poison::STRIKES {
             // Earlier attempts of the same request ran: "not run" is wrong.
             return Err(Refusal::unknown(Reason::Poison, None));
         }
         let limits = self.tuning.limits;
         let is_caller_full = self.callers.get(&arrival.caller) >= limits.per_caller();
-        if on.has(Safeguard::CallerLimit) && is_caller_full {
+        if enabled.has(Safeguard::CallerLimit) && is_caller_full {
             let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::CallerLimit, after));
         }
         let is_service_full = self.services[service].total() >= limits.per_service();
-        if on.has(Safeguard::ServiceLimit) && is_service_full {
+        if enabled.has(Safeguard::ServiceLimit) && is_service_full {
             let after = Some(self.default_retry_after());
             return Err(Refusal::not_run(Reason::Overloaded, after));
         }
@@ -210,7 +210,7 @@
     /// Sends a job, queues it, or refuses it at once.
     fn place(&mut self, now: Time, service: usize, job: Job, out: &mut Vec<Action>) {
         let left = job.deadline.since(now);
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         if self.is_too_late(service, left) {
             let wait = self.services[service].outlook().wait();
             let reason = job.last_failure.unwrap_or(Reason::Deadline);
@@ -232,7 +232,7 @@
             return self.refuse_job(&job, Reason::Overloaded, outlook.wait(), out);
         }
         let is_short = outlook.wait() <= self.wait_limit(now, service);
-        let is_hopeful = !on.has(Safeguard::Admission) || (is_short && outlook.hopeful(left));
+        let is_hopeful = !enabled.has(Safeguard::Admission) || (is_short && outlook.hopeful(left));
         let is_queueable =
             is_hopeful && self.has_open_target(now, service, &job) && self.has_queue_share(service);
         let wait_max = if is_queueable { outlook.wait() } else { left };
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -225,9 +225,9 @@
     }
 
     fn record_fault(&mut self, now: Time, at: usize, sent_at: Time, fault: Fault) {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let service_name = &self.endpoints.as_slice()[at].service;
-        let has_spare = !on.has(Safeguard::LastTarget)
+        let has_spare = !enabled.has(Safeguard::LastTarget)
             || self
                 .find_service(service_name)
                 .is_some_and(|service| self.has_half_left(now, service, at));
@@ -243,12 +243,12 @@
     /// Returns whether half the targets of a service would be usable without
     /// one of them.
     fn has_half_left(&self, now: Time, service: usize, without: usize) -> bool {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let endpoints = self.endpoints.as_slice();
         let locals = &self.services[service].locals;
         let is_used = |endpoint: usize| {
             matches!(
-                endpoints[endpoint].availability(now, on),
+                endpoints[endpoint].availability(now, enabled),
                 Availability::Free | Availability::Busy
             )
         };
--- a/crates/steer/src/process/dispatch/dump.rs
+++ b/crates/steer/src/process/dispatch/dump.rs
@@ -56,8 +56,8 @@
     }
 
     fn endpoint(&self, f: &mut fmt::Formatter<'_>, kind: &str, endpoint: &Endpoint) -> fmt::Result {
-        let on: Safeguards = self.dispatch.tuning.safeguards;
-        let status = match endpoint.availability(self.now, on) {
+        let enabled: Safeguards = self.dispatch.tuning.safeguards;
+        let status = match endpoint.availability(self.now, enabled) {
             Availability::Free => "free",
             Availability::Trial => "due for a trial",
             Availability::Busy => "busy",
@@ -65,7 +65,7 @@
             Availability::Leaving => "leaving",
         };
         let mean = endpoint.latency.mean().unwrap_or_default().as_millis();
-        let (in_flight, limit) = (endpoint.in_flight, endpoint.limit(self.now, on));
+        let (in_flight, limit) = (endpoint.in_flight, endpoint.limit(self.now, enabled));
         let name = &endpoint.name;
         writeln!(
             f,
--- a/crates/steer/src/process/dispatch/queue.rs
+++ b/crates/steer/src/process/dispatch/queue.rs
@@ -58,9 +58,9 @@
         same.map(|s| s.queue.len()).sum()
     }
 
-    /// Returns whether the queue has room. If it is full, evicts the newest
-    /// request of the lowest class below that of `service`, and refuses it at
-    /// once.
+    /// Returns whether the queue has room. If it is full, evicts the last request
+    /// in the queue of a service, of the lowest class below that of `service`
+    /// that has more than its kept number waiting, and refuses it at once.
     pub(super) fn make_room(&mut self, service: usize, out: &mut Vec<Action>) -> bool {
         if self.waiting() < self.tuning.limits.queue {
             return true;
@@ -123,9 +123,9 @@
     }
 
     fn send_next_queued(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let is_turn = self.stats.dequeued % OLDEST_FIRST_INTERVAL == OLDEST_FIRST_INTERVAL - 1;
-        if is_turn && on.has(Safeguard::Guarantee) {
+        if is_turn && enabled.has(Safeguard::Guarantee) {
             let heads = (0..self.services.len()).filter(|&s| !self.services[s].queue.is_empty());
             let mut heads: Vec<usize> = heads.collect();
             heads.sort_by_key(|&s| self.services[s].queue[0].arrived_at);
--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -51,9 +51,9 @@
     /// Returns whether the request may have crashed a target, and so has to run
     /// alone.
     pub(super) fn is_suspect(&self, job: &Job) -> bool {
-        let on = self.tuning.safeguards;
-        on.has(Safeguard::Poison)
-            && on.has(Safeguard::Quarantine)
+        let enabled = self.tuning.safeguards;
+        enabled.has(Safeguard::Poison)
+            && enabled.has(Safeguard::Quarantine)
             && self.suspects.strikes(job.arrival.fingerprint) > 0
     }
 
@@ -69,15 +69,15 @@
         if is_suspect {
             return self.pick_empty_target(now, service, job);
         }
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let state = &self.services[service];
         if job.arrival.origin == Origin::Peer
-            && on.has(Safeguard::PeerGate)
+            && enabled.has(Safeguard::PeerGate)
             && !has_spare_capacity(state)
         {
             return None;
         }
-        let skips_tried = on.has(Safeguard::OtherPlace);
+        let skips_tried = enabled.has(Safeguard::OtherPlace);
         let is_open = |endpoint: &Endpoint| !(skips_tried && job.was_sent_to(endpoint));
         if state.ejected > 0
             && let Some(pick) = self.pick_trial(now, state, &is_open)
@@ -86,17 +86,17 @@
         }
         let wait = latency::micros(state.outlook().wait());
         let is_fast = |endpoint: &Endpoint| {
-            !on.has(Safeguard::SlowTarget)
+            !enabled.has(Safeguard::SlowTarget)
                 || match endpoint.latency.speed(now, state.best_mean, wait) {
                     latency::Speed::Good => true,
                     latency::Speed::Uncertain => endpoint.in_flight == 0,
                     latency::Speed::Slow => false,
                 }
         };
-        let is_usable = |endpoint: &Endpoint| match endpoint.availability(now, on) {
+        let is_usable = |endpoint: &Endpoint| match endpoint.availability(now, enabled) {
             Availability::Free => is_fast(endpoint),
             Availability::Trial | Availability::Ejected | Availability::Busy => {
-                !on.has(Safeguard::Ejection) && !endpoint.is_reserved
+                !enabled.has(Safeguard::Ejection) && !endpoint.is_reserved
             }
             Availability::Leaving => false,
         };
@@ -112,7 +112,7 @@
             at.map(|i| (start + i) % count)
                 .map(|at| (at, &endpoints[state.locals[at].endpoint]))
                 .filter(|&(_, endpoint)| is_open(endpoint) && is_usable(endpoint))
-                .map(|(at, endpoint)| (at, endpoint.score(now, state.best_mean, on)))
+                .map(|(at, endpoint)| (at, endpoint.score(now, state.best_mean, enabled)))
         };
         let policy = self.tuning.policy;
         let found = policy.choose(scored(0..first), &mut self.rng);
@@ -131,22 +131,25 @@
         state: &ServiceState,
         is_open: &impl Fn(&Endpoint) -> bool,
     ) -> Option<Pick> {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let endpoints = self.endpoints.as_slice();
         let at = state.locals.iter().position(|local| {
             let endpoint = &endpoints[local.endpoint];
             let may_try = state.is_idempotent || endpoint.health.has_passed_probe();
-            may_try && is_open(endpoint) && endpoint.availability(now, on) == Availability::Trial
+            may_try
+                && is_open(endpoint)
+                && endpoint.availability(now, enabled) == Availability::Trial
         })?;
-        on.has(Safeguard::Ejection)
+        enabled
+            .has(Safeguard::Ejection)
             .then(|| target_at(state, endpoints, at, false))
     }
 
     /// Returns whether there is a usable target, with or without room, that the
     /// request was not sent to.
     pub(super) fn has_open_target(&self, now: Time, service: usize, job: &Job) -> bool {
-        let on = self.tuning.safeguards;
-        let skips_tried = on.has(Safeguard::OtherPlace);
+        let enabled = self.tuning.safeguards;
+        let skips_tried = enabled.has(Safeguard::OtherPlace);
         let endpoints = self.endpoints.as_slice();
         let mut locals = self.services[service]
             .locals
@@ -154,7 +157,7 @@
             .map(|l| &endpoints[l.endpoint]);
         locals.any(|endpoint| {
             let is_used = matches!(
-                endpoint.availability(now, on),
+                endpoint.availability(now, enabled),
                 Availability::Free | Availability::Busy
             );
             is_used && !(skips_tried && job.was_sent_to(endpoint))
@@ -165,7 +168,7 @@
     /// reserves the one with the fewest requests in flight: it gets no new ones
     /// until it is idle. Copies of a suspect run one at a time.
     fn pick_empty_target(&mut self, now: Time, service: usize, job: &Job) -> Option<Pick> {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let fingerprint = job.arrival.fingerprint;
         let is_running =
             |r: &super::Running| r.is_exclusive && r.job.arrival.fingerprint == fingerprint;
@@ -178,7 +181,7 @@
             !job.was_sent_to(endpoint)
                 && (endpoint.is_reserved
                     || matches!(
-                        endpoint.availability(now, on),
+                        endpoint.availability(now, enabled),
                         Availability::Free | Availability::Busy
                     ))
         };
@@ -271,7 +274,7 @@
         tier: core::ops::Range<usize>,
         closed_regions: &[Region],
     ) -> Option<usize> {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let count = tier.len();
         if count == 0 {
             return None;
@@ -290,7 +293,7 @@
             .filter(|(_, endpoint)| !job.was_sent_to(endpoint))
             .filter(|(_, endpoint)| {
                 matches!(
-                    endpoint.availability(now, on),
+                    endpoint.availability(now, enabled),
                     Availability::Free | Availability::Trial
                 )
             })
@@ -303,13 +306,13 @@
     /// nothing. One request at a time bounds the load on a target that does
     /// fail.
     pub(super) fn pick_ejected(&self, now: Time, service: usize, job: &Job) -> Option<Pick> {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let state = &self.services[service];
         let endpoints = self.endpoints.as_slice();
         let at = state.locals.iter().position(|local| {
             let endpoint = &endpoints[local.endpoint];
             let is_ejected = matches!(
-                endpoint.availability(now, on),
+                endpoint.availability(now, enabled),
                 Availability::Ejected | Availability::Trial
             );
             is_ejected && endpoint.in_flight == 0 && !job.was_sent_to(endpoint)
@@ -332,10 +335,10 @@
         job: &Job,
         left: Duration,
     ) -> Duration {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let state = &self.services[service];
         let has_others = state.locals.len() + state.remotes.len() > 1;
-        let is_bounded = on.has(Safeguard::AttemptBound)
+        let is_bounded = enabled.has(Safeguard::AttemptBound)
             && state.is_idempotent
             && has_others
             && pick.is_local()
--- a/crates/steer/src/process/dispatch/service.rs
+++ b/crates/steer/src/process/dispatch/service.rs
@@ -85,7 +85,7 @@
 
 impl ServiceState {
     /// Recomputes the fields that are derived from the endpoints.
-    pub fn refresh(&mut self, now: Time, table: &EndpointTable, on: Safeguards) {
+    pub fn refresh(&mut self, now: Time, table: &EndpointTable, enabled: Safeguards) {
         let endpoints = table.as_slice();
         let means = self
             .locals
@@ -96,11 +96,11 @@
         self.ejected = 0;
         for local in &self.locals {
             let endpoint = &endpoints[local.endpoint];
-            let availability = endpoint.availability(now, on);
+            let availability = endpoint.availability(now, enabled);
             let is_slow = endpoint.latency.speed(now, self.best_mean, 0) != latency::Speed::Good;
-            let is_slow = is_slow && on.has(Safeguard::SlowTarget);
+            let is_slow = is_slow && enabled.has(Safeguard::SlowTarget);
             if matches!(availability, Availability::Free | Availability::Busy) && !is_slow {
-                self.limit = self.limit.saturating_add(endpoint.limit(now, on));
+                self.limit = self.limit.saturating_add(endpoint.limit(now, enabled));
             }
             self.ejected += usize::from(matches!(
                 availability,
--- a/crates/steer/src/process/dispatch/upkeep.rs
+++ b/crates/steer/src/process/dispatch/upkeep.rs
@@ -20,8 +20,8 @@
 /// 6 ms; at this rate the 12 targets of a service lose 0.6 % together.
 pub const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
-/// Time without attempts, reports and probes after which a target is probed.
-/// While there is traffic, its outcomes are better evidence than probes.
+/// Time without ended attempts, reports and probes after which an idle target is
+/// probed. While there is traffic, its outcomes are better evidence than probes.
 pub const PROBE_SILENCE: Duration = Duration::from_secs(10);
 
 impl Dispatch {
@@ -43,25 +43,25 @@
 
     /// Refuses the waiting requests that can no longer be answered in time.
     fn refuse_expired(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         let outlook = self.services[service].outlook();
-        let run = if on.has(Safeguard::Admission) {
+        let run = if enabled.has(Safeguard::Admission) {
             outlook.mean
         } else {
             None
         };
-        let last = now + run.unwrap_or_default();
-        let late = |until: Time| last >= until;
+        let earliest_end = now + run.unwrap_or_default();
+        let is_late = |deadline: Time| earliest_end >= deadline;
         if !self.services[service]
             .queue
             .iter()
-            .any(|j| late(j.deadline))
+            .any(|j| is_late(j.deadline))
         {
             return;
         }
         let queue = mem::take(&mut self.services[service].queue);
         for job in queue {
-            if late(job.deadline) {
+            if is_late(job.deadline) {
                 self.refuse_job(&job, Reason::Deadline, outlook.wait(), out);
             } else {
                 self.services[service].queue.push_back(job);
@@ -71,15 +71,19 @@
 
     /// Places again the requests that wait but have no target left.
     fn place_stuck(&mut self, now: Time, service: usize, out: &mut Vec<Action>) {
-        let stuck = |d: &Self, job: &Job| !d.has_open_target(now, service, job);
-        if !self.services[service].queue.iter().any(|j| stuck(self, j)) {
+        let is_stuck = |d: &Self, job: &Job| !d.has_open_target(now, service, job);
+        if !self.services[service]
+            .queue
+            .iter()
+            .any(|j| is_stuck(self, j))
+        {
             return;
         }
         let queue = mem::take(&mut self.services[service].queue);
-        let (gone, kept) = queue.into_iter().partition(|j| stuck(self, j));
+        let (stuck, kept) = queue.into_iter().partition(|j| is_stuck(self, j));
         self.services[service].queue = kept;
-        let gone: VecDeque<Job> = gone;
-        for job in gone {
+        let stuck: VecDeque<Job> = stuck;
+        for job in stuck {
             self.place(now, service, job, out);
         }
     }
@@ -108,13 +112,13 @@
             return;
         }
         for service in &self.services {
-            let waits = service.queue.iter().any(|j| self.is_suspect(j));
-            for local in service.locals.iter().filter(|_| !waits) {
+            let has_suspect = service.queue.iter().any(|j| self.is_suspect(j));
+            for local in service.locals.iter().filter(|_| !has_suspect) {
                 let endpoint = &self.endpoints.as_slice()[local.endpoint];
-                let exclusive =
+                let runs_alone =
                     |r: &super::Running| r.is_exclusive && *r.destination.name() == endpoint.name;
-                let used = self.running.iter().any(exclusive);
-                self.endpoints.as_mut_slice()[local.endpoint].is_reserved &= used;
+                let is_used = self.running.iter().any(runs_alone);
+                self.endpoints.as_mut_slice()[local.endpoint].is_reserved &= is_used;
             }
         }
     }
@@ -126,8 +130,8 @@
         if now.since(self.last_probe) < PROBE_INTERVAL_MIN {
             return;
         }
-        let on = self.tuning.safeguards;
-        let mut silent: Option<(Time, usize, usize)> = None;
+        let enabled = self.tuning.safeguards;
+        let mut longest: Option<(Time, usize, usize)> = None;
         for (at, service) in self.services.iter().enumerate() {
             for (nth, local) in service.locals.iter().enumerate() {
                 let endpoint = &self.endpoints.as_slice()[local.endpoint];
@@ -135,16 +139,16 @@
                     endpoint,
                     now,
                     service.is_idempotent,
-                    endpoint.availability(now, on),
+                    endpoint.availability(now, enabled),
                 ) {
                     continue;
                 }
-                if silent.is_none_or(|s| endpoint.last_evidence < s.0) {
-                    silent = Some((endpoint.last_evidence, at, nth));
+                if longest.is_none_or(|s| endpoint.last_evidence < s.0) {
+                    longest = Some((endpoint.last_evidence, at, nth));
                 }
             }
         }
-        let Some((_, service, nth)) = silent else {
+        let Some((_, service, nth)) = longest else {
             return;
         };
         self.last_probe = now;
--- a/crates/steer/src/process/dispatch/view_update.rs
+++ b/crates/steer/src/process/dispatch/view_update.rs
@@ -31,7 +31,7 @@
     pub(super) fn apply_view(&mut self, now: Time, view: Arc<View>, out: &mut Vec<Action>) {
         let is_first = self.view.version.0 == 0;
         let own_domain = view.domain(&self.identity.domain);
-        self.region = own_domain.map(|h| view.domains[h].region);
+        self.region = own_domain.map(|d| view.domains[d].region);
         let has_joined = has_new_member(&self.view, &view);
         self.view = view;
         if has_joined {
@@ -68,9 +68,9 @@
 
     /// Recomputes the fields of all services that are derived from endpoints.
     pub(super) fn refresh(&mut self, now: Time) {
-        let on = self.tuning.safeguards;
+        let enabled = self.tuning.safeguards;
         for state in &mut self.services {
-            state.refresh(now, &self.endpoints, on);
+            state.refresh(now, &self.endpoints, enabled);
         }
     }
 
@@ -184,10 +184,10 @@
             Some(kept) => (kept.queue, kept.queued_since, kept.latency, kept.best_mean),
             None => (VecDeque::new(), Time::ZERO, latency::Latency::default(), 0),
         };
-        let here = |r: &&super::Running| r.job.arrival.service == data.name;
-        let on_target =
+        let is_of_service = |r: &&super::Running| r.job.arrival.service == data.name;
+        let is_on_target =
             |r: &&super::Running| matches!(r.destination, super::Destination::Target { .. });
-        let running: Vec<_> = self.running.iter().filter(here).collect();
+        let running: Vec<_> = self.running.iter().filter(is_of_service).collect();
         let mut locals = self.locals(service, own_domain);
         let subset = self.subset(own_domain, &mut locals);
         ServiceState {
@@ -207,7 +207,7 @@
             best_mean,
             limit: 0,
             ejected: 0,
-            local_running: u32::try_from(running.iter().filter(|r| on_target(r)).count())
+            local_running: u32::try_from(running.iter().filter(|r| is_on_target(r)).count())
                 .unwrap_or(u32::MAX),
             in_flight: running.len(),
         }
@@ -240,27 +240,28 @@
     fn locals(&self, service: Service, own_domain: Option<Domain>) -> Vec<Local> {
         let view = &self.view;
         let name = &view.services[service].name;
-        let here = view.targets.iter().filter(|(key, data)| {
+        let served = view.targets.iter().filter(|(key, data)| {
             data.service == service && Some(view.target_domain(*key)) == own_domain
         });
-        here.filter_map(|(_, data)| {
-            let endpoint = self.endpoints.find(Kind::Target, &data.name, name).ok()?;
-            Some(Local {
-                endpoint,
-                addr: data.addr,
+        served
+            .filter_map(|(_, data)| {
+                let endpoint = self.endpoints.find(Kind::Target, &data.name, name).ok()?;
+                Some(Local {
+                    endpoint,
+                    addr: data.addr,
+                })
             })
-        })
-        .collect()
+            .collect()
     }
 
     fn remotes(&self, service: Service, own_domain: Option<Domain>) -> Vec<Remote> {
         let view = &self.view;
         let name = &view.services[service].name;
         let domains = serving(view, service);
-        let there = view.members.iter().filter(|(_, data)| {
+        let peers = view.members.iter().filter(|(_, data)| {
             Some(data.domain) != own_domain && domains.binary_search(&data.domain).is_ok()
         });
-        there
+        peers
             .filter_map(|(member, data)| {
                 let region = view.domains[data.domain].region;
                 Some(Remote {
--- a/crates/steer/src/process/target.rs
+++ b/crates/steer/src/process/target.rs
@@ -156,18 +156,18 @@
     /// Returns whether the view says that the endpoint is leaving, or a recent
     /// report or refusal does.
     #[must_use]
-    pub fn is_leaving(&self, now: Time, on: Safeguards) -> bool {
+    pub fn is_leaving(&self, now: Time, enabled: Safeguards) -> bool {
         let is_reported = self
             .leaving_since
             .is_some_and(|at| now < at + LEAVING_HOLD_TIME);
-        self.state == State::Leaving || (is_reported && on.has(Safeguard::Leaving))
+        self.state == State::Leaving || (is_reported && enabled.has(Safeguard::Leaving))
     }
 
     /// Share of the slots that may be used, in thousandths; below 1000 while
     /// the endpoint is cold.
     #[must_use]
-    pub fn ramp_permille(&self, now: Time, on: Safeguards) -> u64 {
-        let Some(cold) = self.cold_since.filter(|_| on.has(Safeguard::Ramp)) else {
+    pub fn ramp_permille(&self, now: Time, enabled: Safeguards) -> u64 {
+        let Some(cold) = self.cold_since.filter(|_| enabled.has(Safeguard::Ramp)) else {
             return 1000;
         };
         let full = latency::micros(RAMP_TIME);
@@ -177,44 +177,44 @@
 
     /// Requests that this instance may have in flight there, at least one.
     #[must_use]
-    pub fn limit(&self, now: Time, on: Safeguards) -> u32 {
-        if !on.has(Safeguard::OwnCount) {
+    pub fn limit(&self, now: Time, enabled: Safeguards) -> u32 {
+        if !enabled.has(Safeguard::OwnCount) {
             return u32::MAX;
         }
-        let warm = u64::from(self.slots) * self.ramp_permille(now, on) / 1000;
+        let warm = u64::from(self.slots) * self.ramp_permille(now, enabled) / 1000;
         let warm = u32::try_from(warm).unwrap_or(u32::MAX);
         self.window.limit().min(warm).max(1)
     }
 
     /// Returns whether the endpoint may be sent a request now.
     #[must_use]
-    pub fn availability(&self, now: Time, on: Safeguards) -> Availability {
-        if self.is_leaving(now, on) {
+    pub fn availability(&self, now: Time, enabled: Safeguards) -> Availability {
+        if self.is_leaving(now, enabled) {
             return Availability::Leaving;
         }
         match self.health.status(now) {
             health::Status::Ejected => Availability::Ejected,
             _ if self.is_reserved => Availability::Busy,
             health::Status::TrialDue if self.in_flight == 0 => Availability::Trial,
-            health::Status::Healthy if self.has_room(now, on) => Availability::Free,
+            health::Status::Healthy if self.has_room(now, enabled) => Availability::Free,
             health::Status::TrialDue | health::Status::Healthy => Availability::Busy,
         }
     }
 
-    fn has_room(&self, now: Time, on: Safeguards) -> bool {
-        !self.window.is_paused(now) && self.in_flight < self.limit(now, on)
+    fn has_room(&self, now: Time, enabled: Safeguards) -> bool {
+        !self.window.is_paused(now) && self.in_flight < self.limit(now, enabled)
     }
 
     /// Cost of one more request there; lower is better. `best` is the lowest
     /// mean latency among the endpoints compared, in microseconds.
     #[must_use]
-    pub fn score(&self, now: Time, best: u64, on: Safeguards) -> u64 {
-        let reported = self.reported.extra_load(now, self.slots, on);
-        if !on.has(Safeguard::OwnCount) {
+    pub fn score(&self, now: Time, best: u64, enabled: Safeguards) -> u64 {
+        let reported = self.reported.extra_load(now, self.slots, enabled);
+        if !enabled.has(Safeguard::OwnCount) {
             return reported;
         }
         let load = u64::from(self.in_flight + 1) * 1000 + reported;
-        load * self.latency.ratio(now, best) / self.ramp_permille(now, on)
+        load * self.latency.ratio(now, best) / self.ramp_permille(now, enabled)
     }
 }
 
--- a/crates/steer/src/process/target/report.rs
+++ b/crates/steer/src/process/target/report.rs
@@ -50,9 +50,9 @@
 
     /// Load to add to this instance's own count, in thousandths of a request.
     #[must_use]
-    pub fn extra_load(&self, now: Time, slots: u32, on: Safeguards) -> u64 {
+    pub fn extra_load(&self, now: Time, slots: u32, enabled: Safeguards) -> u64 {
         let Some(at) = self.reported_at else { return 0 };
-        if !on.has(Safeguard::ReportBound) {
+        if !enabled.has(Safeguard::ReportBound) {
             return self.load;
         }
         if now.since(at) > REPORT_TTL {
