--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -84,7 +84,7 @@
         {
             return Some(pick);
         }
-        let wait = latency::micros(state.outlook().wait());
+        let wait = latency::micros(state.estimate().wait());
         let is_fast = |endpoint: &Endpoint| {
             !enabled.has(Safeguard::SlowTarget)
                 || match endpoint.latency.speed(now, state.best_mean, wait) {
@@ -229,7 +229,7 @@
         if job.arrival.origin == Origin::Peer || (self.is_suspect(job) && state.limit > 0) {
             return Ok(None);
         }
-        let run = state.outlook().run();
+        let run = state.estimate().run_time();
         let tiers = [
             (SAME_REGION_HOP, 0..state.same_region),
             (CROSS_REGION_HOP, state.same_region..state.remotes.len()),
@@ -342,7 +342,7 @@
             && state.is_idempotent
             && has_others
             && pick.is_local()
-            && self.budget.any();
+            && self.budget.has_retry();
         match state.latency.high().filter(|_| is_bounded) {
             Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
             None if is_bounded && is_first_unmeasured(state, job) => left / 2,
@@ -354,7 +354,7 @@
     /// refused.
     pub(super) fn is_poisoned(&self, job: &Job) -> bool {
         self.tuning.safeguards.has(Safeguard::Poison)
-            && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES
+            && self.suspects.strikes(job.arrival.fingerprint) >= poison::STRIKES_MAX
     }
 }
 
--- a/crates/steer/src/process/traffic/message.rs
+++ b/crates/steer/src/process/traffic/message.rs
@@ -36,14 +36,14 @@
     /// An [`Action::Ask`] ended.
     AskEnded {
         /// Id of the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// Reply of the peer; `None` if none was received.
-        reply: Option<record::Word>,
+        reply: Option<record::Reply>,
     },
     /// A peer asks this process; [`Action::Respond`] answers.
     PeerAsked {
         /// The driver's id of the question, never reused.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The question.
         question: record::Question,
     },
@@ -90,7 +90,7 @@
     /// A peer asks for a part of a cap; [`Action::Lend`] answers.
     LoanRequested {
         /// The driver's id of the request.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// Route of the cap.
         route: share::Route,
         /// Amount requested, per second.
@@ -159,7 +159,7 @@
     /// Ask a peer; report back by [`Event::AskEnded`].
     Ask {
         /// Id of the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The peer.
         peer: gate::Peer,
         /// The question.
@@ -170,9 +170,9 @@
     /// Answer a peer's question.
     Respond {
         /// The driver's id of the question.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// The reply.
-        reply: record::Word,
+        reply: record::Reply,
     },
     /// Call the platform's store; report back by [`Event::Stored`].
     Store {
@@ -207,7 +207,7 @@
     /// Answer a peer that asked for a part of a cap.
     Lend {
         /// The driver's id of the request.
-        ask: record::AskId,
+        ask: record::QuestionId,
         /// Amount lent, per second; zero if none is.
         amount: u64,
     },
