--- a/crates/auburnrouter/src/direct/dump.rs
+++ b/crates/auburnrouter/src/direct/dump.rs
@@ -111,7 +111,7 @@
             instances: direct.others(now).map(|o| Arc::clone(o.0)).collect(),
             stale_ms: direct.staleness(now).map(millis),
             quotas: direct
-                .quota_stocks()
+                .held_tokens()
                 .map(|(team, tokens, rate)| QuotaUse {
                     team: Arc::clone(team),
                     tokens,
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -85,7 +85,7 @@
 /// regular pace, and at once when a request begins to wait for a token.
 pub async fn report_quotas(shared: Arc<Shared>, socket: net::UdpSocket) {
     loop {
-        let pace = shared.read(|_, d| d.report_pace());
+        let pace = shared.read(|_, d| d.report_interval());
         let due = async {
             smol::Timer::after(pace).await;
         };
@@ -93,9 +93,9 @@
         let due = {
             let mut steering = lock(&shared.steering);
             let now = shared.now();
-            steering.direct.report_quotas(now)
+            steering.direct.quota_reports(now)
         };
-        for quota::Due { addr, report } in due {
+        for quota::OutgoingReport { addr, report } in due {
             let report = Message::Report(report.into()).encode();
             // A failed send counts as a lost datagram: the next report follows soon.
             let _ = socket.send_to(&report, addr).await;
@@ -125,7 +125,7 @@
                 let grant = {
                     let mut steering = lock(&shared.steering);
                     let now = shared.now();
-                    steering.direct.take_report(now, report.into())
+                    steering.direct.receive_report(now, report.into())
                 };
                 let grant = Message::Grant(grant.into()).encode();
                 // A failed send counts as a lost datagram: the answer to the next
@@ -134,7 +134,7 @@
             }
             Ok(Message::Grant(grant)) => {
                 let grant = quota::Grant::from(grant);
-                shared.decide(|now, direct| direct.take_grant(now, &grant));
+                shared.decide(|now, direct| direct.receive_grant(now, &grant));
             }
             Err(error) => events::input_rejected(&shared, "datagram", &error.to_string()),
         }
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -180,7 +180,7 @@
             steering.deliver(decision);
         }
         let waiting = steering.direct.waiting_count() > 0;
-        let urgent = steering.direct.take_urgent();
+        let urgent = steering.direct.take_report_due();
         drop(steering);
         if urgent {
             self.is_quota_urgent.store(true, Ordering::Relaxed);
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -161,7 +161,7 @@
         if is_newer {
             let before = self.routes.replace(routes);
             let teams = before.as_ref().map(|r| r.teams.all());
-            self.quotas_changed(teams.unwrap_or_default());
+            self.apply_quotas(teams.unwrap_or_default());
         }
         is_newer
     }
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -22,7 +22,7 @@
         let job = self.jobs.remove(at);
         match &job.state {
             State::InFlight { target, .. } => self.end_in_flight(target),
-            State::Waiting => self.give_back(now, &job),
+            State::Waiting => self.refund_token(now, &job),
         }
     }
 
@@ -181,7 +181,7 @@
         if may_have_run {
             return FollowUp::Settled;
         }
-        self.give_back(now, &job);
+        self.refund_token(now, &job);
         FollowUp::Reject {
             after: Self::retry_after(&job, 0.0),
         }
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -150,7 +150,7 @@
         after: Option<Duration>,
     ) -> Decision {
         let job = self.jobs.remove(at);
-        self.give_back(now, &job);
+        self.refund_token(now, &job);
         Decision::Reject {
             ticket: job.ticket,
             why: job.rejection(reason),
--- a/crates/steer/src/process/direct/quota.rs
+++ b/crates/steer/src/process/direct/quota.rs
@@ -14,15 +14,15 @@
 //! late, doubled or out of order: what was handed out is told as a sum.
 
 mod link;
+mod local;
 mod message;
 mod pool;
 mod rule;
-mod stock;
 
 use core::time::Duration;
 use std::sync::Arc;
 
-pub use message::{Due, Given, Grant, Level, Need, Report, team_hash};
+pub use message::{Grant, Level, Need, OutgoingReport, Report, TeamGrant, team_hash};
 pub use rule::Rule;
 
 use super::members::Registration;
@@ -32,18 +32,18 @@
 use crate::version::teams::{Quota, Team};
 
 /// Time between reports. The same in a fleet of any size: an instance that reports
-/// less often than [`pool::HEARD`] counts as silent.
-const PACE: Duration = Duration::from_millis(250);
+/// less often than [`pool::REPORT_TIMEOUT`] counts as silent.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time between reports while a request waits.
-const PACE_WAITING: Duration = Duration::from_millis(40);
+const REPORT_INTERVAL_WAITING: Duration = Duration::from_millis(40);
 
 /// Shortest time between two reports of a region. What crosses regions is paid by
 /// the byte, and a large region always lacks some team's tokens.
-const PRESS: Duration = Duration::from_millis(100);
+const REGION_REPORT_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
 /// The terms of all teams' buckets, sorted by mark.
-fn all_terms(teams: &[Arc<Team>], rule: Rule) -> Vec<(u64, pool::Terms)> {
+fn bucket_terms(teams: &[Arc<Team>], rule: Rule) -> Vec<(u64, pool::Terms)> {
     let of = |team: &Arc<Team>| {
         let quota = team.quota?;
         let bucket = pool::Terms {
@@ -63,19 +63,19 @@
     /// Sorted by team's mark.
     terms: Vec<(u64, pool::Terms)>,
     /// Tokens that it holds, and whom it asks for more in its region.
-    stock: stock::Stock,
-    near: link::Link,
+    cache: local::TokenCache,
+    region_link: link::Link,
     /// Tokens of its region while it hands them out there, those on their way to
     /// it, and whom it asks for more in the fleet.
-    region: pool::Pool,
-    upper: stock::Stock,
-    far: link::Link,
+    region_pool: pool::Pool,
+    region_cache: local::TokenCache,
+    fleet_link: link::Link,
     /// The fleet's tokens while it hands them out to regions.
-    fleet: pool::Pool,
+    fleet_pool: pool::Pool,
     /// Whether a request has begun to wait for a token.
-    urgent: bool,
+    is_report_due: bool,
     /// When it last asked for more for its region.
-    pressed: Time,
+    region_asked_at: Time,
 }
 
 impl Direct {
@@ -86,23 +86,23 @@
     }
 
     /// Whether a request has begun to wait for a token since this was asked.
-    pub const fn take_urgent(&mut self) -> bool {
-        core::mem::replace(&mut self.quotas.urgent, false)
+    pub const fn take_report_due(&mut self) -> bool {
+        core::mem::replace(&mut self.quotas.is_report_due, false)
     }
 
     /// Time until the next report: soon where requests wait for tokens that have
     /// a way to go.
     #[must_use]
-    pub fn report_pace(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         if self.jobs.iter().any(|j| j.admission == Admission::Waiting) {
-            PACE_WAITING
+            REPORT_INTERVAL_WAITING
         } else {
-            PACE
+            REPORT_INTERVAL
         }
     }
 
     /// Takes a token for the request at `at`. `Some` if it may not go on now.
-    pub(super) fn admit(&mut self, now: Time, at: usize) -> Option<Held> {
+    pub(super) fn admit(&mut self, now: Time, at: usize) -> Option<Blocked> {
         let job = &self.jobs[at];
         let team = Arc::clone(&job.request.authorized.as_ref()?.team);
         let (Some(quota), Admission::New | Admission::Waiting) = (team.quota, job.admission) else {
@@ -110,36 +110,36 @@
         };
         let first = job.admission == Admission::New;
         let arrived = job.arrived;
-        let alone = self.quotas.stock.is_alone(now);
-        let share = alone.then(|| self.share(&team, &quota));
-        let stock = &mut self.quotas.stock;
+        let alone = self.quotas.cache.is_without_pool(now);
+        let share = alone.then(|| self.local_share(&team, &quota));
+        let stock = &mut self.quotas.cache;
         let verdict = stock.take(now, &team.name, first, arrived, share);
         let job = &mut self.jobs[at];
         match verdict {
-            stock::Verdict::Admitted => {
+            local::Verdict::Admitted => {
                 job.admission = Admission::Admitted;
                 None
             }
-            stock::Verdict::Wait => {
+            local::Verdict::Wait => {
                 job.admission = Admission::Waiting;
-                self.quotas.urgent |= first;
-                Some(Held::Waits)
+                self.quotas.is_report_due |= first;
+                Some(Blocked::Waiting)
             }
-            stock::Verdict::Refused(after) => Some(Held::Refused(after)),
+            local::Verdict::Refused(after) => Some(Blocked::Refused(after)),
         }
     }
 
     /// Gives a token back for a request that hasn't run and will not.
-    pub(super) fn give_back(&mut self, now: Time, job: &super::job::Job) {
+    pub(super) fn refund_token(&mut self, now: Time, job: &super::job::Job) {
         let unused = job.admission == Admission::Admitted && !job.may_have_run;
         if let Some(pass) = job.request.authorized.as_ref().filter(|_| unused) {
             let since = now.since(job.arrived);
-            self.quotas.stock.give_back(&pass.team.name, since);
+            self.quotas.cache.put_back(&pass.team.name, since);
         }
     }
 
     /// This instance's part of a team's bucket while it is alone with it.
-    fn share(&self, team: &Team, quota: &Quota) -> stock::Share {
+    fn local_share(&self, team: &Team, quota: &Quota) -> local::LocalShare {
         let count = self.participants.len() + 1;
         let capacity = self.bounds.quota.capacity(quota);
         #[allow(clippy::cast_precision_loss, reason = "instances are few")]
@@ -165,14 +165,14 @@
         };
         #[allow(clippy::cast_precision_loss, reason = "instances are few")]
         let rate = self.bounds.quota.rate(quota) / count as f64;
-        stock::Share {
+        local::LocalShare {
             capacity: part,
             rate,
         }
     }
 
     /// A new configuration is in force in place of `before`.
-    pub(super) fn quotas_changed(&mut self, before: &[Arc<Team>]) {
+    pub(super) fn apply_quotas(&mut self, before: &[Arc<Team>]) {
         let Some(routes) = &self.routes else { return };
         let rule = self.bounds.quota;
         let capacity = |team: &Team| team.quota.map(|q| rule.capacity(&q));
@@ -181,21 +181,21 @@
             let old = old.ok().and_then(|at| capacity(&before[at]));
             match (old, capacity(team)) {
                 (Some(old), Some(new)) if new < old => {
-                    self.quotas.stock.shrink(&team.name, new / old);
+                    self.quotas.cache.scale(&team.name, new / old);
                 }
-                (None, Some(_)) => self.quotas.stock.shrink(&team.name, 0.0),
+                (None, Some(_)) => self.quotas.cache.scale(&team.name, 0.0),
                 _ => {}
             }
         }
-        let terms = all_terms(routes.teams.all(), rule);
+        let terms = bucket_terms(routes.teams.all(), rule);
         let marks: Vec<u64> = terms.iter().map(|(team, _)| *team).collect();
-        self.quotas.stock.keep_teams(&marks);
+        self.quotas.cache.keep_teams(&marks);
         self.quotas.terms = terms;
     }
 
     /// What is to be told about tokens now, and to whom. What this instance itself
     /// hands out is taken at once.
-    pub fn report_quotas(&mut self, now: Time) -> Vec<Due> {
+    pub fn quota_reports(&mut self, now: Time) -> Vec<OutgoingReport> {
         if !self.has_quotas() {
             return Vec::new();
         }
@@ -210,103 +210,111 @@
                     .map(|p| team_hash(&p.team.name))
             })
             .collect();
-        self.settle_links(now);
+        self.choose_pools(now);
         let (name, life) = (Arc::clone(&self.identity.name), self.identity.incarnation);
         let quotas = &mut self.quotas;
-        let own = quotas.stock.report(now, Arc::clone(&name), life, &waiting);
-        let mut due: Vec<Due> = self.address(now, own).into_iter().collect();
+        let own = quotas.cache.report(now, Arc::clone(&name), life, &waiting);
+        let mut due: Vec<OutgoingReport> = self.deliver(now, own).into_iter().collect();
         let quotas = &mut self.quotas;
-        if quotas.region.is_asked(now) && now.since(quotas.pressed) >= PRESS {
-            quotas.pressed = now;
+        if quotas.region_pool.is_active(now)
+            && now.since(quotas.region_asked_at) >= REGION_REPORT_INTERVAL_MIN
+        {
+            quotas.region_asked_at = now;
             let teams = quotas.terms.iter().map(|(team, _)| *team);
-            let needs = quotas.region.needs(now, teams);
-            let count = quotas.region.count(now);
-            let upper = quotas.upper.report_for(now, name, life, &needs, count);
-            due.extend(self.address(now, upper.to(Level::Fleet)));
+            let needs = quotas.region_pool.needs(now, teams);
+            let count = quotas.region_pool.represented(now);
+            let upper = quotas
+                .region_cache
+                .report_for(now, name, life, &needs, count);
+            due.extend(self.deliver(now, upper.with_level(Level::Fleet)));
         }
-        due.extend(self.farewells(now));
+        due.extend(self.final_reports(now));
         due
     }
 
     /// Tells whoever was asked before that it no longer is.
-    fn farewells(&mut self, now: Time) -> Vec<Due> {
+    fn final_reports(&mut self, now: Time) -> Vec<OutgoingReport> {
         let own = Arc::clone(&self.identity.name);
         let life = self.identity.incarnation;
         let quotas = &mut self.quotas;
         let links = [
-            (Level::Region, &mut quotas.near, &mut quotas.stock),
-            (Level::Fleet, &mut quotas.far, &mut quotas.upper),
+            (Level::Region, &mut quotas.region_link, &mut quotas.cache),
+            (
+                Level::Fleet,
+                &mut quotas.fleet_link,
+                &mut quotas.region_cache,
+            ),
         ];
         let mut told = Vec::new();
         for (level, link, stock) in links {
             for to in link.previous(now) {
-                let report = stock.farewell(Arc::clone(&own), life, level);
+                let report = stock.final_report(Arc::clone(&own), life, level);
                 told.push((to, report));
             }
         }
         let mut due = Vec::new();
         for (to, report) in told {
             if to == own {
-                let grant = self.take_report(now, report);
-                self.take_grant(now, &grant);
+                let grant = self.receive_report(now, report);
+                self.receive_grant(now, &grant);
             } else if let Some(row) = self.members.registration(&to) {
                 let addr = row.heartbeats;
-                due.push(Due { addr, report });
+                due.push(OutgoingReport { addr, report });
             }
         }
         due
     }
 
     /// Where a report goes; `None` if it goes to this instance, which takes it.
-    fn address(&mut self, now: Time, report: Report) -> Option<Due> {
+    fn deliver(&mut self, now: Time, report: Report) -> Option<OutgoingReport> {
         let link = match report.level {
-            Level::Region => &self.quotas.near,
-            Level::Fleet => &self.quotas.far,
+            Level::Region => &self.quotas.region_link,
+            Level::Fleet => &self.quotas.fleet_link,
         };
         let asked = Arc::clone(link.asked()?);
         if asked == self.identity.name {
-            let grant = self.take_report(now, report);
-            self.take_grant(now, &grant);
+            let grant = self.receive_report(now, report);
+            self.receive_grant(now, &grant);
             return None;
         }
         let row = self.others(now).find(|(name, _)| **name == asked);
         let addr = row.map(|(_, row)| row.heartbeats)?;
-        Some(Due { addr, report })
+        Some(OutgoingReport { addr, report })
     }
 
     /// A report of an instance, this one among them; says what it is given.
-    pub fn take_report(&mut self, now: Time, report: Report) -> Grant {
-        let (to, session, level) = (report.life, report.session, report.level);
-        let given = self.give(now, report);
+    pub fn receive_report(&mut self, now: Time, report: Report) -> Grant {
+        let (to, session, level) = (report.incarnation, report.session, report.level);
+        let given = self.answer_report(now, report);
         Grant {
             name: Arc::clone(&self.identity.name),
-            life: self.identity.incarnation,
+            incarnation: self.identity.incarnation,
             level,
-            to,
+            recipient: to,
             session,
-            given,
+            grants: given,
         }
     }
 
-    fn give(&mut self, now: Time, report: Report) -> Vec<Given> {
+    fn answer_report(&mut self, now: Time, report: Report) -> Vec<TeamGrant> {
         let count = self.participants.len() + 1;
         let level = report.level;
         let fleet = level == Level::Fleet;
         let Quotas {
-            region,
-            upper,
-            fleet: all,
+            region_pool: region,
+            region_cache: upper,
+            fleet_pool: all,
             terms,
-            urgent,
-            pressed,
+            is_report_due: urgent,
+            region_asked_at: pressed,
             ..
         } = &mut self.quotas;
         let pool = if fleet { all } else { region };
-        let Some(at) = pool.hear(now, &report, self.identity.incarnation) else {
+        let Some(at) = pool.note_report(now, &report, self.identity.incarnation) else {
             return Vec::new();
         };
-        let alone = fleet || upper.is_alone(now);
-        let part = pool.part(now, count);
+        let alone = fleet || upper.is_without_pool(now);
+        let part = pool.fraction(now, count);
         let mut given = Vec::new();
         for need in report.needs {
             let Ok(found) = terms.binary_search_by_key(&need.team, |(team, _)| *team) else {
@@ -314,55 +322,55 @@
             };
             let terms = terms[found].1;
             if alone {
-                pool.accrue(now, need.team, part, &terms);
+                pool.refill(now, need.team, part, &terms);
                 let (capacity, rate) = (terms.capacity * part, terms.rate * part);
-                given.push(pool.give(now, at, &need, (level, capacity, rate)));
+                given.push(pool.grant(now, at, &need, (level, capacity, rate)));
                 continue;
             }
             let new = upper.drain(now, need.team);
-            let capacity = pool.add(now, need.team, new.tokens);
-            let mut part = pool.give(now, at, &need, (level, capacity, new.rate));
+            let capacity = pool.deposit(now, need.team, new.tokens);
+            let mut part = pool.grant(now, at, &need, (level, capacity, new.rate));
             // What a region can't give is asked for at once.
-            let lacks = part.dry || pool.is_low(need.team, capacity);
-            *urgent |= lacks && now.since(*pressed) >= PRESS;
-            part.dry &= new.dry;
+            let lacks = part.is_exhausted || pool.is_low(need.team, capacity);
+            *urgent |= lacks && now.since(*pressed) >= REGION_REPORT_INTERVAL_MIN;
+            part.is_exhausted &= new.is_exhausted;
             given.push(part);
         }
         given
     }
 
     /// What another instance, or this one, hands out.
-    pub fn take_grant(&mut self, now: Time, grant: &Grant) {
+    pub fn receive_grant(&mut self, now: Time, grant: &Grant) {
         let quotas = &mut self.quotas;
         let (link, stock) = match grant.level {
-            Level::Region => (&mut quotas.near, &mut quotas.stock),
-            Level::Fleet => (&mut quotas.far, &mut quotas.upper),
+            Level::Region => (&mut quotas.region_link, &mut quotas.cache),
+            Level::Fleet => (&mut quotas.fleet_link, &mut quotas.region_cache),
         };
-        if grant.to != self.identity.incarnation {
+        if grant.recipient != self.identity.incarnation {
             return;
         }
         if grant.session == 0 {
-            if link.released(&grant.name) {
-                stock.released();
+            if link.note_release(&grant.name) {
+                stock.note_release();
             }
             return;
         }
-        if !link.answered(now, &grant.name) {
+        if !link.note_answer(now, &grant.name) {
             return;
         }
         // What was asked for before this incarnation was known has to be asked for
         // again.
-        quotas.urgent |= stock.receive(now, grant);
+        quotas.is_report_due |= stock.receive(now, grant);
         if grant.level == Level::Fleet {
-            for given in &grant.given {
-                quotas.region.trim(now, given.team, given.keep);
+            for given in &grant.grants {
+                quotas.region_pool.trim(now, given.team, given.held_max);
             }
         }
     }
 
     /// Finds whom to ask: the first by hash of the region and of the fleet, of
     /// those that are there and answer.
-    fn settle_links(&mut self, now: Time) {
+    fn choose_pools(&mut self, now: Time) {
         let own = &self.identity.name;
         let home = &self.identity.registration.region;
         let others: Vec<(Arc<str>, bool)> = self
@@ -372,23 +380,23 @@
             .chain([(Arc::clone(own), true)])
             .collect();
         let near = others.iter().filter(|o| o.1).map(|o| &o.0);
-        if self.quotas.near.settle(now, own, near) {
-            self.quotas.stock.change_pool(now);
+        if self.quotas.region_link.choose(now, own, near) {
+            self.quotas.cache.change_pool(now);
         }
         if self
             .quotas
-            .far
-            .settle(now, own, others.iter().map(|o| &o.0))
+            .fleet_link
+            .choose(now, own, others.iter().map(|o| &o.0))
         {
-            self.quotas.upper.change_pool(now);
+            self.quotas.region_cache.change_pool(now);
         }
     }
 
     /// Tokens held of each team with a quota, and its requests a second.
-    pub fn quota_stocks(&self) -> impl Iterator<Item = (&Arc<str>, f64, f64)> {
+    pub fn held_tokens(&self) -> impl Iterator<Item = (&Arc<str>, f64, f64)> {
         let teams = self.routes.iter().flat_map(|r| r.teams.all());
         teams.filter_map(|team| {
-            let account = self.quotas.stock.get(team_hash(&team.name))?;
+            let account = self.quotas.cache.get(team_hash(&team.name))?;
             team.quota?;
             Some((&team.name, account.0, account.1))
         })
@@ -397,18 +405,18 @@
 
 /// Why a request doesn't go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Held {
+pub(super) enum Blocked {
     /// It waits for a token.
-    Waits,
+    Waiting,
     /// Its team is over its quota; a token is there after this time.
     Refused(Duration),
 }
 
-impl Held {
+impl Blocked {
     /// What it means for a request, `None` if it stays.
     pub(super) const fn verdict(self) -> Option<(Rejection, Duration)> {
         match self {
-            Self::Waits => None,
+            Self::Waiting => None,
             Self::Refused(after) => Some((Rejection::Quota, after)),
         }
     }
--- a/crates/steer/src/process/direct/quota/stock.rs
+++ b/crates/steer/src/process/direct/quota/local.rs
@@ -10,54 +10,56 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::message::{Grant, Level, Need, PARTS, Report, team_hash, whole};
+use super::message::{
+    Grant, Level, Need, Report, WANTED_UNITS_PER_TOKEN, saturating_u32, team_hash,
+};
 use super::pool;
 use crate::clock::Time;
 
 /// Seconds of requests that tokens are held for.
-const HORIZON: f64 = 1.5;
+const PREFETCH_SECONDS: f64 = 1.5;
 
 /// Time over which the rate of requests is averaged, in seconds.
-const AVERAGE: f64 = 4.0;
+const RATE_AVERAGE_SECONDS: f64 = 4.0;
 
 /// Requests a second below which no tokens are held.
-const IDLE: f64 = 0.05;
+const IDLE_RATE_MAX: f64 = 0.05;
 
 /// Time without a word of a pool after which an instance fills its own part.
-const ALONE: Duration = Duration::from_secs(1);
+const POOL_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest time that a request waits for a token: a few times what a question
 /// across regions takes.
-const WAIT: Duration = Duration::from_millis(300);
+const WAIT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Seconds until the next token up to which a request waits for it though none are
 /// left.
-const SOON: f64 = 0.05;
+const NEXT_TOKEN_WAIT_SECONDS: f64 = 0.05;
 
 /// Time for which "none left" is believed.
-const DRY: Duration = Duration::from_millis(300);
+const EXHAUSTED_TTL: Duration = Duration::from_millis(300);
 
 /// Age up to which a request that didn't run gives its token back. Later ones
 /// count for another window.
-const RETURN: Duration = Duration::from_secs(1);
+const REFUND_AGE_MAX: Duration = Duration::from_secs(1);
 
 /// What is held or wanted is told when it has changed by more than one part in so
 /// many.
-const DRIFT: u32 = 3;
+const REPORT_CHANGE_DIVISOR: u32 = 3;
 
 /// Every how many reports tell of all teams.
-const WHOLE: u64 = 8;
+const FULL_REPORT_PERIOD: u64 = 8;
 
 /// Teams named in one report: what fits a datagram.
-pub const TEAMS_MOST: usize = 60;
+pub const REPORT_TEAMS_MAX: usize = 60;
 
 /// Shortest and longest time after which a caller over its quota may return.
-const AFTER_LEAST: f64 = 0.2;
-const AFTER_MOST: f64 = 2.0;
+const RETRY_AFTER_MIN_SECONDS: f64 = 0.2;
+const RETRY_AFTER_MAX_SECONDS: f64 = 2.0;
 
 /// This instance's part of a bucket while it hears no pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct LocalShare {
     /// Tokens.
     pub capacity: f64,
     /// Tokens a second.
@@ -77,13 +79,13 @@
 
 /// What has come of a team's tokens.
 #[derive(Clone, Copy, Debug)]
-pub struct Drained {
+pub struct DrainedTokens {
     /// Tokens.
     pub tokens: f64,
     /// Tokens that come in a second.
     pub rate: f64,
     /// Whether none are left where they come from.
-    pub dry: bool,
+    pub is_exhausted: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -97,37 +99,37 @@
     /// Requests a second.
     rate: f64,
     /// Requests refused in a row.
-    refused: u32,
+    refusals: u32,
     /// When the pool last said that it has none left.
-    dry: Option<Time>,
+    exhausted_at: Option<Time>,
     /// Tokens a second that come from the pool.
-    share: f64,
+    supply_rate: f64,
     /// When this instance last filled its own part.
-    filled: Option<Time>,
+    filled_at: Option<Time>,
     /// Tokens held and wanted as last told in this session.
-    told: Option<(u32, u32)>,
+    reported: Option<(u32, u32)>,
 }
 
 /// All tokens of an instance.
 #[derive(Clone, Debug, Default)]
-pub struct Stock {
+pub struct TokenCache {
     /// Sorted by mark.
     accounts: Vec<Account>,
     /// Incarnation of the pool that tokens come from; 0 while none is known.
-    pool: u64,
+    pool_incarnation: u64,
     session: u64,
     /// When another pool was last chosen in place of one that was heard.
-    changed: Option<Time>,
+    switched_at: Option<Time>,
     /// When a pool was last heard.
-    heard: Option<Time>,
+    last_grant: Option<Time>,
     /// Last report.
-    told: Option<Time>,
-    count: u64,
+    last_report: Option<Time>,
+    report_seq: u64,
     /// Where the next report begins.
-    next: usize,
+    report_cursor: usize,
 }
 
-impl Stock {
+impl TokenCache {
     /// Takes a token for a request of this team; `first`: whether it has just
     /// come. It arrived at `arrived`. Without a pool, tokens come by this instance's
     /// own `share`.
@@ -137,40 +139,40 @@
         team: &str,
         first: bool,
         arrived: Time,
-        share: Option<Share>,
+        share: Option<LocalShare>,
     ) -> Verdict {
         let account = self.account(team_hash(team));
         account.arrived += u32::from(first);
         match share {
             Some(share) => account.fill(now, share),
-            None => account.filled = None,
+            None => account.filled_at = None,
         }
         if account.tokens >= 1.0 {
             account.tokens -= 1.0;
-            account.refused = 0;
+            account.refusals = 0;
             return Verdict::Admitted;
         }
-        let dry = account.is_dry(now);
-        let rate = share.map_or(account.share, |share| share.rate);
-        let next = f64::from(account.refused + 1) / rate.max(f64::EPSILON);
-        let patient = now.since(arrived) < WAIT;
-        if patient && share.is_none() && (!dry || next < SOON) {
+        let dry = account.is_exhausted(now);
+        let rate = share.map_or(account.supply_rate, |share| share.rate);
+        let next = f64::from(account.refusals + 1) / rate.max(f64::EPSILON);
+        let patient = now.since(arrived) < WAIT_TIMEOUT;
+        if patient && share.is_none() && (!dry || next < NEXT_TOKEN_WAIT_SECONDS) {
             return Verdict::Wait;
         }
-        account.refused += 1;
-        let after = next.clamp(AFTER_LEAST, AFTER_MOST);
+        account.refusals += 1;
+        let after = next.clamp(RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_MAX_SECONDS);
         Verdict::Refused(Duration::from_secs_f64(after))
     }
 
     /// A token of a request that arrived `since` ago and hasn't run.
-    pub fn give_back(&mut self, team: &str, since: Duration) {
-        if since < RETURN {
+    pub fn put_back(&mut self, team: &str, since: Duration) {
+        if since < REFUND_AGE_MAX {
             self.account(team_hash(team)).tokens += 1.0;
         }
     }
 
     /// Keeps this part of a team's tokens: its quota was lowered.
-    pub fn shrink(&mut self, team: &str, part: f64) {
+    pub fn scale(&mut self, team: &str, part: f64) {
         self.account(team_hash(team)).tokens *= part;
     }
 
@@ -185,48 +187,50 @@
 
     /// Another pool is asked from now on.
     pub fn change_pool(&mut self, now: Time) {
-        if self.heard.is_some() {
-            self.changed = Some(now);
+        if self.last_grant.is_some() {
+            self.switched_at = Some(now);
         }
         self.begin_session(0);
     }
 
     /// The pool that was asked before no longer counts this instance.
-    pub const fn released(&mut self) {
-        self.changed = None;
+    pub const fn note_release(&mut self) {
+        self.switched_at = None;
     }
 
     /// Tells a pool that it is no longer asked.
-    pub fn farewell(&mut self, name: Arc<str>, life: u64, level: Level) -> Report {
-        self.count += 1;
+    pub fn final_report(&mut self, name: Arc<str>, life: u64, level: Level) -> Report {
+        self.report_seq += 1;
         Report {
             name,
-            life,
-            seq: self.count,
+            incarnation: life,
+            seq: self.report_seq,
             level,
-            pool: 0,
+            pool_incarnation: 0,
             session: 0,
-            counted: 0,
+            represented: 0,
             needs: Vec::new(),
         }
     }
 
     /// Begins to count what comes from this incarnation of a pool.
     fn begin_session(&mut self, pool: u64) {
-        self.pool = pool;
+        self.pool_incarnation = pool;
         self.session += 1;
         for account in &mut self.accounts {
             account.received = 0;
-            account.dry = None;
-            account.told = None;
+            account.exhausted_at = None;
+            account.reported = None;
         }
     }
 
     /// What to tell the pool; `waiting` are the teams of requests that wait for a
     /// token.
     pub fn report(&mut self, now: Time, name: Arc<str>, life: u64, waiting: &[u64]) -> Report {
-        let span = self.told.map_or(AVERAGE, |at| now.since(at).as_secs_f64());
-        self.told = Some(now);
+        let span = self
+            .last_report
+            .map_or(RATE_AVERAGE_SECONDS, |at| now.since(at).as_secs_f64());
+        self.last_report = Some(now);
         let need = |account: &mut Account| {
             let urgent = waiting.iter().filter(|team| **team == account.team).count();
             account.need(span, u32::try_from(urgent).unwrap_or(u32::MAX))
@@ -245,12 +249,14 @@
         all: &[Need],
         count: u32,
     ) -> Report {
-        self.count += 1;
-        let settled = self.changed.is_none_or(|at| now.since(at) >= pool::HEARD);
-        let counted = !self.is_alone(now) && settled;
-        let whole = self.count.is_multiple_of(WHOLE);
+        self.report_seq += 1;
+        let settled = self
+            .switched_at
+            .is_none_or(|at| now.since(at) >= pool::REPORT_TIMEOUT);
+        let counted = !self.is_without_pool(now) && settled;
+        let whole = self.report_seq.is_multiple_of(FULL_REPORT_PERIOD);
         // In turn, so that all are told where a report can't name them all.
-        let start = self.next.min(all.len());
+        let start = self.report_cursor.min(all.len());
         let mut left_out = None;
         let mut needs = Vec::new();
         for (at, need) in all
@@ -260,9 +266,9 @@
             .chain(all.iter().enumerate().take(start))
         {
             let account = self.account(need.team);
-            let due = need.urgent > 0 || account.is_news(need, whole);
-            if due && needs.len() < TEAMS_MOST {
-                account.told = Some((need.held, need.want));
+            let due = need.waiting > 0 || account.is_changed(need, whole);
+            if due && needs.len() < REPORT_TEAMS_MAX {
+                account.reported = Some((need.held, need.wanted));
                 needs.push(Need {
                     received: account.received,
                     ..*need
@@ -271,28 +277,28 @@
                 left_out.get_or_insert(at);
             }
         }
-        self.next = left_out.unwrap_or_default();
+        self.report_cursor = left_out.unwrap_or_default();
         Report {
             name,
-            life,
-            seq: self.count,
+            incarnation: life,
+            seq: self.report_seq,
             level: Level::Region,
-            pool: self.pool,
+            pool_incarnation: self.pool_incarnation,
             session: self.session,
-            counted: if counted { count } else { 0 },
+            represented: if counted { count } else { 0 },
             needs,
         }
     }
 
     /// Takes out a team's whole tokens.
-    pub fn drain(&mut self, now: Time, team: u64) -> Drained {
+    pub fn drain(&mut self, now: Time, team: u64) -> DrainedTokens {
         let account = self.account(team);
         let tokens = account.tokens.floor();
         account.tokens -= tokens;
-        Drained {
+        DrainedTokens {
             tokens,
-            rate: account.share,
-            dry: account.is_dry(now),
+            rate: account.supply_rate,
+            is_exhausted: account.is_exhausted(now),
         }
     }
 
@@ -302,19 +308,19 @@
         if self.session != grant.session {
             return false;
         }
-        self.heard = Some(now);
-        if self.pool != grant.life {
-            self.begin_session(grant.life);
+        self.last_grant = Some(now);
+        if self.pool_incarnation != grant.incarnation {
+            self.begin_session(grant.incarnation);
             return true;
         }
-        for given in &grant.given {
+        for given in &grant.grants {
             let account = self.account(given.team);
             let new = given.total.saturating_sub(account.received);
             account.received += new;
             account.tokens += f64::from(new);
-            account.tokens = account.tokens.min(f64::from(given.keep.max(new)));
-            account.share = f64::from(given.share) / 1000.0;
-            account.dry = given.dry.then_some(now);
+            account.tokens = account.tokens.min(f64::from(given.held_max.max(new)));
+            account.supply_rate = f64::from(given.rate_milli) / 1000.0;
+            account.exhausted_at = given.is_exhausted.then_some(now);
         }
         false
     }
@@ -329,8 +335,8 @@
     }
 
     /// Whether no pool has been heard for a while.
-    pub fn is_alone(&self, now: Time) -> bool {
-        now.since(self.heard.unwrap_or(Time::ZERO)) >= ALONE
+    pub fn is_without_pool(&self, now: Time) -> bool {
+        now.since(self.last_grant.unwrap_or(Time::ZERO)) >= POOL_SILENCE_TIMEOUT
     }
 
     fn account(&mut self, team: u64) -> &mut Account {
@@ -351,26 +357,27 @@
 
 impl Account {
     /// Whether the pool has said lately that none are left.
-    fn is_dry(&self, now: Time) -> bool {
-        self.dry.is_some_and(|at| now.since(at) < DRY)
+    fn is_exhausted(&self, now: Time) -> bool {
+        self.exhausted_at
+            .is_some_and(|at| now.since(at) < EXHAUSTED_TTL)
     }
 
     /// Whether what is held or wanted differs from what was told by enough to tell
     /// it; `whole`: whether by anything.
-    fn is_news(&self, need: &Need, whole: bool) -> bool {
-        let Some((held, want)) = self.told else {
+    fn is_changed(&self, need: &Need, whole: bool) -> bool {
+        let Some((held, want)) = self.reported else {
             return true;
         };
-        let drift = |new: u32, old: u32| new.abs_diff(old) * DRIFT > new.max(old);
-        let low = f64::from(need.held) * PARTS * 2.0 < f64::from(need.want);
-        let changed = need.held != held || need.want != want;
-        changed && (whole || low || drift(need.held, held) || drift(need.want, want))
+        let drift = |new: u32, old: u32| new.abs_diff(old) * REPORT_CHANGE_DIVISOR > new.max(old);
+        let low = f64::from(need.held) * WANTED_UNITS_PER_TOKEN * 2.0 < f64::from(need.wanted);
+        let changed = need.held != held || need.wanted != want;
+        changed && (whole || low || drift(need.held, held) || drift(need.wanted, want))
     }
 
     /// Fills this instance's own part of the bucket.
-    fn fill(&mut self, now: Time, share: Share) {
-        let span = self.filled.map_or(Duration::ZERO, |at| now.since(at));
-        self.filled = Some(now);
+    fn fill(&mut self, now: Time, share: LocalShare) {
+        let span = self.filled_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.filled_at = Some(now);
         let filled = self.tokens + share.rate * span.as_secs_f64();
         self.tokens = filled.min(share.capacity);
     }
@@ -378,23 +385,23 @@
     /// What is told of it after `span` seconds; tokens beyond what is wanted are
     /// dropped, so that the pool can hand out others.
     fn need(&mut self, span: f64, urgent: u32) -> Need {
-        let weight = (span / AVERAGE).min(1.0);
+        let weight = (span / RATE_AVERAGE_SECONDS).min(1.0);
         let rate = f64::from(self.arrived) / span.max(0.001);
         self.rate += (rate - self.rate) * weight;
         self.arrived = 0;
-        let expected = if self.rate < IDLE {
+        let expected = if self.rate < IDLE_RATE_MAX {
             0.0
         } else {
-            self.rate * HORIZON
+            self.rate * PREFETCH_SECONDS
         };
         // Requests come by chance, so some more than are expected.
         let want = expected + expected.sqrt();
         Need {
             team: self.team,
-            held: whole(self.tokens.ceil()),
+            held: saturating_u32(self.tokens.ceil()),
             received: 0,
-            want: whole((want * PARTS).ceil()),
-            urgent,
+            wanted: saturating_u32((want * WANTED_UNITS_PER_TOKEN).ceil()),
+            waiting: urgent,
         }
     }
 }
--- a/crates/steer/src/process/direct/quota/message.rs
+++ b/crates/steer/src/process/direct/quota/message.rs
@@ -12,7 +12,7 @@
 }
 
 /// Parts of a token that wants are told in.
-pub const PARTS: f64 = 8.0;
+pub const WANTED_UNITS_PER_TOKEN: f64 = 8.0;
 
 /// Who hands tokens out, and to whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,19 +29,19 @@
     /// Who asks.
     pub name: Arc<str>,
     /// Tells its incarnations apart.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counts its reports.
     pub seq: u64,
     /// Whom it asks.
     pub level: Level,
     /// Incarnation of the pool that it counts from; 0 before it has heard one.
-    pub pool: u64,
+    pub pool_incarnation: u64,
     /// Tells its sessions with a pool apart; what was handed out in an earlier one
     /// and comes late is passed over.
     pub session: u64,
     /// Instances whose part of the buckets is to be filled by the pool: they don't
     /// do so themselves, nor may an earlier pool.
-    pub counted: u32,
+    pub represented: u32,
     /// Teams whose tokens have changed here, or are needed.
     pub needs: Vec<Need>,
 }
@@ -57,9 +57,9 @@
     pub received: u32,
     /// Eighths of a token that it would hold ahead of need. Many instances that
     /// would each hold a part of one are worth whole ones to their region.
-    pub want: u32,
+    pub wanted: u32,
     /// Requests that wait for one.
-    pub urgent: u32,
+    pub waiting: u32,
 }
 
 /// What a pool hands out.
@@ -68,35 +68,35 @@
     /// Whose pool it is.
     pub name: Arc<str>,
     /// Its incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// In which role it hands out.
     pub level: Level,
     /// Incarnation of the instance that it is for.
-    pub to: u64,
+    pub recipient: u64,
     /// The session that it belongs to.
     pub session: u64,
     /// By team.
-    pub given: Vec<Given>,
+    pub grants: Vec<TeamGrant>,
 }
 
 /// One team's tokens from a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct TeamGrant {
     /// The team's mark.
     pub team: u64,
     /// Tokens handed out to this instance in this session.
     pub total: u32,
     /// Tokens that it may hold; those beyond are dropped, as others need them.
-    pub keep: u32,
+    pub held_max: u32,
     /// Tokens that come to this instance in a thousand seconds.
-    pub share: u32,
+    pub rate_milli: u32,
     /// Whether there are none left for it.
-    pub dry: bool,
+    pub is_exhausted: bool,
 }
 
 /// A message that is due, and where to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct OutgoingReport {
     /// Where the instance takes it.
     pub addr: SocketAddr,
     /// The report.
@@ -105,7 +105,7 @@
 
 impl Report {
     /// The same for another level.
-    pub(super) fn to(self, level: Level) -> Self {
+    pub(super) fn with_level(self, level: Level) -> Self {
         Self { level, ..self }
     }
 }
@@ -116,6 +116,6 @@
     clippy::cast_sign_loss,
     reason = "saturates"
 )]
-pub(super) fn whole(number: f64) -> u32 {
+pub(super) fn saturating_u32(number: f64) -> u32 {
     number as u32
 }
--- a/crates/steer/src/process/direct/quota/rule.rs
+++ b/crates/steer/src/process/direct/quota/rule.rs
@@ -20,14 +20,14 @@
 
 /// Part of what is allowed beyond a quota that tokens are held in stock for. The
 /// rest covers changes of who shares a bucket.
-const STOCKED: f64 = 0.7;
+const CAPACITY_RATIO: f64 = 0.7;
 
 /// Part of a burst that is added to the rate over the window, in place of tokens
 /// held for it: a team at its limit gets all that the window allows.
-const SPREAD: f64 = 0.8;
+const BURST_RATE_RATIO: f64 = 0.8;
 
 impl Rule {
-    fn beyond(&self, quota: &Quota) -> f64 {
+    fn excess_allowance(&self, quota: &Quota) -> f64 {
         let window = quota.rate * self.window.as_secs_f64() + quota.burst;
         window * self.excess + self.slack
     }
@@ -35,12 +35,13 @@
     /// Tokens of a bucket.
     #[must_use]
     pub fn capacity(&self, quota: &Quota) -> f64 {
-        (quota.burst * (1.0 - SPREAD) + self.beyond(quota) * STOCKED).max(1.0)
+        (quota.burst * (1.0 - BURST_RATE_RATIO) + self.excess_allowance(quota) * CAPACITY_RATIO)
+            .max(1.0)
     }
 
     /// Tokens a second that are added to it.
     #[must_use]
     pub fn rate(&self, quota: &Quota) -> f64 {
-        quota.rate + quota.burst * SPREAD / self.window.as_secs_f64().max(1.0)
+        quota.rate + quota.burst * BURST_RATE_RATIO / self.window.as_secs_f64().max(1.0)
     }
 }
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -319,9 +319,9 @@
             let direct = &mut self.nodes[to].direct;
             match message {
                 Message::Beat(beat) => direct.receive_heartbeat(clock, *beat),
-                Message::Grant(grant) => direct.take_grant(clock, &grant),
+                Message::Grant(grant) => direct.receive_grant(clock, &grant),
                 Message::Report(from, report) => {
-                    let grant = direct.take_report(clock, report);
+                    let grant = direct.receive_report(clock, report);
                     self.post(to, from, || Message::Grant(grant.clone()));
                 }
             }
@@ -330,7 +330,7 @@
 
     fn tell(&mut self, at: usize) {
         let clock = self.clock(at);
-        let urgent = self.nodes[at].direct.take_urgent();
+        let urgent = self.nodes[at].direct.take_report_due();
         let phase = u64::try_from(at).expect("few") * STEP;
         if (self.now + phase).is_multiple_of(250) {
             let beat = self.nodes[at].direct.heartbeat(clock, true);
@@ -344,9 +344,9 @@
         if !urgent && self.now < node.due {
             return;
         }
-        let pace = node.direct.report_pace().as_millis();
+        let pace = node.direct.report_interval().as_millis();
         node.due = self.now + u64::try_from(pace).expect("short");
-        for due in self.nodes[at].direct.report_quotas(clock) {
+        for due in self.nodes[at].direct.quota_reports(clock) {
             let to = usize::from(due.addr.port()) - 1;
             self.post(at, to, || Message::Report(at, due.report.clone()));
         }
--- a/crates/wire/src/near.rs
+++ b/crates/wire/src/near.rs
@@ -290,15 +290,23 @@
 
 impl From<quota::Report> for Report {
     fn from(report: quota::Report) -> Self {
-        let need = |n: quota::Need| (n.team.to_le_bytes(), n.held, n.received, n.want, n.urgent);
+        let need = |n: quota::Need| {
+            (
+                n.team.to_le_bytes(),
+                n.held,
+                n.received,
+                n.wanted,
+                n.waiting,
+            )
+        };
         Self {
             name: report.name.as_ref().to_owned(),
-            life: report.life,
+            life: report.incarnation,
             seq: report.seq,
             fleet: report.level == quota::Level::Fleet,
-            pool: report.pool,
+            pool: report.pool_incarnation,
             session: report.session,
-            counted: report.counted,
+            counted: report.represented,
             needs: report.needs.into_iter().map(need).collect(),
         }
     }
@@ -310,17 +318,17 @@
             team: u64::from_le_bytes(team),
             held,
             received,
-            want,
-            urgent,
+            wanted: want,
+            waiting: urgent,
         };
         Self {
             name: Arc::from(report.name),
-            life: report.life,
+            incarnation: report.life,
             seq: report.seq,
             level: level(report.fleet),
-            pool: report.pool,
+            pool_incarnation: report.pool,
             session: report.session,
-            counted: report.counted,
+            represented: report.counted,
             needs: report.needs.into_iter().map(need).collect(),
         }
     }
@@ -328,34 +336,43 @@
 
 impl From<quota::Grant> for Grant {
     fn from(grant: quota::Grant) -> Self {
-        let given = |g: quota::Given| (g.team.to_le_bytes(), g.total, g.keep, g.share, g.dry);
+        let given = |g: quota::TeamGrant| {
+            (
+                g.team.to_le_bytes(),
+                g.total,
+                g.held_max,
+                g.rate_milli,
+                g.is_exhausted,
+            )
+        };
         Self {
             name: grant.name.as_ref().to_owned(),
-            life: grant.life,
+            life: grant.incarnation,
             fleet: grant.level == quota::Level::Fleet,
-            to: grant.to,
+            to: grant.recipient,
             session: grant.session,
-            given: grant.given.into_iter().map(given).collect(),
+            given: grant.grants.into_iter().map(given).collect(),
         }
     }
 }
 
 impl From<Grant> for quota::Grant {
     fn from(grant: Grant) -> Self {
-        let given = |(team, total, keep, share, dry): (Long, u32, u32, u32, bool)| quota::Given {
-            team: u64::from_le_bytes(team),
-            total,
-            keep,
-            share,
-            dry,
-        };
+        let given =
+            |(team, total, keep, share, dry): (Long, u32, u32, u32, bool)| quota::TeamGrant {
+                team: u64::from_le_bytes(team),
+                total,
+                held_max: keep,
+                rate_milli: share,
+                is_exhausted: dry,
+            };
         Self {
             name: Arc::from(grant.name),
-            life: grant.life,
+            incarnation: grant.life,
             level: level(grant.fleet),
-            to: grant.to,
+            recipient: grant.to,
             session: grant.session,
-            given: grant.given.into_iter().map(given).collect(),
+            grants: grant.given.into_iter().map(given).collect(),
         }
     }
 }
