--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -49,7 +49,7 @@
         let rows = control.table().rows().iter().map(|row| Row {
             name: Arc::clone(&row.record.identity.name),
             domain: Arc::clone(&row.record.identity.domain),
-            life: row.record.life.as_str(),
+            life: row.record.lifecycle.as_str(),
             stamp: row.record.stamp.to_string(),
         });
         let targets = snapshot.view.targets.values().map(|t| Target {
--- a/crates/auburnrouter/src/daemon/control/world.rs
+++ b/crates/auburnrouter/src/daemon/control/world.rs
@@ -65,7 +65,7 @@
 
     /// Takes what control says of this process and its peers.
     pub fn members(&mut self, me: &member::Record, told: &control::Snapshot) {
-        let serving = told.ready && me.life == member::Life::Live && sure(told.standing);
+        let serving = told.ready && me.lifecycle == member::Lifecycle::Live && sure(told.standing);
         let mut members: Vec<instance::Member> = told.members.iter().filter_map(seen).collect();
         if !members
             .iter()
@@ -110,7 +110,7 @@
     u32::try_from(count).ok()
 }
 
-fn seen(seen: &member::Seen) -> Option<instance::Member> {
+fn seen(seen: &member::Member) -> Option<instance::Member> {
     peer(&seen.record)
 }
 
@@ -121,7 +121,7 @@
         domain: Arc::clone(&record.identity.domain),
         addr: record.identity.addr,
         peer: record.identity.peer,
-        state: record.life.state()?,
+        state: record.lifecycle.state()?,
     })
 }
 
--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -34,7 +34,7 @@
 use crate::process::config::Head;
 use crate::process::config::keeper;
 use crate::process::member::table;
-use crate::process::member::{Life, Record, Stamp, Vitals};
+use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 use crate::process::slot;
 use crate::version::view::Version;
 
@@ -136,7 +136,7 @@
                 incarnation,
             },
             serial: 1,
-            life: Life::Live,
+            lifecycle: Lifecycle::Live,
         };
         let mut slot = slot::Slot::new(now, guards.slot);
         let shown = slot.share(now, false);
@@ -269,8 +269,8 @@
         self.round_across(now, out);
     }
 
-    fn vitals(&self) -> Vitals {
-        Vitals {
+    fn health(&self) -> HealthSummary {
+        HealthSummary {
             version: self.keeper.version(),
             load: self.load,
             store: !self.store.is_away(),
@@ -285,7 +285,7 @@
     }
 
     fn leave(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.live_on(Life::Leaving);
+        self.set_lifecycle(Lifecycle::Leaving);
         self.beat_all(now, false, out);
         self.tell_across(now, out);
     }
@@ -294,16 +294,20 @@
     /// holds it: one still in quarantine knows nothing of the holder before it.
     fn stop(&mut self, now: Time, out: &mut Vec<Action>) {
         let holds = self.standing == Standing::Current && self.slot.is_held(now);
-        let life = if holds { Life::Released } else { Life::Dead };
-        self.live_on(life);
+        let lifecycle = if holds {
+            Lifecycle::Released
+        } else {
+            Lifecycle::Dead
+        };
+        self.set_lifecycle(lifecycle);
         self.beat_all(now, false, out);
         self.tell_across(now, out);
     }
 
-    fn live_on(&mut self, life: Life) {
+    fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         let mut me = Record::clone(&self.me);
         me.serial += 1;
-        me.life = life;
+        me.lifecycle = lifecycle;
         self.set_me(me);
     }
 
--- a/crates/steer/src/process/control/across.rs
+++ b/crates/steer/src/process/control/across.rs
@@ -12,7 +12,7 @@
 use super::peer::{self, Contact, Far};
 use super::{Action, BEAT, Control, Notice, REPS, SILENT};
 use crate::clock::Time;
-use crate::process::member::{Record, Summary, Vitals, hash};
+use crate::process::member::{HealthSummary, Record, Summary, hash};
 
 /// Processes of the other domain that one process talks to in turn, so that
 /// the death of one of them costs every second heartbeat.
@@ -76,7 +76,7 @@
         let far = &self.fars[at];
         let own = &self.me.identity.domain;
         let rows = self.table.domain(&far.name).iter();
-        let alive = rows.filter(|row| row.record.life.is_alive());
+        let alive = rows.filter(|row| row.record.lifecycle.is_alive());
         let mut contacts: Vec<_> = alive
             .map(|row| {
                 let identity = &row.record.identity;
@@ -114,9 +114,9 @@
         let mut load = u32::from(self.load);
         for peer in &self.peers {
             summary.count += 1;
-            summary.oldest = summary.oldest.min(peer.vitals.version);
-            summary.newest = summary.newest.max(peer.vitals.version);
-            load += u32::from(peer.vitals.load);
+            summary.oldest = summary.oldest.min(peer.health.version);
+            summary.newest = summary.newest.max(peer.health.version);
+            load += u32::from(peer.health.load);
         }
         summary.load = u8::try_from(load / summary.count).unwrap_or(u8::MAX);
         summary
@@ -283,10 +283,10 @@
     }
 
     /// A domain's summary as the vitals of its processes; `None` if silent.
-    pub(super) fn far_vitals(&self, now: Time, at: usize) -> Option<Vitals> {
+    pub(super) fn remote_health(&self, now: Time, at: usize) -> Option<HealthSummary> {
         let far = self.fars.get(at)?;
         let heard = far.heard?;
-        (now.since(heard) <= SILENT).then_some(Vitals {
+        (now.since(heard) <= SILENT).then_some(HealthSummary {
             version: far.summary.oldest,
             load: far.summary.load,
             store: false,
--- a/crates/steer/src/process/control/adopt.rs
+++ b/crates/steer/src/process/control/adopt.rs
@@ -260,7 +260,7 @@
         let before = self
             .peers
             .iter()
-            .filter(|p| weight(&p.name, p.vitals.store) < mine);
+            .filter(|p| weight(&p.name, p.health.store) < mine);
         before.take(WATCHERS).count() < WATCHERS
     }
 
--- a/crates/steer/src/process/control/members.rs
+++ b/crates/steer/src/process/control/members.rs
@@ -7,7 +7,7 @@
 
 use super::{Control, Standing};
 use crate::clock::Time;
-use crate::process::member::{Record, Seen, Vitals};
+use crate::process::member::{HealthSummary, Member, Record};
 
 /// A live record in the order of names, kept until the table changes.
 #[derive(Clone, Debug)]
@@ -24,16 +24,16 @@
 }
 
 impl Control {
-    pub(super) fn members(&mut self, now: Time) -> Vec<Seen> {
+    pub(super) fn members(&mut self, now: Time) -> Vec<Member> {
         let lines = self.sorted.take().unwrap_or_else(|| self.lines());
         let seen = lines.iter().filter_map(|line| {
-            let vitals = match line.place {
-                Place::Own => (self.standing != Standing::Superseded).then(|| self.vitals()),
-                Place::Near => self.near_vitals(&line.record.identity.name),
-                Place::Far(at) => self.far_vitals(now, at),
+            let health = match line.place {
+                Place::Own => (self.standing != Standing::Superseded).then(|| self.health()),
+                Place::Near => self.local_health(&line.record.identity.name),
+                Place::Far(at) => self.remote_health(now, at),
             };
             let record = Arc::clone(&line.record);
-            vitals.map(|vitals| Seen { record, vitals })
+            health.map(|health| Member { record, health })
         });
         let seen = seen.collect();
         self.sorted = Some(lines);
@@ -42,8 +42,8 @@
 
     fn lines(&self) -> Vec<Line> {
         let rows = self.table.rows().iter().map(|row| &row.record);
-        let others = rows.filter(|r| r.life.is_alive() && !self.is_own(r));
-        let own = self.me.life.is_alive().then_some(&self.me);
+        let others = rows.filter(|r| r.lifecycle.is_alive() && !self.is_own(r));
+        let own = self.me.lifecycle.is_alive().then_some(&self.me);
         let mut lines: Vec<Line> = others
             .chain(own)
             .filter_map(|record| {
@@ -73,8 +73,8 @@
         found.ok().map(Place::Far)
     }
 
-    fn near_vitals(&self, name: &Arc<str>) -> Option<Vitals> {
+    fn local_health(&self, name: &Arc<str>) -> Option<HealthSummary> {
         let at = self.peers.binary_search_by(|p| p.name.cmp(name)).ok()?;
-        Some(self.peers[at].vitals)
+        Some(self.peers[at].health)
     }
 }
--- a/crates/steer/src/process/control/message.rs
+++ b/crates/steer/src/process/control/message.rs
@@ -11,7 +11,7 @@
 use crate::clock::Time;
 use crate::process::config::{Body, Hash, Head};
 use crate::process::member::table::Digest;
-use crate::process::member::{Record, Stamp, Summary, Vitals};
+use crate::process::member::{HealthSummary, Record, Stamp, Summary};
 use crate::version::view::Version;
 
 /// A message between two entry instances.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Beat {
     /// The sender's.
-    pub vitals: Vitals,
+    pub health: HealthSummary,
     /// Whether an answer is wanted at once.
     pub reply: bool,
     /// The sender's own time.
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/near.rs
@@ -8,7 +8,7 @@
 use super::{Action, Control, DROP, Notice, SILENT, SUSPECT, Standing};
 use crate::clock::Time;
 use crate::process::member::table::Merge;
-use crate::process::member::{Life, Record, Stamp, Vitals};
+use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 
 /// Processes asked about a silent one.
 const WITNESSES: usize = 3;
@@ -76,8 +76,8 @@
                 self.send(to, Content::Superseded(row.stamp), out);
                 return false;
             }
-            let buried = row.stamp == from.stamp && !row.life.is_alive();
-            if buried && from.life.is_alive() && row.serial >= from.serial {
+            let buried = row.stamp == from.stamp && !row.lifecycle.is_alive();
+            if buried && from.lifecycle.is_alive() && row.serial >= from.serial {
                 self.send_held(now, from, row.serial, out);
                 return false;
             }
@@ -102,7 +102,7 @@
         self.moved = true;
         self.sorted = None;
         let rows = self.table.domain(&self.me.identity.domain);
-        let alive = rows.iter().filter(|row| row.record.life.is_alive());
+        let alive = rows.iter().filter(|row| row.record.lifecycle.is_alive());
         let mut peers = Vec::new();
         for row in alive {
             let record = &row.record;
@@ -120,7 +120,7 @@
                 heard: now,
                 direct: None,
                 probe: None,
-                vitals: Vitals::default(),
+                health: HealthSummary::default(),
                 asked: false,
                 differs: 0,
             }));
@@ -142,7 +142,7 @@
             peer.direct = Some(now);
             peer.asked = false;
             peer.probe = Some(beat.probe);
-            peer.vitals = beat.vitals;
+            peer.health = beat.health;
             let same = beat.total == total;
             peer.differs = if same {
                 0
@@ -156,9 +156,9 @@
             self.hear_of(now, &heard.domain, heard.age);
         }
         if let Some(echo) = beat.echo {
-            self.confirmed(now, echo, beat.vitals.version, out);
+            self.confirmed(now, echo, beat.health.version, out);
         }
-        self.version_heard(now, beat.vitals.version, from, out);
+        self.version_heard(now, beat.health.version, from, out);
         if beat.reply {
             self.send_beat(now, &from.identity.name, false, out);
         }
@@ -216,7 +216,7 @@
             (age < SILENT).then_some(Heard { domain, age })
         };
         Beat {
-            vitals: self.vitals(),
+            health: self.health(),
             reply,
             probe: now,
             echo: None,
@@ -254,7 +254,7 @@
         let Some(row) = self.table.get(&domain, name) else {
             return;
         };
-        let dead = Arc::new(row.record.with_life(Life::Dead));
+        let dead = Arc::new(row.record.with_lifecycle(Lifecycle::Dead));
         self.table.merge(now, &dead, true);
         self.counters.dropped += 1;
         self.changed(now);
@@ -302,7 +302,7 @@
     pub(super) fn try_hint(&mut self, now: Time, out: &mut Vec<Action>) {
         let own = &self.me.identity;
         let rows = self.table.domain(&own.domain).iter();
-        let dead = rows.filter(|row| !row.record.life.is_alive());
+        let dead = rows.filter(|row| !row.record.lifecycle.is_alive());
         let dead = dead.map(|row| row.record.identity.peer);
         let hints = self.hints.of(&own.domain).iter().map(|h| h.peer);
         let fits = |to: &std::net::SocketAddr| {
--- a/crates/steer/src/process/control/peer.rs
+++ b/crates/steer/src/process/control/peer.rs
@@ -5,7 +5,7 @@
 
 use super::BEAT;
 use crate::clock::Time;
-use crate::process::member::{Stamp, Summary, Vitals};
+use crate::process::member::{HealthSummary, Stamp, Summary};
 
 /// A live process of the home domain.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Its newest probe, in its own time.
     pub(super) probe: Option<Time>,
     /// Its vitals.
-    pub(super) vitals: Vitals,
+    pub(super) health: HealthSummary,
     /// Whether others were asked about it since it was last heard.
     pub(super) asked: bool,
     /// Heartbeats in a row in which its table differed from this one's.
--- a/crates/steer/src/process/control/rows.rs
+++ b/crates/steer/src/process/control/rows.rs
@@ -7,7 +7,7 @@
 use super::{Action, Control, DROP};
 use crate::clock::Time;
 use crate::process::member::table::{Digest, Merge};
-use crate::process::member::{Life, Record};
+use crate::process::member::{Lifecycle, Record};
 
 /// Time between two comparisons of digests.
 const SYNC: Duration = Duration::from_secs(1);
@@ -122,7 +122,7 @@
     /// or in another domain: only it can refute the tombstone.
     fn contradicts(&self, now: Time, record: &Record) -> bool {
         let identity = &record.identity;
-        if record.life != Life::Dead || identity.domain != self.me.identity.domain {
+        if record.lifecycle != Lifecycle::Dead || identity.domain != self.me.identity.domain {
             return false;
         }
         let row = self.table.get(&identity.domain, &identity.name);
--- a/crates/steer/src/process/control/standing.rs
+++ b/crates/steer/src/process/control/standing.rs
@@ -4,7 +4,7 @@
 
 use super::{Action, Control, GAP, ISOLATED, Notice, RAISE, SETTLE, Standing};
 use crate::clock::Time;
-use crate::process::member::{Life, Record, Stamp};
+use crate::process::member::{Lifecycle, Record, Stamp};
 use crate::version::view::Version;
 
 /// How doubt ends.
@@ -98,12 +98,12 @@
         }
         if record.stamp < self.me.stamp {
             self.slot.note_predecessor(record.stamp);
-            if record.life == Life::Released {
+            if record.lifecycle == Lifecycle::Released {
                 self.slot.note_release(now, record.stamp);
             }
             return;
         }
-        let dead = !record.life.is_alive() && self.me.life.is_alive();
+        let dead = !record.lifecycle.is_alive() && self.me.lifecycle.is_alive();
         if dead && record.serial >= self.me.serial {
             self.refute(now, record.serial, out);
         }
@@ -113,7 +113,7 @@
     /// tombstone; and since it may have been paused in a way that its clock
     /// doesn't show, it is in doubt.
     pub(super) fn refute(&mut self, now: Time, held: u32, out: &mut Vec<Action>) {
-        if held < self.me.serial || !self.me.life.is_alive() {
+        if held < self.me.serial || !self.me.lifecycle.is_alive() {
             return;
         }
         let mut me = Record::clone(&self.me);
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -6,7 +6,7 @@
 use super::message::Message;
 use super::store::{Call, CallId, Reply};
 use crate::process::config::{Body, Head};
-use crate::process::member::{Hint, Identity, Seen, Stamp};
+use crate::process::member::{Hint, Identity, Member, Stamp};
 use crate::process::slot;
 use crate::version::view::{Incarnation, Version};
 
@@ -179,7 +179,7 @@
     /// Part of every cap that the process may use.
     pub share: slot::Share,
     /// Processes that look-ups may name, this one included, sorted by name.
-    pub members: Arc<[Seen]>,
+    pub members: Arc<[Member]>,
 }
 
 /// A change of state.
--- a/crates/steer/src/process/member.rs
+++ b/crates/steer/src/process/member.rs
@@ -48,7 +48,7 @@
 
 /// Where a process is in its life. A later one wins at the same serial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Life {
+pub enum Lifecycle {
     /// Takes new work.
     Live,
     /// Finishes what it has.
@@ -59,7 +59,7 @@
     Dead,
 }
 
-impl Life {
+impl Lifecycle {
     /// Whether the process may still answer.
     #[must_use]
     pub const fn is_alive(self) -> bool {
@@ -98,21 +98,21 @@
     /// Raised by the process with each change of its life, and to refute.
     pub serial: u32,
     /// Where it is in its life.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
 }
 
 impl Record {
     /// Whether this record replaces `other`, which has the same name.
     #[must_use]
     pub fn replaces(&self, other: &Self) -> bool {
-        (self.stamp, self.serial, self.life) > (other.stamp, other.serial, other.life)
+        (self.stamp, self.serial, self.lifecycle) > (other.stamp, other.serial, other.lifecycle)
     }
 
     /// The same process with a life put down by somebody else.
     #[must_use]
-    pub fn with_life(&self, life: Life) -> Self {
+    pub fn with_lifecycle(&self, lifecycle: Lifecycle) -> Self {
         Self {
-            life,
+            lifecycle,
             ..self.clone()
         }
     }
@@ -121,14 +121,18 @@
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Identity { name, domain, .. } = &self.identity;
-        let life = self.life.as_str();
-        write!(f, "{domain}/{name} {} #{} {life}", self.stamp, self.serial)
+        let lifecycle = self.lifecycle.as_str();
+        write!(
+            f,
+            "{domain}/{name} {} #{} {lifecycle}",
+            self.stamp, self.serial
+        )
     }
 }
 
 /// What changes all the time, and is exchanged within a failure domain only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Vitals {
+pub struct HealthSummary {
     /// Version in force; zero if none.
     pub version: Version,
     /// Load in 1/255 of what the process can carry.
@@ -152,12 +156,12 @@
 
 /// A process in the published list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Member {
     /// What it says of itself.
     pub record: Arc<Record>,
     /// Its own vitals in the home domain, elsewhere its domain's summary: the
     /// lowest version in force there and the mean load.
-    pub vitals: Vitals,
+    pub health: HealthSummary,
 }
 
 /// An address where an entry instance may answer: from the settings or from the
--- a/crates/steer/src/process/member/hash.rs
+++ b/crates/steer/src/process/member/hash.rs
@@ -35,6 +35,6 @@
         &record.stamp.generation.to_le_bytes(),
         &record.stamp.incarnation.0.to_le_bytes(),
         &record.serial.to_le_bytes(),
-        record.life.as_str().as_bytes(),
+        record.lifecycle.as_str().as_bytes(),
     ])
 }
--- a/crates/steer/src/process/member/table.rs
+++ b/crates/steer/src/process/member/table.rs
@@ -100,7 +100,7 @@
             since: now,
         };
         match self.find(&identity.domain, &identity.name) {
-            Err(_) if !record.life.is_alive() => Merge::Old,
+            Err(_) if !record.lifecycle.is_alive() => Merge::Old,
             Err(at) => {
                 self.toggle(record);
                 self.rows.insert(at, row);
@@ -115,7 +115,8 @@
                 self.toggle(&old);
                 self.toggle(record);
                 self.rows[at] = row;
-                let released = old.life == super::Life::Released && old.stamp < record.stamp;
+                let released =
+                    old.lifecycle == super::Lifecycle::Released && old.stamp < record.stamp;
                 if released {
                     Merge::Succeeded(old.stamp)
                 } else {
@@ -128,7 +129,7 @@
     /// Forgets tombstones older than `age`.
     pub fn forget(&mut self, now: Time, age: Duration) {
         self.rows
-            .retain(|row| row.record.life.is_alive() || now.since(row.since) <= age);
+            .retain(|row| row.record.lifecycle.is_alive() || now.since(row.since) <= age);
     }
 
     fn find(&self, domain: &str, name: &str) -> Result<usize, usize> {
@@ -141,7 +142,7 @@
     /// Adds a live record to its domain's digest, or takes it out again.
     fn toggle(&mut self, record: &Record) {
         let domain = &record.identity.domain;
-        let value = if record.life.is_alive() {
+        let value = if record.lifecycle.is_alive() {
             hash::record(record)
         } else {
             0
--- a/crates/steer/tests/control_member.rs
+++ b/crates/steer/tests/control_member.rs
@@ -6,10 +6,10 @@
 use proptest::prelude::*;
 use steer::clock::Time;
 use steer::process::member::table::{Merge, Table};
-use steer::process::member::{Identity, Life, Record, Stamp};
+use steer::process::member::{Identity, Lifecycle, Record, Stamp};
 use steer::version::view::Incarnation;
 
-fn record(generation: u64, serial: u32, life: Life) -> Arc<Record> {
+fn record(generation: u64, serial: u32, lifecycle: Lifecycle) -> Arc<Record> {
     let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, 80));
     Arc::new(Record {
         identity: Identity {
@@ -23,18 +23,18 @@
             incarnation: Incarnation(generation),
         },
         serial,
-        life,
+        lifecycle,
     })
 }
 
 fn any_record() -> impl Strategy<Value = Arc<Record>> {
-    let life = prop_oneof![
-        Just(Life::Live),
-        Just(Life::Leaving),
-        Just(Life::Released),
-        Just(Life::Dead)
+    let lifecycle = prop_oneof![
+        Just(Lifecycle::Live),
+        Just(Lifecycle::Leaving),
+        Just(Lifecycle::Released),
+        Just(Lifecycle::Dead)
     ];
-    (1_u64..4, 1_u32..4, life).prop_map(|(g, s, life)| record(g, s, life))
+    (1_u64..4, 1_u32..4, lifecycle).prop_map(|(g, s, lifecycle)| record(g, s, lifecycle))
 }
 
 proptest! {
@@ -45,7 +45,7 @@
         heard in prop::collection::vec(any_record(), 0..12),
         other in any::<prop::sample::Index>(),
     ) {
-        let first = record(1, 1, Life::Live);
+        let first = record(1, 1, Lifecycle::Live);
         let mut here = Table::default();
         let mut there = Table::default();
         here.merge(Time::ZERO, &first, true);
@@ -68,8 +68,8 @@
 #[test]
 fn tombstone_forgotten() {
     let mut table = Table::default();
-    table.merge(Time::ZERO, &record(1, 1, Life::Live), true);
-    let dead = record(1, 1, Life::Dead);
+    table.merge(Time::ZERO, &record(1, 1, Lifecycle::Live), true);
+    let dead = record(1, 1, Lifecycle::Dead);
     assert_eq!(table.merge(Time::ZERO, &dead, true), Merge::Taken);
     assert_eq!(table.digest("a"), 0);
     let later = Time::from_micros(10);
@@ -82,8 +82,11 @@
 #[test]
 fn successor_of_released() {
     let mut table = Table::default();
-    table.merge(Time::ZERO, &record(1, 1, Life::Live), true);
-    table.merge(Time::ZERO, &record(1, 2, Life::Released), true);
-    let merged = table.merge(Time::ZERO, &record(2, 1, Life::Live), true);
-    assert_eq!(merged, Merge::Succeeded(record(1, 1, Life::Live).stamp));
+    table.merge(Time::ZERO, &record(1, 1, Lifecycle::Live), true);
+    table.merge(Time::ZERO, &record(1, 2, Lifecycle::Released), true);
+    let merged = table.merge(Time::ZERO, &record(2, 1, Lifecycle::Live), true);
+    assert_eq!(
+        merged,
+        Merge::Succeeded(record(1, 1, Lifecycle::Live).stamp)
+    );
 }
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -314,8 +314,8 @@
         let node = self.fleet().node(name);
         let shown = node.shown.as_ref().expect("published");
         let rows = shown.members.iter().map(|seen| {
-            let life = seen.record.life.as_str();
-            (life, seen.record.identity.name.to_string())
+            let lifecycle = seen.record.lifecycle.as_str();
+            (lifecycle, seen.record.identity.name.to_string())
         });
         grouped(rows.collect())
     }
@@ -364,8 +364,11 @@
         let mut of_name = fleet.nodes.iter().filter(|n| n.slot == slot);
         let incarnation = row.record.stamp.incarnation;
         let at = of_name.position(|n| n.control.record().stamp.incarnation == incarnation);
-        let life = row.record.life.as_str();
-        format!("process {} of {about}: {life}\n", at.expect("known") + 1)
+        let lifecycle = row.record.lifecycle.as_str();
+        format!(
+            "process {} of {about}: {lifecycle}\n",
+            at.expect("known") + 1
+        )
     }
 
     fn notices(&mut self, name: &str) -> String {
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/beat.rs
@@ -40,7 +40,7 @@
     pub incarnation: [u8; 8],
 }
 
-/// Twin of [`steer::process::member::Life`].
+/// Twin of [`steer::process::member::Lifecycle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Life {
     /// Takes new work.
@@ -72,7 +72,7 @@
     pub life: Life,
 }
 
-/// Twin of [`steer::process::member::Vitals`].
+/// Twin of [`steer::process::member::HealthSummary`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vitals {
     /// Version in force.
--- a/crates/wire/src/beat/convert.rs
+++ b/crates/wire/src/beat/convert.rs
@@ -43,18 +43,18 @@
     }
 }
 
-impl From<member::Life> for Life {
-    fn from(life: member::Life) -> Self {
+impl From<member::Lifecycle> for Life {
+    fn from(life: member::Lifecycle) -> Self {
         match life {
-            member::Life::Live => Self::Live,
-            member::Life::Leaving => Self::Leaving,
-            member::Life::Released => Self::Released,
-            member::Life::Dead => Self::Dead,
+            member::Lifecycle::Live => Self::Live,
+            member::Lifecycle::Leaving => Self::Leaving,
+            member::Lifecycle::Released => Self::Released,
+            member::Lifecycle::Dead => Self::Dead,
         }
     }
 }
 
-impl From<Life> for member::Life {
+impl From<Life> for member::Lifecycle {
     fn from(life: Life) -> Self {
         match life {
             Life::Live => Self::Live,
@@ -75,7 +75,7 @@
             peer: identity.peer,
             stamp: record.stamp.into(),
             serial: record.serial,
-            life: record.life.into(),
+            life: record.lifecycle.into(),
         }
     }
 }
@@ -94,13 +94,13 @@
             identity,
             stamp: record.stamp.into(),
             serial: record.serial,
-            life: record.life.into(),
+            lifecycle: record.life.into(),
         })
     }
 }
 
-impl From<member::Vitals> for Vitals {
-    fn from(vitals: member::Vitals) -> Self {
+impl From<member::HealthSummary> for Vitals {
+    fn from(vitals: member::HealthSummary) -> Self {
         Self {
             version: vitals.version.0,
             load: vitals.load,
@@ -109,7 +109,7 @@
     }
 }
 
-impl From<Vitals> for member::Vitals {
+impl From<Vitals> for member::HealthSummary {
     fn from(vitals: Vitals) -> Self {
         Self {
             version: view::Version(vitals.version),
@@ -164,7 +164,7 @@
 impl From<&message::Beat> for Beat {
     fn from(beat: &message::Beat) -> Self {
         Self {
-            vitals: beat.vitals.into(),
+            vitals: beat.health.into(),
             reply: beat.reply,
             probe: beat.probe.as_micros(),
             echo: beat.echo.map(Time::as_micros),
@@ -181,7 +181,7 @@
     fn try_from(beat: Beat) -> Result<Self, Malformed> {
         let heard = beat.heard.into_iter().map(TryFrom::try_from);
         Ok(Self {
-            vitals: beat.vitals.into(),
+            health: beat.vitals.into(),
             reply: beat.reply,
             probe: Time::from_micros(beat.probe),
             echo: beat.echo.map(Time::from_micros),
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/beat.rs
@@ -9,7 +9,7 @@
 use steer::process::config::{Body, Change, File, Hash, Head};
 use steer::process::control::message::{Across, Beat, Content, Heard, Message};
 use steer::process::member::table::Digest;
-use steer::process::member::{Identity, Life, Record, Stamp, Summary, Vitals};
+use steer::process::member::{HealthSummary, Identity, Lifecycle, Record, Stamp, Summary};
 use steer::version::view::{Incarnation, Version};
 use wire::beat::{self, Malformed};
 
@@ -29,7 +29,7 @@
         },
         stamp: STAMP,
         serial: 3,
-        life: Life::Leaving,
+        lifecycle: Lifecycle::Leaving,
     })
 }
 
@@ -50,7 +50,7 @@
 
 fn a_beat() -> Beat {
     Beat {
-        vitals: Vitals {
+        health: HealthSummary {
             version: Version(1300),
             load: 200,
             store: true,
