--- a/crates/steer/src/process/control/across.rs
+++ b/crates/steer/src/process/control/across.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::message::{Across, Content};
+use super::message::{Content, DomainHeartbeat};
 use super::peer::{self, Contact, Far};
 use super::{Action, BEAT, Control, Notice, REPS, SILENT};
 use crate::clock::Time;
@@ -63,11 +63,11 @@
         let to = contacts[turn % contacts.len()];
         let answers = self.fars[at].answers.iter();
         let echo = answers.filter(|c| c.addr == to).map(|c| c.probe).next();
-        let across = Across {
+        let across = DomainHeartbeat {
             echo,
             ..self.across(now, true)
         };
-        self.send(to, Content::Across(across), out);
+        self.send(to, Content::DomainHeartbeat(across), out);
     }
 
     /// Addresses of a domain's processes, in an order that differs from domain
@@ -93,14 +93,14 @@
         contacts
     }
 
-    pub(super) fn across(&self, now: Time, reply: bool) -> Across {
-        Across {
+    pub(super) fn across(&self, now: Time, reply: bool) -> DomainHeartbeat {
+        DomainHeartbeat {
             summary: self.summary(),
             digest: self.table.digest(&self.me.identity.domain),
             reply,
             probe: now,
             echo: None,
-            held: None,
+            tombstone: None,
         }
     }
 
@@ -126,11 +126,11 @@
         &mut self,
         now: Time,
         from: &Arc<Record>,
-        across: &Across,
+        across: &DomainHeartbeat,
         out: &mut Vec<Action>,
     ) {
-        if let Some(held) = across.held {
-            return self.refute(now, held, out);
+        if let Some(serial) = across.tombstone {
+            return self.refute(now, serial, out);
         }
         let to = from.identity.peer;
         let domain = &from.identity.domain;
@@ -163,11 +163,11 @@
     }
 
     fn answer_across(&mut self, now: Time, contact: Contact, out: &mut Vec<Action>) {
-        let answer = Across {
+        let answer = DomainHeartbeat {
             echo: Some(contact.probe),
             ..self.across(now, false)
         };
-        self.send(contact.addr, Content::Across(answer), out);
+        self.send(contact.addr, Content::DomainHeartbeat(answer), out);
     }
 
     /// Asks a process of another domain for its domain's rows, and tells it
@@ -175,11 +175,11 @@
     /// lags, its processes find each other through the other domains.
     fn compare_rows(&mut self, to: SocketAddr, domain: &Arc<str>, out: &mut Vec<Action>) {
         let domains = vec![Arc::clone(domain)];
-        self.send(to, Content::Want(domains), out);
+        self.send(to, Content::RecordsRequest(domains), out);
         let rows = self.table.domain(domain).iter();
         let rows: Vec<_> = rows.map(|row| Arc::clone(&row.record)).collect();
         if self.guards.introduce && !rows.is_empty() {
-            self.send(to, Content::Rows(rows), out);
+            self.send(to, Content::Records(rows), out);
         }
     }
 
@@ -198,7 +198,7 @@
             }
             for to in to {
                 let across = self.across(now, false);
-                self.send(to, Content::Across(across), out);
+                self.send(to, Content::DomainHeartbeat(across), out);
             }
         }
     }
--- a/crates/steer/src/process/control/message.rs
+++ b/crates/steer/src/process/control/message.rs
@@ -33,7 +33,7 @@
 
 /// How recently a failure domain was heard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct DomainSeen {
     /// Name of the failure domain.
     pub domain: Arc<str>,
     /// Time since the sender heard it itself.
@@ -42,7 +42,7 @@
 
 /// A heartbeat within a failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's.
     pub health: HealthSummary,
     /// Whether an answer is wanted at once.
@@ -53,16 +53,16 @@
     pub echo: Option<Time>,
     /// Set if the sender holds the receiver for dead: the serial of that
     /// tombstone, above which the receiver has to raise its own.
-    pub held: Option<u32>,
+    pub tombstone: Option<u32>,
     /// Digest of the sender's table over all domains.
-    pub total: u64,
+    pub digest: u64,
     /// Domains that the sender hears itself.
-    pub heard: Vec<Heard>,
+    pub domains_seen: Vec<DomainSeen>,
 }
 
 /// A heartbeat between two failure domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Across {
+pub struct DomainHeartbeat {
     /// The sender's domain, in short.
     pub summary: Summary,
     /// Digest of the sender's rows of its own domain.
@@ -73,31 +73,31 @@
     pub probe: Time,
     /// The newest probe that the sender had from the receiver.
     pub echo: Option<Time>,
-    /// As in [`Beat::held`].
-    pub held: Option<u32>,
+    /// As in [`Heartbeat::tombstone`].
+    pub tombstone: Option<u32>,
 }
 
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
     /// Heartbeat within a domain.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Heartbeat between domains.
-    Across(Across),
+    DomainHeartbeat(DomainHeartbeat),
     /// The sender's digests; the receiver answers with what differs.
     Sync(Vec<Digest>),
     /// Asks for the rows of these domains.
-    Want(Vec<Arc<str>>),
+    RecordsRequest(Vec<Arc<str>>),
     /// Rows of one or several domains.
-    Rows(Vec<Arc<Record>>),
+    Records(Vec<Arc<Record>>),
     /// The receiver's name was taken over by the process of this stamp.
     Superseded(Stamp),
     /// The receiver's predecessor gave up its shares before it stopped.
     Succeeded(Stamp),
     /// Asks whether a process of the sender's domain was heard lately.
-    Ask(Arc<str>),
-    /// Answer to [`Content::Ask`].
-    Told {
+    PeerQuery(Arc<str>),
+    /// Answer to [`Content::PeerQuery`].
+    PeerSeen {
         /// Name of the process.
         name: Arc<str>,
         /// Which process of that name.
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/near.rs
@@ -3,7 +3,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::message::{Beat, Content, Heard, Message};
+use super::message::{Content, DomainSeen, Heartbeat, Message};
 use super::peer::Peer;
 use super::{Action, Control, DROP, Notice, SILENT, SUSPECT, Standing};
 use crate::clock::Time;
@@ -32,18 +32,18 @@
         }
         let near = from.identity.domain == self.me.identity.domain;
         match &message.content {
-            Content::Beat(beat) if near => self.beaten(now, from, beat, out),
-            Content::Across(across) if !near => self.hear_across(now, from, across, out),
-            Content::Beat(_) | Content::Across(_) | Content::Superseded(_) => {}
+            Content::Heartbeat(beat) if near => self.beaten(now, from, beat, out),
+            Content::DomainHeartbeat(across) if !near => self.hear_across(now, from, across, out),
+            Content::Heartbeat(_) | Content::DomainHeartbeat(_) | Content::Superseded(_) => {}
             Content::Sync(digests) => {
                 let domains = self.differing(digests);
                 self.send_rows(message, &domains, out);
             }
-            Content::Want(domains) => self.send_rows(message, domains, out),
-            Content::Rows(rows) => self.learn(now, rows, near, out),
+            Content::RecordsRequest(domains) => self.send_rows(message, domains, out),
+            Content::Records(rows) => self.learn(now, rows, near, out),
             Content::Succeeded(stamp) => self.slot.note_release(now, *stamp),
-            Content::Ask(name) => self.tell(now, message, name, out),
-            Content::Told { name, stamp, age } => self.told(now, name, *stamp, *age),
+            Content::PeerQuery(name) => self.tell(now, message, name, out),
+            Content::PeerSeen { name, stamp, age } => self.told(now, name, *stamp, *age),
             Content::Pull(_) | Content::Offer(_) | Content::Fetch(_) | Content::Bodies(_) => {
                 self.exchange(now, message, out);
             }
@@ -128,9 +128,9 @@
         self.peers = peers;
     }
 
-    fn beaten(&mut self, now: Time, from: &Arc<Record>, beat: &Beat, out: &mut Vec<Action>) {
-        if let Some(held) = beat.held {
-            return self.refute(now, held, out);
+    fn beaten(&mut self, now: Time, from: &Arc<Record>, beat: &Heartbeat, out: &mut Vec<Action>) {
+        if let Some(serial) = beat.tombstone {
+            return self.refute(now, serial, out);
         }
         let total = self.table.total();
         let found = self
@@ -143,7 +143,7 @@
             peer.asked = false;
             peer.probe = Some(beat.probe);
             peer.health = beat.health;
-            let same = beat.total == total;
+            let same = beat.digest == total;
             peer.differs = if same {
                 0
             } else {
@@ -152,8 +152,8 @@
             let differs = peer.differs;
             self.sync_due(now, from, differs, out);
         }
-        for heard in &beat.heard {
-            self.hear_of(now, &heard.domain, heard.age);
+        for seen in &beat.domains_seen {
+            self.hear_of(now, &seen.domain, seen.age);
         }
         if let Some(echo) = beat.echo {
             self.confirmed(now, echo, beat.health.version, out);
@@ -172,11 +172,11 @@
         for at in 0..self.peers.len() {
             let peer = &self.peers[at];
             let to = peer.addr;
-            let beat = Beat {
+            let beat = Heartbeat {
                 echo: peer.probe,
                 ..beat.clone()
             };
-            self.send(to, Content::Beat(beat), out);
+            self.send(to, Content::Heartbeat(beat), out);
         }
     }
 
@@ -186,43 +186,43 @@
         };
         let peer = &self.peers[at];
         let to = peer.addr;
-        let beat = Beat {
+        let beat = Heartbeat {
             echo: peer.probe,
             ..self.beat(now, reply)
         };
-        self.send(to, Content::Beat(beat), out);
+        self.send(to, Content::Heartbeat(beat), out);
     }
 
     pub(super) fn send_held(&mut self, now: Time, to: &Record, serial: u32, out: &mut Vec<Action>) {
-        let held = Some(serial);
+        let tombstone = Some(serial);
         let content = if to.identity.domain == self.me.identity.domain {
-            Content::Beat(Beat {
-                held,
+            Content::Heartbeat(Heartbeat {
+                tombstone,
                 ..self.beat(now, false)
             })
         } else {
-            Content::Across(super::message::Across {
-                held,
+            Content::DomainHeartbeat(super::message::DomainHeartbeat {
+                tombstone,
                 ..self.across(now, false)
             })
         };
         self.send(to.identity.peer, content, out);
     }
 
-    fn beat(&self, now: Time, reply: bool) -> Beat {
+    fn beat(&self, now: Time, reply: bool) -> Heartbeat {
         let direct = |far: &super::peer::Far| {
             let age = now.since(far.direct?);
             let domain = Arc::clone(&far.name);
-            (age < SILENT).then_some(Heard { domain, age })
+            (age < SILENT).then_some(DomainSeen { domain, age })
         };
-        Beat {
+        Heartbeat {
             health: self.health(),
             reply,
             probe: now,
             echo: None,
-            held: None,
-            total: self.table.total(),
-            heard: self.fars.iter().filter_map(direct).collect(),
+            tombstone: None,
+            digest: self.table.total(),
+            domains_seen: self.fars.iter().filter_map(direct).collect(),
         }
     }
 
@@ -269,7 +269,7 @@
         let others: Vec<_> = others.map(|p| p.addr).collect();
         let few = self.rng.choose_multiple(others, WITNESSES);
         for to in few {
-            self.send(to, Content::Ask(Arc::clone(name)), out);
+            self.send(to, Content::PeerQuery(Arc::clone(name)), out);
         }
     }
 
@@ -278,7 +278,7 @@
         let Ok(at) = found else { return };
         let peer = &self.peers[at];
         let Some(direct) = peer.direct else { return };
-        let content = Content::Told {
+        let content = Content::PeerSeen {
             name: Arc::clone(name),
             stamp: peer.stamp,
             age: now.since(direct),
@@ -313,6 +313,6 @@
             return;
         };
         let beat = self.beat(now, true);
-        self.send(to, Content::Beat(beat), out);
+        self.send(to, Content::Heartbeat(beat), out);
     }
 }
--- a/crates/steer/src/process/control/rows.rs
+++ b/crates/steer/src/process/control/rows.rs
@@ -81,7 +81,7 @@
             }
         }
         if !rows.is_empty() {
-            self.send(message.reply_addr(), Content::Rows(rows), out);
+            self.send(message.reply_addr(), Content::Records(rows), out);
         }
     }
 
@@ -144,7 +144,7 @@
         }
         for at in 0..self.peers.len() {
             let to = self.peers[at].addr;
-            self.send(to, Content::Rows(records.to_vec()), out);
+            self.send(to, Content::Records(records.to_vec()), out);
         }
     }
 }
--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/beat.rs
@@ -96,7 +96,7 @@
     pub load: u8,
 }
 
-/// Twin of [`steer::process::control::message::Heard`].
+/// Twin of [`steer::process::control::message::DomainSeen`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
     /// Name of the failure domain.
@@ -105,7 +105,7 @@
     pub age_ms: u32,
 }
 
-/// Twin of [`steer::process::control::message::Beat`].
+/// Twin of [`steer::process::control::message::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
     /// The sender's.
@@ -124,7 +124,7 @@
     pub heard: Vec<Heard>,
 }
 
-/// Twin of [`steer::process::control::message::Across`].
+/// Twin of [`steer::process::control::message::DomainHeartbeat`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Across {
     /// The sender's domain, in short.
--- a/crates/wire/src/beat/convert.rs
+++ b/crates/wire/src/beat/convert.rs
@@ -141,8 +141,8 @@
     }
 }
 
-impl From<&message::Heard> for Heard {
-    fn from(heard: &message::Heard) -> Self {
+impl From<&message::DomainSeen> for Heard {
+    fn from(heard: &message::DomainSeen) -> Self {
         Self {
             domain: heard.domain.to_string(),
             age_ms: millis(heard.age),
@@ -150,7 +150,7 @@
     }
 }
 
-impl TryFrom<Heard> for message::Heard {
+impl TryFrom<Heard> for message::DomainSeen {
     type Error = Malformed;
 
     fn try_from(heard: Heard) -> Result<Self, Malformed> {
@@ -161,21 +161,21 @@
     }
 }
 
-impl From<&message::Beat> for Beat {
-    fn from(beat: &message::Beat) -> Self {
+impl From<&message::Heartbeat> for Beat {
+    fn from(beat: &message::Heartbeat) -> Self {
         Self {
             vitals: beat.health.into(),
             reply: beat.reply,
             probe: beat.probe.as_micros(),
             echo: beat.echo.map(Time::as_micros),
-            held: beat.held,
-            total: beat.total.to_le_bytes(),
-            heard: beat.heard.iter().map(Heard::from).collect(),
+            held: beat.tombstone,
+            total: beat.digest.to_le_bytes(),
+            heard: beat.domains_seen.iter().map(Heard::from).collect(),
         }
     }
 }
 
-impl TryFrom<Beat> for message::Beat {
+impl TryFrom<Beat> for message::Heartbeat {
     type Error = Malformed;
 
     fn try_from(beat: Beat) -> Result<Self, Malformed> {
@@ -185,27 +185,27 @@
             reply: beat.reply,
             probe: Time::from_micros(beat.probe),
             echo: beat.echo.map(Time::from_micros),
-            held: beat.held,
-            total: u64::from_le_bytes(beat.total),
-            heard: heard.collect::<Result<_, _>>()?,
+            tombstone: beat.held,
+            digest: u64::from_le_bytes(beat.total),
+            domains_seen: heard.collect::<Result<_, _>>()?,
         })
     }
 }
 
-impl From<message::Across> for Across {
-    fn from(across: message::Across) -> Self {
+impl From<message::DomainHeartbeat> for Across {
+    fn from(across: message::DomainHeartbeat) -> Self {
         Self {
             summary: across.summary.into(),
             digest: across.digest.to_le_bytes(),
             reply: across.reply,
             probe: across.probe.as_micros(),
             echo: across.echo.map(Time::as_micros),
-            held: across.held,
+            held: across.tombstone,
         }
     }
 }
 
-impl From<Across> for message::Across {
+impl From<Across> for message::DomainHeartbeat {
     fn from(across: Across) -> Self {
         Self {
             summary: across.summary.into(),
@@ -213,7 +213,7 @@
             reply: across.reply,
             probe: Time::from_micros(across.probe),
             echo: across.echo.map(Time::from_micros),
-            held: across.held,
+            tombstone: across.held,
         }
     }
 }
@@ -313,15 +313,17 @@
     fn from(content: &message::Content) -> Self {
         use message::Content as Inner;
         match content {
-            Inner::Beat(beat) => Self::Beat(beat.into()),
-            Inner::Across(across) => Self::Across((*across).into()),
+            Inner::Heartbeat(beat) => Self::Beat(beat.into()),
+            Inner::DomainHeartbeat(across) => Self::Across((*across).into()),
             Inner::Sync(digests) => Self::Sync(digests.iter().map(Digest::from).collect()),
-            Inner::Want(domains) => Self::Want(domains.iter().map(ToString::to_string).collect()),
-            Inner::Rows(rows) => Self::Rows(rows.iter().map(|r| Record::from(&**r)).collect()),
+            Inner::RecordsRequest(domains) => {
+                Self::Want(domains.iter().map(ToString::to_string).collect())
+            }
+            Inner::Records(rows) => Self::Rows(rows.iter().map(|r| Record::from(&**r)).collect()),
             Inner::Superseded(stamp) => Self::Superseded((*stamp).into()),
             Inner::Succeeded(stamp) => Self::Succeeded((*stamp).into()),
-            Inner::Ask(name) => Self::Ask(name.to_string()),
-            Inner::Told { name, stamp, age } => Self::Told {
+            Inner::PeerQuery(name) => Self::Ask(name.to_string()),
+            Inner::PeerSeen { name, stamp, age } => Self::Told {
                 name: name.to_string(),
                 stamp: (*stamp).into(),
                 age_ms: millis(*age),
@@ -339,24 +341,24 @@
 
     fn try_from(content: Content) -> Result<Self, Malformed> {
         Ok(match content {
-            Content::Beat(beat) => Self::Beat(beat.try_into()?),
-            Content::Across(across) => Self::Across(across.into()),
+            Content::Beat(beat) => Self::Heartbeat(beat.try_into()?),
+            Content::Across(across) => Self::DomainHeartbeat(across.into()),
             Content::Sync(digests) => Self::Sync(each(digests)?),
             Content::Want(domains) => {
-                Self::Want(domains.into_iter().map(name).collect::<Result<_, _>>()?)
+                Self::RecordsRequest(domains.into_iter().map(name).collect::<Result<_, _>>()?)
             }
             Content::Rows(rows) => {
                 let rows: Vec<member::Record> = each(rows)?;
-                Self::Rows(rows.into_iter().map(Arc::new).collect())
+                Self::Records(rows.into_iter().map(Arc::new).collect())
             }
             Content::Superseded(stamp) => Self::Superseded(stamp.into()),
             Content::Succeeded(stamp) => Self::Succeeded(stamp.into()),
-            Content::Ask(asked) => Self::Ask(name(asked)?),
+            Content::Ask(asked) => Self::PeerQuery(name(asked)?),
             Content::Told {
                 name: told,
                 stamp,
                 age_ms,
-            } => Self::Told {
+            } => Self::PeerSeen {
                 name: name(told)?,
                 stamp: stamp.into(),
                 age: Duration::from_millis(age_ms.into()),
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/beat.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use steer::clock::Time;
 use steer::process::config::{Body, Change, File, Hash, Head};
-use steer::process::control::message::{Across, Beat, Content, Heard, Message};
+use steer::process::control::message::{Content, DomainHeartbeat, DomainSeen, Heartbeat, Message};
 use steer::process::member::table::Digest;
 use steer::process::member::{HealthSummary, Identity, Lifecycle, Record, Stamp, Summary};
 use steer::version::view::{Incarnation, Version};
@@ -48,8 +48,8 @@
     }
 }
 
-fn a_beat() -> Beat {
-    Beat {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         health: HealthSummary {
             version: Version(1300),
             load: 200,
@@ -58,10 +58,10 @@
         reply: true,
         probe: Time::from_micros(86_400_000_000),
         echo: Some(Time::from_micros(86_400_000_000)),
-        held: Some(4),
-        total: u64::MAX,
-        heard: vec![
-            Heard {
+        tombstone: Some(4),
+        digest: u64::MAX,
+        domains_seen: vec![
+            DomainSeen {
                 domain: "fnq-2".into(),
                 age: Duration::from_millis(700),
             };
@@ -70,8 +70,8 @@
     }
 }
 
-fn an_across() -> Across {
-    Across {
+fn domain_heartbeat() -> DomainHeartbeat {
+    DomainHeartbeat {
         summary: Summary {
             count: 22,
             oldest: Version(8),
@@ -82,7 +82,7 @@
         reply: false,
         probe: Time::from_micros(1),
         echo: None,
-        held: None,
+        tombstone: None,
     }
 }
 
@@ -101,7 +101,7 @@
 }
 
 fn told() -> Content {
-    Content::Told {
+    Content::PeerSeen {
         name: "seq-1-b".into(),
         stamp: STAMP,
         age: Duration::from_millis(3),
@@ -109,14 +109,14 @@
 }
 
 #[rstest]
-#[case::beat(Content::Beat(a_beat()))]
-#[case::across(Content::Across(an_across()))]
+#[case::beat(Content::Heartbeat(heartbeat()))]
+#[case::across(Content::DomainHeartbeat(domain_heartbeat()))]
 #[case::sync(Content::Sync(vec![a_digest()]))]
-#[case::want(Content::Want(vec!["seq-2".into()]))]
-#[case::rows(Content::Rows(vec![record("seq-1-b")]))]
+#[case::want(Content::RecordsRequest(vec!["seq-2".into()]))]
+#[case::rows(Content::Records(vec![record("seq-1-b")]))]
 #[case::superseded(Content::Superseded(STAMP))]
 #[case::succeeded(Content::Succeeded(STAMP))]
-#[case::ask(Content::Ask("seq-1-b".into()))]
+#[case::ask(Content::PeerQuery("seq-1-b".into()))]
 #[case::told(told())]
 #[case::pull(Content::Pull(Version(7)))]
 #[case::offer(Content::Offer(Arc::new(head(&["base", "site-1"]))))]
@@ -144,7 +144,7 @@
 fn beat_size() {
     let message = Message {
         from: record("seq-1-a"),
-        content: Content::Beat(a_beat()),
+        content: Content::Heartbeat(heartbeat()),
     };
     let size = beat::Message::from(&message).wire_size();
     assert!(size <= 150, "{size} bytes");
