--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -97,7 +97,7 @@
         loop {
             let input = async { inbox.recv().await.ok() };
             let pause = async {
-                smol::Timer::after(control::TICK).await;
+                smol::Timer::after(control::TICK_INTERVAL_MAX).await;
                 None
             };
             match future::or(input, pause).await {
--- a/crates/auburnrouter/src/daemon/snapshot.rs
+++ b/crates/auburnrouter/src/daemon/snapshot.rs
@@ -51,6 +51,6 @@
     #[must_use]
     pub fn is_fresh(&self, now: Time) -> bool {
         let last = Time::from_micros(self.0.load(Ordering::Relaxed));
-        now.since(last) < control::GAP
+        now.since(last) < control::FREEZE_GAP_MIN
     }
 }
--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -6,7 +6,7 @@
 //! was known before a freeze isn't acted on until somebody confirms it.
 //!
 //! Topology. Within a failure domain every process sends a heartbeat to every
-//! other. Between two domains [`REPS`] processes of one of them do, to a few of
+//! other. Between two domains [`REPRESENTATIVES`] processes of one of them do, to a few of
 //! the other; which ones follows from a hash of the names, so nothing is
 //! elected. Records are pushed when they change and compared by digests, so
 //! nothing that stays the same is sent twice.
@@ -39,49 +39,49 @@
 use crate::version::view::Version;
 
 /// Longest time between two [`Event::Tick`]s that a healthy driver leaves.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL_MAX: Duration = Duration::from_millis(100);
 
 /// Time between two heartbeats to the same process.
-pub const BEAT: Duration = Duration::from_millis(700);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Silence after which others are asked whether they hear a process.
-pub const SUSPECT: Duration = Duration::from_millis(1500);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Silence after which a process of this domain is dropped.
-pub const DROP: Duration = Duration::from_millis(2400);
+pub const DROP_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// Silence after which a whole failure domain is left out of look-ups.
-pub const SILENT: Duration = Duration::from_millis(2800);
+pub const DOMAIN_TIMEOUT: Duration = Duration::from_millis(2800);
 
 /// Gap between two events after which the process was frozen. It is so far
-/// below [`DROP`] that no peer drops a process that doesn't notice its freeze.
-pub const GAP: Duration = Duration::from_millis(1500);
+/// below [`DROP_TIMEOUT`] that no peer drops a process that doesn't notice its freeze.
+pub const FREEZE_GAP_MIN: Duration = Duration::from_millis(1500);
 
 /// Time in doubt after which a process that nobody answers is on its own.
-pub const ISOLATED: Duration = Duration::from_secs(5);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time after the first answer in which a starting process may still raise its
 /// generation above that of a predecessor.
-pub const SETTLE: Duration = Duration::from_secs(5);
+pub const JOIN_WINDOW: Duration = Duration::from_secs(5);
 
 /// Shortest time between two raises of the generation.
-pub const RAISE: Duration = Duration::from_secs(1);
+pub const RAISE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
 /// Time for which tombstones are kept: longer than any freeze that matters,
 /// since the successor's record outlives it.
-pub const FORGET: Duration = Duration::from_mins(15);
+pub const TOMBSTONE_TTL: Duration = Duration::from_mins(15);
 
 /// Processes of a domain that keep up the contact with another domain.
-pub const REPS: usize = 2;
+pub const REPRESENTATIVES: usize = 2;
 
 /// Processes of a domain that watch the store's head.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_DOMAIN: usize = 2;
 
 /// Versions after which the watchers change.
-const ROTATION: u64 = 16;
+const WATCHER_ROTATION_VERSIONS: u64 = 16;
 
 /// Longest time between two publications; changes are published at once.
-const PUBLISH: Duration = Duration::from_secs(2);
+const PUBLISH_INTERVAL_MAX: Duration = Duration::from_secs(2);
 
 /// Control's state.
 pub struct Control {
@@ -259,11 +259,11 @@
         self.publish_due(now, out);
     }
 
-    /// One round of heartbeats, each [`BEAT`].
+    /// One round of heartbeats, each [`HEARTBEAT_INTERVAL`].
     fn round(&mut self, now: Time, out: &mut Vec<Action>) {
-        let step = BEAT.mul_f64(0.95 + 0.1 * self.rng.f64());
+        let step = HEARTBEAT_INTERVAL.mul_f64(0.95 + 0.1 * self.rng.f64());
         self.beat = now + step;
-        self.table.forget(now, FORGET);
+        self.table.forget(now, TOMBSTONE_TTL);
         self.beat_all(now, false, out);
         self.try_hint(now, out);
         self.round_across(now, out);
@@ -319,7 +319,7 @@
 
     fn publish_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let share = self.share(now);
-        let due = now.since(self.published) >= PUBLISH;
+        let due = now.since(self.published) >= PUBLISH_INTERVAL_MAX;
         if !self.dirty && share == self.shown && !due {
             return;
         }
--- a/crates/steer/src/process/control/across.rs
+++ b/crates/steer/src/process/control/across.rs
@@ -1,6 +1,6 @@
 //! Heartbeats between failure domains.
 //!
-//! Of a pair of domains one keeps up the contact: [`REPS`] of its processes
+//! Of a pair of domains one keeps up the contact: [`REPRESENTATIVES`] of its processes
 //! each send a heartbeat to two processes of the other in turn, and are
 //! answered. If the pair is silent the other tries as well.
 
@@ -10,16 +10,16 @@
 
 use super::message::{Content, DomainHeartbeat};
 use super::peer::{self, Contact, Far};
-use super::{Action, BEAT, Control, Notice, REPS, SILENT};
+use super::{Action, Control, DOMAIN_TIMEOUT, HEARTBEAT_INTERVAL, Notice, REPRESENTATIVES};
 use crate::clock::Time;
 use crate::process::member::{HealthSummary, Record, Summary, hash};
 
 /// Processes of the other domain that one process talks to in turn, so that
 /// the death of one of them costs every second heartbeat.
-const CONTACTS: usize = 2;
+const CONTACTS_PER_DOMAIN: usize = 2;
 
 /// Time between two requests for the rows of one domain.
-const WANT: Duration = Duration::from_millis(300);
+const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Control {
     /// One round of heartbeats to the domains that are this process's part.
@@ -27,8 +27,10 @@
         self.meet_domains();
         for at in 0..self.fars.len() {
             let far = &self.fars[at];
-            let quiet = far.heard.is_none_or(|t| now.since(t) > BEAT * 2);
-            let ours = far.rank.is_some_and(|rank| rank < REPS);
+            let quiet = far
+                .heard
+                .is_none_or(|t| now.since(t) > HEARTBEAT_INTERVAL * 2);
+            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
             if ours && (quiet || self.starts(&far.name)) {
                 self.call_far(now, at, quiet, out);
             }
@@ -54,11 +56,11 @@
         }
         let far = &mut self.fars[at];
         far.turn = far.turn.wrapping_add(1);
-        let first = far.rank.unwrap_or(0) * CONTACTS;
+        let first = far.rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
         let turn = if quiet {
             self.rng.usize(..contacts.len())
         } else {
-            first + far.turn % CONTACTS
+            first + far.turn % CONTACTS_PER_DOMAIN
         };
         let to = contacts[turn % contacts.len()];
         let answers = self.fars[at].answers.iter();
@@ -139,7 +141,9 @@
         far.heard = Some(now);
         far.direct = Some(now);
         far.summary = across.summary;
-        let asked = far.wanted.is_some_and(|t| now.since(t) < WANT);
+        let asked = far
+            .wanted
+            .is_some_and(|t| now.since(t) < RECORDS_REQUEST_INTERVAL);
         if differs && !asked {
             far.wanted = Some(now);
             self.compare_rows(to, domain, out);
@@ -188,11 +192,12 @@
     pub(super) fn tell_across(&mut self, now: Time, out: &mut Vec<Action>) {
         for at in 0..self.fars.len() {
             let far = &mut self.fars[at];
-            far.callers.retain(|c| now.since(c.heard) < BEAT * 3);
+            far.callers
+                .retain(|c| now.since(c.heard) < HEARTBEAT_INTERVAL * 3);
             let mut to: Vec<_> = far.callers.iter().map(|c| c.addr).collect();
-            let ours = far.rank.is_some_and(|rank| rank < REPS);
+            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
             if ours && self.starts(&self.fars[at].name) {
-                let first = self.fars[at].rank.unwrap_or(0) * CONTACTS;
+                let first = self.fars[at].rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
                 let contacts = self.contacts(at, false);
                 to.extend(contacts.get(first % contacts.len().max(1)));
             }
@@ -267,7 +272,7 @@
     /// Notices domains that fell silent or came back.
     pub(super) fn check_fars(&mut self, out: &mut Vec<Action>, now: Time) {
         for far in &mut self.fars {
-            let silent = far.heard.is_none_or(|t| now.since(t) > SILENT);
+            let silent = far.heard.is_none_or(|t| now.since(t) > DOMAIN_TIMEOUT);
             if silent == far.silent {
                 continue;
             }
@@ -286,7 +291,7 @@
     pub(super) fn remote_health(&self, now: Time, at: usize) -> Option<HealthSummary> {
         let far = self.fars.get(at)?;
         let heard = far.heard?;
-        (now.since(heard) <= SILENT).then_some(HealthSummary {
+        (now.since(heard) <= DOMAIN_TIMEOUT).then_some(HealthSummary {
             version: far.summary.oldest,
             load: far.summary.load,
             store: false,
--- a/crates/steer/src/process/control/adopt.rs
+++ b/crates/steer/src/process/control/adopt.rs
@@ -6,7 +6,7 @@
 
 use super::message::{Content, Message};
 use super::store::{Asked, Call, CallId, Need, Reply, Request, Stored, Turn};
-use super::{Action, Control, Notice, ROTATION, Standing, WATCHERS};
+use super::{Action, Control, Notice, Standing, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN};
 use crate::clock::Time;
 use crate::process::config::keeper::{self, Source, Verdict};
 use crate::process::config::{Body, Hash, Head};
@@ -14,13 +14,13 @@
 use crate::version::view::Version;
 
 /// Time that a peer has to answer.
-const ANSWER: Duration = Duration::from_secs(1);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bodies asked for at a time.
-const FETCHES: usize = 8;
+const FETCHES_MAX: usize = 8;
 
 /// Bytes of bodies in one message, unless one body alone is larger.
-const BODIES_MAX: usize = 1 << 20;
+const BODIES_MESSAGE_BYTES_MAX: usize = 1 << 20;
 
 /// Troubles with the store's data that were logged already.
 #[derive(Clone, Copy, Debug, Default)]
@@ -62,7 +62,7 @@
         if !self.guards.pull || pulling || !self.keeper.wants(version) {
             return;
         }
-        let until = now + ANSWER;
+        let until = now + FETCH_TIMEOUT;
         self.pull = Some(Pull { until });
         let known = self.keeper.known();
         self.send(from.identity.peer, Content::Pull(known), out);
@@ -104,7 +104,7 @@
         let mut bytes = 0;
         for body in hashes.iter().filter_map(|&h| self.keeper.body(h)) {
             bytes += body.bytes.len();
-            if bytes > BODIES_MAX && !bodies.is_empty() {
+            if bytes > BODIES_MESSAGE_BYTES_MAX && !bodies.is_empty() {
                 break;
             }
             bodies.push(body.clone());
@@ -140,7 +140,7 @@
         let lacking = self.keeper.lacking();
         self.fetches.retain(|f| lacking.contains(&f.hash));
         let mut from_peer = Vec::new();
-        for &hash in lacking.iter().take(FETCHES) {
+        for &hash in lacking.iter().take(FETCHES_MAX) {
             if self.fetch(now, hash, out) {
                 from_peer.push(hash);
             }
@@ -180,7 +180,7 @@
         }
         let fetch = &mut self.fetches[at];
         fetch.tries += 1;
-        fetch.until = now + ANSWER;
+        fetch.until = now + FETCH_TIMEOUT;
         peer
     }
 
@@ -251,7 +251,7 @@
     /// a hash of name and version among the live ones that reach the store. All
     /// compute it alike, and the part goes round as versions rise.
     pub(super) fn is_watcher(&self) -> bool {
-        let turn = self.keeper.version().0 / ROTATION;
+        let turn = self.keeper.version().0 / WATCHER_ROTATION_VERSIONS;
         let weight = |name: &str, store: bool| {
             let order = hash::mix(&[name.as_bytes(), &turn.to_le_bytes()]);
             (!store, order)
@@ -261,7 +261,7 @@
             .peers
             .iter()
             .filter(|p| weight(&p.name, p.health.store) < mine);
-        before.take(WATCHERS).count() < WATCHERS
+        before.take(WATCHERS_PER_DOMAIN).count() < WATCHERS_PER_DOMAIN
     }
 
     pub(super) fn stored(&mut self, now: Time, id: CallId, reply: Reply, out: &mut Vec<Action>) {
--- a/crates/steer/src/process/control/apply.rs
+++ b/crates/steer/src/process/control/apply.rs
@@ -136,7 +136,7 @@
 }
 
 /// Reads and fences tried before the verdict is left open.
-const TRIES: u32 = 5;
+const RESOLVE_TRIES_MAX: u32 = 5;
 
 /// A change under way.
 #[derive(Clone, Debug)]
@@ -283,7 +283,7 @@
     }
 
     fn read_back(&mut self, tries: u32) -> Step {
-        if tries >= TRIES {
+        if tries >= RESOLVE_TRIES_MAX {
             return self.unknown();
         }
         self.stage = Stage::ReadBack { tries };
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/near.rs
@@ -5,13 +5,13 @@
 
 use super::message::{Content, DomainSeen, Heartbeat, Message};
 use super::peer::Peer;
-use super::{Action, Control, DROP, Notice, SILENT, SUSPECT, Standing};
+use super::{Action, Control, DOMAIN_TIMEOUT, DROP_TIMEOUT, Notice, SUSPECT_TIMEOUT, Standing};
 use crate::clock::Time;
 use crate::process::member::table::Merge;
 use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 
 /// Processes asked about a silent one.
-const WITNESSES: usize = 3;
+const QUERIED_PEERS_MAX: usize = 3;
 
 impl Control {
     /// Takes a message of any kind.
@@ -213,7 +213,7 @@
         let direct = |far: &super::peer::Far| {
             let age = now.since(far.direct?);
             let domain = Arc::clone(&far.name);
-            (age < SILENT).then_some(DomainSeen { domain, age })
+            (age < DOMAIN_TIMEOUT).then_some(DomainSeen { domain, age })
         };
         Heartbeat {
             health: self.health(),
@@ -232,9 +232,9 @@
         let mut silent = Vec::new();
         for peer in &mut self.peers {
             let silence = now.since(peer.heard);
-            if silence > DROP {
+            if silence > DROP_TIMEOUT {
                 dead.push(Arc::clone(&peer.name));
-            } else if silence > SUSPECT && !peer.asked {
+            } else if silence > SUSPECT_TIMEOUT && !peer.asked {
                 peer.asked = true;
                 silent.push(Arc::clone(&peer.name));
             }
@@ -267,7 +267,7 @@
         self.counters.suspected += 1;
         let others = self.peers.iter().filter(|p| p.name != *name && !p.asked);
         let others: Vec<_> = others.map(|p| p.addr).collect();
-        let few = self.rng.choose_multiple(others, WITNESSES);
+        let few = self.rng.choose_multiple(others, QUERIED_PEERS_MAX);
         for to in few {
             self.send(to, Content::PeerQuery(Arc::clone(name)), out);
         }
@@ -293,7 +293,7 @@
         let heard = now - age;
         if peer.stamp == stamp && heard > peer.heard {
             peer.heard = heard;
-            peer.asked = now.since(heard) > SUSPECT;
+            peer.asked = now.since(heard) > SUSPECT_TIMEOUT;
         }
     }
 
--- a/crates/steer/src/process/control/peer.rs
+++ b/crates/steer/src/process/control/peer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::BEAT;
+use super::HEARTBEAT_INTERVAL;
 use crate::clock::Time;
 use crate::process::member::{HealthSummary, Stamp, Summary};
 
@@ -69,7 +69,7 @@
 /// Puts a contact in place of its older self, and drops those long silent.
 pub(super) fn note(contacts: &mut Vec<Contact>, contact: Contact) {
     let now = contact.heard;
-    contacts.retain(|c| c.addr != contact.addr && now.since(c.heard) < BEAT * 5);
+    contacts.retain(|c| c.addr != contact.addr && now.since(c.heard) < HEARTBEAT_INTERVAL * 5);
     contacts.push(contact);
 }
 
--- a/crates/steer/src/process/control/rows.rs
+++ b/crates/steer/src/process/control/rows.rs
@@ -4,23 +4,23 @@
 use std::sync::Arc;
 
 use super::message::{Content, Message};
-use super::{Action, Control, DROP};
+use super::{Action, Control, DROP_TIMEOUT};
 use crate::clock::Time;
 use crate::process::member::table::{Digest, Merge};
 use crate::process::member::{Lifecycle, Record};
 
 /// Time between two comparisons of digests.
-const SYNC: Duration = Duration::from_secs(1);
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The same for a process that is still learning who is there.
-const SYNC_JOINING: Duration = Duration::from_millis(250);
+const SYNC_INTERVAL_JOINING: Duration = Duration::from_millis(250);
 
 /// Heartbeats with a differing digest before a comparison: a push is under way
 /// more often than it is lost.
-const DIFFERS: u8 = 3;
+const MISMATCHES_MIN: u8 = 3;
 
 /// Rows in one message, about 50 KB.
-const ROWS: usize = 600;
+const RECORDS_MESSAGE_MAX: usize = 600;
 
 impl Control {
     /// Compares digests with a peer whose table has differed for a while.
@@ -31,11 +31,16 @@
         differs: u8,
         out: &mut Vec<Action>,
     ) {
-        let enough = differs >= DIFFERS || (self.joining && differs > 0);
+        let enough = differs >= MISMATCHES_MIN || (self.joining && differs > 0);
         if !enough || now < self.sync {
             return;
         }
-        self.sync = now + if self.joining { SYNC_JOINING } else { SYNC };
+        self.sync = now
+            + if self.joining {
+                SYNC_INTERVAL_JOINING
+            } else {
+                SYNC_INTERVAL
+            };
         self.counters.syncs += 1;
         let digests = self.table.digests().to_vec();
         self.send(from.identity.peer, Content::Sync(digests), out);
@@ -76,7 +81,7 @@
         for domain in domains {
             let more = self.table.domain(domain).iter();
             rows.extend(more.map(|row| Arc::clone(&row.record)));
-            if rows.len() >= ROWS {
+            if rows.len() >= RECORDS_MESSAGE_MAX {
                 break;
             }
         }
@@ -132,7 +137,7 @@
         let found = self.peers.binary_search_by(|p| p.name.cmp(&identity.name));
         found.is_ok_and(|at| {
             let peer = &self.peers[at];
-            let heard = peer.direct.is_some_and(|t| now.since(t) <= DROP);
+            let heard = peer.direct.is_some_and(|t| now.since(t) <= DROP_TIMEOUT);
             peer.stamp == record.stamp && heard
         })
     }
--- a/crates/steer/src/process/control/standing.rs
+++ b/crates/steer/src/process/control/standing.rs
@@ -2,7 +2,10 @@
 
 use std::sync::Arc;
 
-use super::{Action, Control, GAP, ISOLATED, Notice, RAISE, SETTLE, Standing};
+use super::{
+    Action, Control, FREEZE_GAP_MIN, ISOLATION_TIMEOUT, JOIN_WINDOW, Notice, RAISE_INTERVAL_MIN,
+    Standing,
+};
 use crate::clock::Time;
 use crate::process::member::{Lifecycle, Record, Stamp};
 use crate::version::view::Version;
@@ -26,7 +29,7 @@
     pub(super) fn notice_freeze(&mut self, now: Time, out: &mut Vec<Action>) {
         let gap = now.since(self.last);
         self.last = now;
-        if !self.guards.doubt || gap <= GAP || self.standing == Standing::Superseded {
+        if !self.guards.doubt || gap <= FREEZE_GAP_MIN || self.standing == Standing::Superseded {
             return;
         }
         self.counters.frozen += 1;
@@ -63,7 +66,7 @@
         }
         self.slot.confirm(asked);
         let first = *self.answered.get_or_insert(now);
-        if now.since(first) >= SETTLE {
+        if now.since(first) >= JOIN_WINDOW {
             self.joining = false;
         }
         let unsure = matches!(self.standing, Standing::Doubt | Standing::Isolated);
@@ -85,7 +88,7 @@
     }
 
     pub(super) fn age_doubt(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waited = now.since(self.doubt.from) >= ISOLATED;
+        let waited = now.since(self.doubt.from) >= ISOLATION_TIMEOUT;
         if self.standing == Standing::Doubt && self.doubt.told.is_none() && waited {
             self.stand(now, Standing::Isolated, out);
         }
@@ -139,7 +142,10 @@
         if !self.joining {
             return self.stand(now, Standing::Superseded, out);
         }
-        if self.raised.is_some_and(|t| now.since(t) < RAISE) {
+        if self
+            .raised
+            .is_some_and(|t| now.since(t) < RAISE_INTERVAL_MIN)
+        {
             return;
         }
         self.raised = Some(now);
--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -79,27 +79,27 @@
 }
 
 /// Longest time of a watch.
-pub const WATCH: Duration = Duration::from_secs(30);
+pub const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Mean time between two reads of the head by a process that doesn't watch; it
 /// covers events that a watch has missed.
-pub const REREAD: Duration = Duration::from_mins(1);
+pub const REREAD_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Mean time between two reads of the list by a watching process.
-pub const LIST: Duration = Duration::from_secs(30);
+pub const LIST_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Time after which an unanswered call counts as lost, beyond its own wait. The
 /// driver's bound has to be below it.
-pub const LOST: Duration = Duration::from_secs(5);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// First wait after a failure; it doubles up to [`BACKOFF_MAX`].
-pub const BACKOFF: Duration = Duration::from_millis(250);
+pub const BACKOFF_MIN: Duration = Duration::from_millis(250);
 
 /// Longest wait between two tries while the store is away, before jitter.
 pub const BACKOFF_MAX: Duration = Duration::from_secs(30);
 
 /// Bodies read at a time.
-const BODIES: usize = 4;
+const BODY_READS_MAX: usize = 4;
 
 /// How the store does, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -163,7 +163,7 @@
     /// A process's policy; its first calls come within a jittered moment.
     /// `reread` off leaves out the slow re-read: the ablation.
     pub fn new(now: Time, reread: bool, rng: &mut fastrand::Rng) -> Self {
-        let first = now + jitter(BACKOFF, rng);
+        let first = now + jitter(BACKOFF_MIN, rng);
         Self {
             waiting: Vec::new(),
             calls: 0,
@@ -205,7 +205,14 @@
         }
         if need.watcher && self.fresh && !self.waits(|c| matches!(c, Call::Watch { .. })) {
             let after = self.revision;
-            self.call(now, Call::Watch { after, wait: WATCH }, out);
+            self.call(
+                now,
+                Call::Watch {
+                    after,
+                    wait: WATCH_TIMEOUT,
+                },
+                out,
+            );
         }
     }
 
@@ -218,7 +225,7 @@
             .waiting
             .iter()
             .filter(|w| matches!(w.call, Call::Body(_)));
-        if bodies.count() >= BODIES || self.waits(|c| *c == Call::Body(hash)) {
+        if bodies.count() >= BODY_READS_MAX || self.waits(|c| *c == Call::Body(hash)) {
             return Asked::Busy;
         }
         self.call(now, Call::Body(hash), out);
@@ -260,7 +267,7 @@
                 Call::Watch { wait, .. } => wait,
                 Call::Head | Call::Body(_) | Call::List => Duration::ZERO,
             };
-            now.since(w.since) > wait + LOST
+            now.since(w.since) > wait + CALL_TIMEOUT
         };
         let mut turn = Turn::None;
         while let Some(at) = self.waiting.iter().position(lost) {
@@ -299,9 +306,9 @@
             return;
         }
         let mean = match need {
-            Need { alone: true, .. } => LIST / 6,
-            Need { watcher: true, .. } => LIST,
-            Need { .. } => LIST * 20,
+            Need { alone: true, .. } => LIST_INTERVAL / 6,
+            Need { watcher: true, .. } => LIST_INTERVAL,
+            Need { .. } => LIST_INTERVAL * 20,
         };
         self.list = now + jitter(mean, rng);
         self.call(now, Call::List, out);
@@ -318,7 +325,7 @@
             return;
         }
         self.reread = if self.slow {
-            now + jitter(REREAD, rng)
+            now + jitter(REREAD_INTERVAL, rng)
         } else {
             Time::from_micros(u64::MAX)
         };
@@ -364,7 +371,7 @@
             return Turn::None;
         }
         if self.slow {
-            self.reread = now + jitter(REREAD, rng);
+            self.reread = now + jitter(REREAD_INTERVAL, rng);
         }
         Turn::Back
     }
@@ -372,7 +379,7 @@
 
 /// Wait after so many failures in a row.
 fn backoff(fails: u32, rng: &mut fastrand::Rng) -> Duration {
-    let doubled = BACKOFF * 2_u32.saturating_pow(fails.min(10));
+    let doubled = BACKOFF_MIN * 2_u32.saturating_pow(fails.min(10));
     jitter(doubled.min(BACKOFF_MAX), rng)
 }
 
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -99,7 +99,7 @@
 /// What happens to control.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due at least every [`TICK`](super::TICK).
+    /// Time passed; due at least every [`TICK_INTERVAL_MAX`](super::TICK_INTERVAL_MAX).
     Tick,
     /// A peer's message came. The driver has checked the peers' secret, and the
     /// hash of each body.
@@ -141,7 +141,7 @@
         message: Message,
     },
     /// Call the store; [`Event::Stored`] is due once, within
-    /// [`LOST`](super::store::LOST) beyond the call's own wait.
+    /// [`CALL_TIMEOUT`](super::store::CALL_TIMEOUT) beyond the call's own wait.
     Store {
         /// Names the call.
         id: CallId,
@@ -166,7 +166,7 @@
 ///
 /// After a freeze other threads may run before control does, and read what it
 /// published before. So the driver also publishes the time of the last
-/// [`Event::Tick`], and a reader that finds it older than [`GAP`](super::GAP)
+/// [`Event::Tick`], and a reader that finds it older than [`FREEZE_GAP_MIN`](super::FREEZE_GAP_MIN)
 /// reads the standing as [`Standing::Doubt`] and the share as nothing.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -18,7 +18,7 @@
 use steer::process::control::message::Message;
 use steer::process::control::store::{Call, CallId, Reply};
 use steer::process::control::{
-    Action, Control, Event, Notice, Safeguards, Settings, Snapshot, TICK,
+    Action, Control, Event, Notice, Safeguards, Settings, Snapshot, TICK_INTERVAL_MAX,
 };
 use steer::process::member::hash;
 use steer::process::member::{Hint, Identity};
@@ -160,7 +160,7 @@
 }
 
 /// Time after which the driver gives a call up.
-const BOUND: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Fleet {
     /// A fleet whose processes all start within a second.
@@ -342,7 +342,7 @@
                 let node = &self.nodes[at];
                 if node.alive && !node.frozen {
                     self.feed(at, Event::Tick);
-                    self.push(TICK, Due::Tick(at));
+                    self.push(TICK_INTERVAL_MAX, Due::Tick(at));
                 }
             }
             Due::Deliver { to, bytes } => self.deliver(to, &bytes),
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -8,7 +8,7 @@
 use steer::process::control::store::{Call, CallId, Reply, Stored};
 use steer::process::member::Hint;
 
-use super::{BOUND, Due, Fleet, Place};
+use super::{CALL_TIMEOUT, Due, Fleet, Place};
 
 /// Domain that is nearest to the store.
 const STORE_DOMAIN: usize = 0;
@@ -121,7 +121,7 @@
             let near = self.latency(self.nodes[to].domain, STORE_DOMAIN);
             (near + STORE_WORK, reply)
         } else {
-            (BOUND, Reply::Away)
+            (CALL_TIMEOUT, Reply::Away)
         };
         self.push(after, Due::Answer { to, id, reply });
     }
@@ -145,7 +145,7 @@
         if self.store.away && *call != Call::List {
             let reply = Reply::Away;
             return self.push(
-                BOUND,
+                CALL_TIMEOUT,
                 Due::Answer {
                     to: from,
                     id,
