--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -153,7 +153,7 @@
             control::Action::Publish(snapshot) => self.publish(&snapshot),
             control::Action::Notice(notice) => {
                 dump::note(&notice);
-                if notice == control::Notice::Standing(control::Standing::Superseded) {
+                if notice == control::Notice::Standing(control::MemberStatus::Superseded) {
                     self.holding.close();
                 }
             }
--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -64,7 +64,7 @@
             name: Arc::clone(&parts.settings.name),
             domain: Arc::clone(&parts.settings.domain),
             incarnation: parts.incarnation.to_string(),
-            standing: control.standing().as_str(),
+            standing: control.status().as_str(),
             ready: control.is_ready(),
             version: control.version().0,
             in_flight: parts.engine.in_flight(),
--- a/crates/auburnrouter/src/daemon/control/world.rs
+++ b/crates/auburnrouter/src/daemon/control/world.rs
@@ -65,7 +65,7 @@
 
     /// Takes what control says of this process and its peers.
     pub fn members(&mut self, me: &member::Record, told: &control::Snapshot) {
-        let serving = told.ready && me.lifecycle == member::Lifecycle::Live && sure(told.standing);
+        let serving = told.ready && me.lifecycle == member::Lifecycle::Live && sure(told.status);
         let mut members: Vec<instance::Member> = told.members.iter().filter_map(seen).collect();
         if !members
             .iter()
@@ -94,10 +94,10 @@
 
 /// Whether look-ups may be answered: not after a freeze that nobody has
 /// confirmed the end of, and not under a name that a newer process has.
-const fn sure(standing: control::Standing) -> bool {
+const fn sure(status: control::MemberStatus) -> bool {
     matches!(
-        standing,
-        control::Standing::Current | control::Standing::Isolated
+        status,
+        control::MemberStatus::Current | control::MemberStatus::Isolated
     )
 }
 
--- a/crates/steer/src/process/config.rs
+++ b/crates/steer/src/process/config.rs
@@ -4,7 +4,7 @@
 //! decided by one compare-and-swap on the head document in the store; bodies
 //! are stored under the hash of their content, so a body never changes.
 
-pub mod keeper;
+pub mod tracker;
 
 use core::fmt;
 use std::sync::Arc;
--- a/crates/steer/src/process/config/keeper.rs
+++ b/crates/steer/src/process/config/tracker.rs
@@ -58,7 +58,7 @@
 
 /// The keeper's state.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct Tracker {
     held: Option<Arc<Head>>,
     next: Option<Next>,
     /// A head that came while the driver installed the one before.
@@ -68,7 +68,7 @@
     unordered: bool,
 }
 
-impl Keeper {
+impl Tracker {
     /// A keeper with nothing in force. `monotonic` off takes whatever differs:
     /// the ablation of the rule that versions only rise.
     #[must_use]
--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -11,28 +11,28 @@
 //! elected. Records are pushed when they change and compared by digests, so
 //! nothing that stays the same is sent twice.
 
-mod across;
-mod adopt;
 pub mod apply;
 mod hints;
+mod local;
 mod members;
 pub mod message;
-mod near;
 mod peer;
-mod rows;
-mod standing;
+mod remote;
+mod rollout;
+mod status;
 pub mod store;
+mod sync;
 mod types;
 
 use core::time::Duration;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub use types::{Action, Counters, Event, Notice, Safeguards, Settings, Snapshot, Standing};
+pub use types::{Action, Counters, Event, MemberStatus, Notice, Safeguards, Settings, Snapshot};
 
 use crate::clock::Time;
 use crate::process::config::Head;
-use crate::process::config::keeper;
+use crate::process::config::tracker;
 use crate::process::member::table;
 use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 use crate::process::slot;
@@ -91,20 +91,20 @@
     answered: Option<Time>,
     joining: bool,
     raised: Option<Time>,
-    standing: Standing,
-    doubt: standing::Doubt,
+    status: MemberStatus,
+    doubt: status::Doubt,
     table: table::Table,
     peers: Vec<peer::Peer>,
     fars: Vec<peer::Far>,
     hints: hints::Hints,
     sorted: Option<Vec<members::Line>>,
-    keeper: keeper::Keeper,
+    tracker: tracker::Tracker,
     heard: Version,
-    pull: Option<adopt::Pull>,
-    fetches: Vec<adopt::Fetch>,
+    pull: Option<rollout::Pull>,
+    fetches: Vec<rollout::Fetch>,
     holder: Option<SocketAddr>,
     store: store::Policy,
-    alarms: adopt::Alarms,
+    alarms: rollout::Alarms,
     slot: slot::Slot,
     beat: Time,
     sync: Time,
@@ -147,20 +147,20 @@
             answered: None,
             joining: true,
             raised: None,
-            standing: Standing::Current,
-            doubt: standing::Doubt::default(),
+            status: MemberStatus::Current,
+            doubt: status::Doubt::default(),
             table: table::Table::default(),
             peers: Vec::new(),
             fars: Vec::new(),
             hints: hints::Hints::new(seeds),
             sorted: None,
-            keeper: keeper::Keeper::new(guards.monotonic),
+            tracker: tracker::Tracker::new(guards.monotonic),
             heard: Version(0),
             pull: None,
             fetches: Vec::new(),
             holder: None,
             store: store::Policy::new(now, guards.reread, &mut rng),
-            alarms: adopt::Alarms::default(),
+            alarms: rollout::Alarms::default(),
             slot,
             beat: now,
             sync: now,
@@ -195,25 +195,25 @@
     /// process has taken the name over.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.keeper.version() > Version(0) && self.standing != Standing::Superseded
+        self.tracker.version() > Version(0) && self.status != MemberStatus::Superseded
     }
 
     /// Whether what the process knows may be acted on.
     #[must_use]
-    pub const fn standing(&self) -> Standing {
-        self.standing
+    pub const fn status(&self) -> MemberStatus {
+        self.status
     }
 
     /// Version in force; zero if none.
     #[must_use]
     pub fn version(&self) -> Version {
-        self.keeper.version()
+        self.tracker.version()
     }
 
     /// Head in force.
     #[must_use]
     pub const fn head(&self) -> Option<&Arc<Head>> {
-        self.keeper.head()
+        self.tracker.head()
     }
 
     /// What this process says of itself.
@@ -239,12 +239,12 @@
 
     /// Part of every cap that this process may use now.
     pub fn share(&mut self, now: Time) -> slot::Share {
-        let sure = self.standing == Standing::Current;
+        let sure = self.status == MemberStatus::Current;
         self.slot.share(now, sure)
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.standing == Standing::Superseded {
+        if self.status == MemberStatus::Superseded {
             return self.publish_due(now, out);
         }
         self.age_doubt(now, out);
@@ -271,7 +271,7 @@
 
     fn health(&self) -> HealthSummary {
         HealthSummary {
-            version: self.keeper.version(),
+            version: self.tracker.version(),
             load: self.load,
             store: !self.store.is_away(),
         }
@@ -293,7 +293,7 @@
     /// The last word of a process that stops. It gives up its slot only if it
     /// holds it: one still in quarantine knows nothing of the holder before it.
     fn stop(&mut self, now: Time, out: &mut Vec<Action>) {
-        let holds = self.standing == Standing::Current && self.slot.is_held(now);
+        let holds = self.status == MemberStatus::Current && self.slot.is_held(now);
         let lifecycle = if holds {
             Lifecycle::Released
         } else {
@@ -328,9 +328,9 @@
         self.published = now;
         let members = self.members(now);
         out.push(Action::Publish(Snapshot {
-            standing: self.standing,
+            status: self.status,
             ready: self.is_ready(),
-            version: self.keeper.version(),
+            version: self.tracker.version(),
             share,
             members: members.into(),
         }));
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -5,7 +5,7 @@
 
 use super::message::{Content, DomainSeen, Heartbeat, Message};
 use super::peer::Peer;
-use super::{Action, Control, DOMAIN_TIMEOUT, DROP_TIMEOUT, Notice, SUSPECT_TIMEOUT, Standing};
+use super::{Action, Control, DOMAIN_TIMEOUT, DROP_TIMEOUT, MemberStatus, Notice, SUSPECT_TIMEOUT};
 use crate::clock::Time;
 use crate::process::member::table::Merge;
 use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
@@ -21,7 +21,7 @@
         if self.is_own(from) {
             return self.namesake(now, from, out);
         }
-        if self.standing == Standing::Superseded {
+        if self.status == MemberStatus::Superseded {
             return;
         }
         if let Content::Superseded(stamp) = message.content {
@@ -167,7 +167,7 @@
     /// One heartbeat to every process of the domain.
     pub(super) fn beat_all(&mut self, now: Time, reply: bool, out: &mut Vec<Action>) {
         self.own_row(now);
-        let reply = reply || self.standing != Standing::Current;
+        let reply = reply || self.status != MemberStatus::Current;
         let beat = self.beat(now, reply);
         for at in 0..self.peers.len() {
             let peer = &self.peers[at];
--- a/crates/steer/src/process/control/members.rs
+++ b/crates/steer/src/process/control/members.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use super::{Control, Standing};
+use super::{Control, MemberStatus};
 use crate::clock::Time;
 use crate::process::member::{HealthSummary, Member, Record};
 
@@ -28,7 +28,7 @@
         let lines = self.sorted.take().unwrap_or_else(|| self.lines());
         let seen = lines.iter().filter_map(|line| {
             let health = match line.place {
-                Place::Own => (self.standing != Standing::Superseded).then(|| self.health()),
+                Place::Own => (self.status != MemberStatus::Superseded).then(|| self.health()),
                 Place::Near => self.local_health(&line.record.identity.name),
                 Place::Far(at) => self.remote_health(now, at),
             };
--- a/crates/steer/src/process/control/across.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -109,8 +109,8 @@
     fn summary(&self) -> Summary {
         let mut summary = Summary {
             count: 1,
-            oldest: self.keeper.version(),
-            newest: self.keeper.version(),
+            oldest: self.tracker.version(),
+            newest: self.tracker.version(),
             load: 0,
         };
         let mut load = u32::from(self.load);
--- a/crates/steer/src/process/control/adopt.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -6,9 +6,11 @@
 
 use super::message::{Content, Message};
 use super::store::{Asked, Call, CallId, Need, Reply, Request, Stored, Turn};
-use super::{Action, Control, Notice, Standing, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN};
+use super::{
+    Action, Control, MemberStatus, Notice, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN,
+};
 use crate::clock::Time;
-use crate::process::config::keeper::{self, Source, Verdict};
+use crate::process::config::tracker::{self, Source, Verdict};
 use crate::process::config::{Body, Hash, Head};
 use crate::process::member::{Record, hash};
 use crate::version::view::Version;
@@ -55,16 +57,16 @@
         out: &mut Vec<Action>,
     ) {
         self.heard = self.heard.max(version);
-        if version > self.keeper.version() && version >= self.keeper.known() {
+        if version > self.tracker.version() && version >= self.tracker.known() {
             self.holder = Some(from.identity.peer);
         }
         let pulling = self.pull.is_some_and(|pull| now < pull.until);
-        if !self.guards.pull || pulling || !self.keeper.wants(version) {
+        if !self.guards.pull || pulling || !self.tracker.wants(version) {
             return;
         }
         let until = now + FETCH_TIMEOUT;
         self.pull = Some(Pull { until });
-        let known = self.keeper.known();
+        let known = self.tracker.known();
         self.send(from.identity.peer, Content::Pull(known), out);
     }
 
@@ -73,7 +75,7 @@
         let to = message.reply_addr();
         match &message.content {
             Content::Pull(known) => {
-                let head = self.keeper.head().filter(|h| h.version != *known);
+                let head = self.tracker.head().filter(|h| h.version != *known);
                 if let Some(head) = head.map(Arc::clone) {
                     self.send(to, Content::Offer(head), out);
                 }
@@ -91,7 +93,7 @@
             }
             Content::Bodies(bodies) => {
                 for body in bodies {
-                    self.keeper.put(body.clone());
+                    self.tracker.put(body.clone());
                 }
                 self.adopt_step(now, out);
             }
@@ -102,7 +104,7 @@
     fn bodies(&self, hashes: &[Hash]) -> Vec<Body> {
         let mut bodies: Vec<Body> = Vec::new();
         let mut bytes = 0;
-        for body in hashes.iter().filter_map(|&h| self.keeper.body(h)) {
+        for body in hashes.iter().filter_map(|&h| self.tracker.body(h)) {
             bytes += body.bytes.len();
             if bytes > BODIES_MESSAGE_BYTES_MAX && !bodies.is_empty() {
                 break;
@@ -114,7 +116,7 @@
 
     fn offered(&mut self, head: &Arc<Head>, source: Source, out: &mut Vec<Action>) {
         self.heard = self.heard.max(head.version);
-        match self.keeper.offer(head, source) {
+        match self.tracker.offer(head, source) {
             Verdict::Newer => self.fetches.clear(),
             Verdict::Same | Verdict::Barred => {}
             Verdict::Stale => self.counters.stale += 1,
@@ -130,14 +132,14 @@
 
     /// Installs the next version if all of it is here, else asks for the rest.
     pub(super) fn adopt_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let newer = self.heard > self.keeper.version() && self.keeper.is_wanted(self.heard);
+        let newer = self.heard > self.tracker.version() && self.tracker.is_wanted(self.heard);
         self.slot.set_behind(now, newer);
         self.end_doubt(now, out);
-        if let Some(keeper::Complete { head, bodies }) = self.keeper.complete() {
+        if let Some(tracker::Complete { head, bodies }) = self.tracker.complete() {
             self.fetches.clear();
             return out.push(Action::Install { head, bodies });
         }
-        let lacking = self.keeper.lacking();
+        let lacking = self.tracker.lacking();
         self.fetches.retain(|f| lacking.contains(&f.hash));
         let mut from_peer = Vec::new();
         for &hash in lacking.iter().take(FETCHES_MAX) {
@@ -168,7 +170,7 @@
         if now < until {
             return false;
         }
-        let told = u32::from(matches!(self.keeper.source(), Some(Source::Store)));
+        let told = u32::from(matches!(self.tracker.source(), Some(Source::Store)));
         let mut peer = (tries + told).is_multiple_of(2) && self.guards.pull;
         if !peer {
             let mut calls = Vec::new();
@@ -188,7 +190,7 @@
     /// heard to have the version in force, or the one that told of it. If the
     /// store went away between head and bodies, only the former has them.
     fn body_peer(&self) -> Option<SocketAddr> {
-        let told = match self.keeper.source() {
+        let told = match self.tracker.source() {
             Some(Source::Peer(addr)) => Some(addr),
             Some(Source::Store) | None => None,
         };
@@ -202,8 +204,8 @@
         slots: Option<u32>,
         out: &mut Vec<Action>,
     ) {
-        let source = self.keeper.source();
-        if !self.keeper.installed(version) {
+        let source = self.tracker.source();
+        if !self.tracker.installed(version) {
             return;
         }
         self.counters.installed += 1;
@@ -229,7 +231,7 @@
     }
 
     pub(super) fn rejected(&mut self, version: Version, out: &mut Vec<Action>) {
-        if self.keeper.rejected(version) {
+        if self.tracker.rejected(version) {
             self.counters.rejected += 1;
             out.push(Action::Notice(Notice::Rejected(version)));
         }
@@ -251,7 +253,7 @@
     /// a hash of name and version among the live ones that reach the store. All
     /// compute it alike, and the part goes round as versions rise.
     pub(super) fn is_watcher(&self) -> bool {
-        let turn = self.keeper.version().0 / WATCHER_ROTATION_VERSIONS;
+        let turn = self.tracker.version().0 / WATCHER_ROTATION_VERSIONS;
         let weight = |name: &str, store: bool| {
             let order = hash::mix(&[name.as_bytes(), &turn.to_le_bytes()]);
             (!store, order)
@@ -279,20 +281,20 @@
                 self.offered(&stored.head, Source::Store, out);
             }
             Reply::Body(hash, Some(bytes)) if answered.call == Call::Body(hash) => {
-                self.keeper.put(Body { hash, bytes });
+                self.tracker.put(Body { hash, bytes });
             }
             Reply::Listed(hints) => self.hints.replace(hints),
             Reply::Away | Reply::Malformed => self.counters.failed += 1,
             Reply::Watched(None) | Reply::Body(..) => {}
         }
-        if self.standing != Standing::Superseded {
+        if self.status != MemberStatus::Superseded {
             self.adopt_step(now, out);
             self.store_step(now, out);
         }
     }
 
     fn head_read(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
-        let force = self.keeper.version();
+        let force = self.tracker.version();
         let version = stored.as_ref().map_or(Version(0), |s| s.head.version);
         let behind = version < force;
         if behind != core::mem::replace(&mut self.alarms.regressed, behind) {
--- a/crates/steer/src/process/control/standing.rs
+++ b/crates/steer/src/process/control/status.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::{
-    Action, Control, FREEZE_GAP_MIN, ISOLATION_TIMEOUT, JOIN_WINDOW, Notice, RAISE_INTERVAL_MIN,
-    Standing,
+    Action, Control, FREEZE_GAP_MIN, ISOLATION_TIMEOUT, JOIN_WINDOW, MemberStatus, Notice,
+    RAISE_INTERVAL_MIN,
 };
 use crate::clock::Time;
 use crate::process::member::{Lifecycle, Record, Stamp};
@@ -29,7 +29,7 @@
     pub(super) fn notice_freeze(&mut self, now: Time, out: &mut Vec<Action>) {
         let gap = now.since(self.last);
         self.last = now;
-        if !self.guards.doubt || gap <= FREEZE_GAP_MIN || self.standing == Standing::Superseded {
+        if !self.guards.doubt || gap <= FREEZE_GAP_MIN || self.status == MemberStatus::Superseded {
             return;
         }
         self.counters.frozen += 1;
@@ -47,7 +47,7 @@
             told: None,
         };
         self.store.hurry(now);
-        self.stand(now, Standing::Doubt, out);
+        self.stand(now, MemberStatus::Doubt, out);
         self.beat_all(now, true, out);
         self.round_across(now, out);
     }
@@ -69,7 +69,7 @@
         if now.since(first) >= JOIN_WINDOW {
             self.joining = false;
         }
-        let unsure = matches!(self.standing, Standing::Doubt | Standing::Isolated);
+        let unsure = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
         if unsure && self.doubt.told.is_none() {
             self.doubt.told = Some(told);
         }
@@ -78,19 +78,19 @@
 
     /// Doubt ends once a version no older than the one told of is in force.
     pub(super) fn end_doubt(&mut self, now: Time, out: &mut Vec<Action>) {
-        let unsure = matches!(self.standing, Standing::Doubt | Standing::Isolated);
+        let unsure = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
         let Some(told) = self.doubt.told.filter(|_| unsure) else {
             return;
         };
-        if told <= self.keeper.version() || !self.keeper.is_wanted(told) {
-            self.stand(now, Standing::Current, out);
+        if told <= self.tracker.version() || !self.tracker.is_wanted(told) {
+            self.stand(now, MemberStatus::Current, out);
         }
     }
 
     pub(super) fn age_doubt(&mut self, now: Time, out: &mut Vec<Action>) {
         let waited = now.since(self.doubt.from) >= ISOLATION_TIMEOUT;
-        if self.standing == Standing::Doubt && self.doubt.told.is_none() && waited {
-            self.stand(now, Standing::Isolated, out);
+        if self.status == MemberStatus::Doubt && self.doubt.told.is_none() && waited {
+            self.stand(now, MemberStatus::Isolated, out);
         }
     }
 
@@ -136,11 +136,11 @@
     /// drive each other up as fast as messages go. One that was ever in doubt doesn't, since then it is
     /// the other that is newer.
     pub(super) fn superseded(&mut self, now: Time, stamp: Stamp, out: &mut Vec<Action>) {
-        if stamp <= self.me.stamp || self.standing == Standing::Superseded {
+        if stamp <= self.me.stamp || self.status == MemberStatus::Superseded {
             return;
         }
         if !self.joining {
-            return self.stand(now, Standing::Superseded, out);
+            return self.stand(now, MemberStatus::Superseded, out);
         }
         if self
             .raised
@@ -158,13 +158,13 @@
         self.beat_all(now, true, out);
     }
 
-    fn stand(&mut self, now: Time, standing: Standing, out: &mut Vec<Action>) {
-        if self.standing == standing {
+    fn stand(&mut self, now: Time, status: MemberStatus, out: &mut Vec<Action>) {
+        if self.status == status {
             return;
         }
-        self.standing = standing;
+        self.status = status;
         self.dirty = true;
-        out.push(Action::Notice(Notice::Standing(standing)));
+        out.push(Action::Notice(Notice::Standing(status)));
         self.publish_due(now, out);
     }
 }
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -69,7 +69,7 @@
 
 /// Whether a process may act on what it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It may.
     Current,
     /// It was frozen or held for dead, and nobody has answered it since. Until
@@ -83,7 +83,7 @@
     Superseded,
 }
 
-impl Standing {
+impl MemberStatus {
     /// The word in dumps and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -167,11 +167,11 @@
 /// After a freeze other threads may run before control does, and read what it
 /// published before. So the driver also publishes the time of the last
 /// [`Event::Tick`], and a reader that finds it older than [`FREEZE_GAP_MIN`](super::FREEZE_GAP_MIN)
-/// reads the standing as [`Standing::Doubt`] and the share as nothing.
+/// reads the standing as [`MemberStatus::Doubt`] and the share as nothing.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Whether the process may act on what it knows.
-    pub standing: Standing,
+    pub status: MemberStatus,
     /// Whether callers may be served.
     pub ready: bool,
     /// Version in force.
@@ -205,7 +205,7 @@
     /// A version came in force.
     InForce(Version),
     /// Whether the process may act on what it knows has changed.
-    Standing(Standing),
+    Standing(MemberStatus),
     /// The process raised its generation above a predecessor's.
     Raised(Stamp),
     /// A process of this domain stopped answering.
--- a/crates/steer/tests/control_random.rs
+++ b/crates/steer/tests/control_random.rs
@@ -14,7 +14,7 @@
 use fleet::{Fleet, Layout, Place};
 use rstest::rstest;
 use steer::process::config::{Change, File, Head};
-use steer::process::control::{Safeguards, Standing};
+use steer::process::control::{MemberStatus, Safeguards};
 use steer::process::slot;
 use steer::version::view::Version;
 
@@ -135,7 +135,7 @@
         self.pass(60_000);
         for slot in 0..NODES {
             let node = &self.fleet.nodes[self.fleet.slots[slot]];
-            let gone = node.control.standing() == Standing::Superseded;
+            let gone = node.control.status() == MemberStatus::Superseded;
             if !node.alive || gone {
                 self.fleet.start(slot, None);
             }
@@ -187,8 +187,8 @@
         assert_eq!(version.0, history.accepted, "seed {seed}: {name}");
         let members = node.shown.as_ref().map_or(0, |s| s.members.len());
         assert_eq!(members, NODES, "seed {seed}: members of {name}");
-        let standing = node.control.standing();
-        assert_eq!(standing, Standing::Current, "seed {seed}: {name}");
+        let status = node.control.status();
+        assert_eq!(status, MemberStatus::Current, "seed {seed}: {name}");
     }
 }
 
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -7,7 +7,7 @@
 use steer::process::config::{File, Head};
 use steer::process::control::apply::{self, Apply, Base, Expect, Outcome, Step};
 use steer::process::control::store::Stored;
-use steer::process::control::{Event, Safeguards, Standing};
+use steer::process::control::{Event, MemberStatus, Safeguards};
 use steer::version::view::Version;
 
 use crate::fleet::{self, Fleet, Layout, Place};
@@ -300,12 +300,12 @@
             } else {
                 "'"
             };
-            let standing = match node.control.standing() {
+            let status = match node.control.status() {
                 _ if node.frozen => "frozen",
-                Standing::Current => "current",
+                MemberStatus::Current => "current",
                 other => other.as_str(),
             };
-            (standing, format!("{}{old}", fleet.name(node.slot)))
+            (status, format!("{}{old}", fleet.name(node.slot)))
         });
         grouped(rows.collect())
     }
--- /dev/null
+++ b/crates/steer/tests/control_tracker.rs
@@ -0,0 +1,123 @@
+//! The version in force and the one being collected.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+
+use rstest::rstest;
+use steer::process::config::tracker::{Source, Tracker, Verdict};
+use steer::process::config::{Body, Change, File, Hash, Head};
+use steer::version::view::Version;
+
+fn body(byte: u8) -> Body {
+    Body {
+        hash: Hash([byte; 32]),
+        bytes: vec![byte].into(),
+    }
+}
+
+/// A head whose files have these bodies.
+fn head(version: u64, bytes: &[u8]) -> Arc<Head> {
+    let file = |&byte: &u8| File {
+        name: format!("file-{byte}").into(),
+        hash: Hash([byte; 32]),
+    };
+    Arc::new(Head {
+        version: Version(version),
+        recent: vec![Change {
+            version: Version(version),
+            id: "change".into(),
+        }],
+        files: bytes.iter().map(file).collect(),
+    })
+}
+
+/// A keeper with version 5 in force, of bodies 1 and 2.
+fn tracker() -> Tracker {
+    let mut tracker = Tracker::new(true);
+    assert_eq!(
+        tracker.offer(&head(5, &[1, 2]), Source::Store),
+        Verdict::Newer
+    );
+    assert!(tracker.put(body(1)));
+    assert!(tracker.complete().is_none(), "body 2 is not here");
+    assert!(tracker.put(body(2)));
+    let complete = tracker.complete().expect("all is here");
+    assert_eq!(complete.head.version, Version(5));
+    assert_eq!(complete.bodies, [body(1), body(2)]);
+    assert!(tracker.installed(Version(5)));
+    tracker
+}
+
+/// Whatever the source, a head below the version in force is never taken.
+#[rstest]
+#[case::older(head(4, &[1]), Verdict::Stale)]
+#[case::same(head(5, &[1, 2]), Verdict::Same)]
+#[case::forked(head(5, &[1, 3]), Verdict::Forked)]
+#[case::newer(head(6, &[1, 3]), Verdict::Newer)]
+fn head_offered(#[case] offered: Arc<Head>, #[case] verdict: Verdict) {
+    let peer = Source::Peer(SocketAddr::from((Ipv4Addr::LOCALHOST, 1)));
+    for source in [Source::Store, peer] {
+        let mut tracker = tracker();
+        assert_eq!(tracker.offer(&offered, source), verdict);
+        assert_eq!(tracker.version(), Version(5));
+    }
+}
+
+#[test]
+fn change_needs_what_changed() {
+    let mut tracker = tracker();
+    tracker.offer(&head(6, &[1, 3]), Source::Store);
+    assert_eq!(tracker.lacking(), [Hash([3; 32])]);
+    assert!(!tracker.put(body(9)), "nobody asked for body 9");
+    assert!(tracker.put(body(3)));
+    tracker.complete().expect("all is here");
+    assert!(tracker.installed(Version(6)));
+    assert!(
+        tracker.body(Hash([2; 32])).is_none(),
+        "version 6 has no body 2"
+    );
+}
+
+#[test]
+fn rejected_once() {
+    let mut tracker = tracker();
+    tracker.offer(&head(6, &[1]), Source::Store);
+    tracker.complete().expect("all is here");
+    assert!(tracker.rejected(Version(6)));
+    assert_eq!(tracker.version(), Version(5));
+    assert_eq!(
+        tracker.offer(&head(6, &[1]), Source::Store),
+        Verdict::Barred
+    );
+    assert!(!tracker.wants(Version(6)));
+    assert!(tracker.complete().is_none());
+}
+
+/// A watch tells of version 7 while the driver verifies version 6. It won't tell
+/// again, so version 7 has to follow.
+#[rstest]
+#[case::installed(true)]
+#[case::rejected(false)]
+fn head_while_installing(#[case] good: bool) {
+    let mut tracker = tracker();
+    tracker.offer(&head(6, &[1]), Source::Store);
+    tracker.complete().expect("all is here");
+    assert_eq!(tracker.offer(&head(7, &[2]), Source::Store), Verdict::Newer);
+    assert!(tracker.complete().is_none(), "one at a time");
+    if good {
+        assert!(tracker.installed(Version(6)));
+        assert!(tracker.put(body(2)));
+    } else {
+        assert!(tracker.rejected(Version(6)));
+    }
+    let next = tracker.complete().expect("version 7 follows");
+    assert_eq!(next.head.version, Version(7));
+}
+
+#[test]
+fn install_not_asked_for() {
+    let mut tracker = tracker();
+    assert!(!tracker.installed(Version(9)));
+    assert!(!tracker.rejected(Version(5)));
+    assert_eq!(tracker.version(), Version(5));
+}
