--- a/crates/steer/tests/direct/budget.rs
+++ b/crates/steer/tests/direct/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats that all instances share.
+//! Retry budget that all instances share.
 
 use core::time::Duration;
 
@@ -13,8 +13,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Every instance repeats whatever it may, at once and on and on: the sum over
-/// all of them stays under the operator's bound in every window.
+/// Every instance spends its budget as soon as it can. The sum over all instances
+/// must stay within the operator's bound in every window.
 #[rstest]
 #[case::one(1)]
 #[case::today(7)]
@@ -22,7 +22,7 @@
 fn keep_sum_in_every_window(#[case] instances: usize) {
     let mut budgets = vec![Budget::default(); instances];
     let mut requests = Vec::new();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for millis in (0..30_000).step_by(50) {
         let now = at(millis);
         for (i, budget) in budgets.iter_mut().enumerate() {
@@ -31,7 +31,7 @@
                 requests.push(millis);
             }
             while budget.try_spend(now, &RULE, instances) {
-                repeats.push(millis);
+                retries.push(millis);
             }
         }
     }
@@ -42,14 +42,15 @@
                 .filter(|t| (start..start + 10_000).contains(*t))
                 .count()
         };
-        // In fifths, so that everything stays whole.
+        // Counted in fifths, to stay in integers.
         let bound = within(&requests) + 5 * 58;
-        let seen = 5 * within(&repeats);
-        assert!(seen <= bound, "{seen} fifths from {start}, bound {bound}");
+        let spent = 5 * within(&retries);
+        assert!(spent <= bound, "{spent} fifths from {start}, bound {bound}");
     }
-    assert!(!repeats.is_empty() || instances == 300);
+    assert!(!retries.is_empty() || instances == 300);
 }
 
+/// Requests earn retries at the rule's ratio, besides the share of the slack.
 #[test]
 fn earn_by_requests() {
     let mut budget = Budget::default();
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -1,4 +1,4 @@
-//! What a cold target gets, as a sum over all instances.
+//! Bound on requests to a cold target, as a sum over all instances.
 
 use core::time::Duration;
 
@@ -10,16 +10,16 @@
 
 use super::bench::{Bench, at, entry, heartbeat, route};
 
-fn sharer(number: u32, near: bool) -> Participant {
+fn participant(number: u32, is_near: bool) -> Participant {
     Participant {
-        region: if near { "near".into() } else { "far".into() },
+        region: if is_near { "near".into() } else { "far".into() },
         mark: number.wrapping_mul(0x0101_0163),
     }
 }
 
-/// A cold target crashes above its rate. Instances don't speak to each other
-/// before they send: their parts must add up to the sum at most, and none of
-/// it may be left unused where its own region has instances.
+/// A cold target crashes above its rate, and instances don't communicate before they
+/// send. Their allotments must add up to the bound exactly: not more, and nothing of
+/// it may be left unused.
 #[rstest]
 #[case::alone(1, 0)]
 #[case::today(2, 5)]
@@ -27,8 +27,8 @@
 #[case::all_near(7, 0)]
 #[case::fleet(9, 18)]
 #[case::target(70, 1_430)]
-fn share_whole_sum(#[case] near: u32, #[case] far: u32) {
-    let all: Vec<Participant> = (0..near + far).map(|i| sharer(i, i < near)).collect();
+fn divide_bound_completely(#[case] near: u32, #[case] far: u32) {
+    let all: Vec<Participant> = (0..near + far).map(|i| participant(i, i < near)).collect();
     for target in [3, 0x7777_1234, u32::MAX] {
         for total in [1, 8, 9, 40] {
             let (mut sum, mut even) = (0, 0);
@@ -51,22 +51,23 @@
     }
 }
 
-/// Requests that a burst of ten gets through to the cold target at `now`.
+/// Submits ten requests from `now` on, in milliseconds, and counts those sent.
 fn burst(bench: &mut Bench, now: u64) -> usize {
     let mut sent = 0;
     for i in 0..10 {
         bench.submit(at(now + i), None);
-        let orders = bench.direct.step(at(now + i));
-        sent += orders
+        let decisions = bench.direct.step(at(now + i));
+        sent += decisions
             .iter()
-            .filter(|o| matches!(o, Decision::Send(_)))
+            .filter(|d| matches!(d, Decision::Send(_)))
             .count();
     }
     sent
 }
 
-/// Six others share the target: 2 a second x 1.5 + 5 are 8 for all.
-fn shared() -> Bench {
+/// Sets up a cold target that seven instances share: 2 per second x 1.5 + 5 are 8
+/// for all of them.
+fn with_seven_instances() -> Bench {
     let mut bench = Bench::new(route(), &[cold_target()]);
     for i in 0..6 {
         let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
@@ -76,26 +77,26 @@
 }
 
 #[test]
-fn keep_to_part() {
-    let sent = burst(&mut shared(), 2_000);
+fn keep_to_allotment() {
+    let sent = burst(&mut with_seven_instances(), 2_000);
     assert!((1..=2).contains(&sent), "{sent} of 8 by one of seven");
 }
 
-/// An instance is cut off from the others and from the store for ten seconds.
-/// It hears nobody, yet callers reach it and it reaches the cold target, as the
-/// others do: it must not take the whole sum for itself.
+/// An instance is cut off from the others and from the store for ten seconds, while
+/// callers still reach it and it reaches the cold target, as the others do. It must
+/// not use the whole bound by itself.
 #[test]
-fn keep_to_part_while_cut_off() {
-    let mut bench = shared();
+fn keep_to_allotment_while_cut_off() {
+    let mut bench = with_seven_instances();
     bench.direct.sweep(at(12_000));
     let sent = burst(&mut bench, 12_000);
     assert!((1..=2).contains(&sent), "{sent} of 8 by one of seven");
 }
 
-/// Another instance has told that it stops. Until it is gone it answers those
-/// that are still connected to it, and uses its part.
+/// Another instance has announced that it stops. Until it is gone, it still serves the
+/// callers connected to it and uses its allotment, which must be left to it.
 #[test]
-fn leave_part_to_leaving_instance() {
+fn leave_allotment_to_leaving_instance() {
     let mut bench = Bench::new(route(), &[cold_target()]);
     let leaving = |seq| Heartbeat {
         leaving: true,
@@ -104,28 +105,31 @@
     bench.direct.hear(at(2_000), leaving(1));
     assert_eq!(burst(&mut bench, 2_000), 3);
     bench.direct.sweep(at(8_000));
-    assert!(burst(&mut bench, 8_000) > 3, "it is gone");
+    assert!(burst(&mut bench, 8_000) > 3, "the other instance is gone");
 }
 
-/// A target turns cold while an instance is cut off from the store and from
-/// all others. Nobody tells it; it takes any target for cold until it hears.
+/// A target becomes cold while an instance is cut off from the store and from all
+/// others. The instance can't know, and must treat every target as cold meanwhile.
 #[test]
-fn take_targets_for_cold_while_cut_off() {
+fn treat_targets_as_cold_while_cut_off() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     for i in 0..6 {
         let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
         bench.direct.hear(at(2_000), heartbeat);
     }
     bench.direct.in_touch(at(2_000), 1);
-    assert!(burst(&mut bench, 3_000) > 2, "in touch, it isn't cold");
+    assert!(
+        burst(&mut bench, 3_000) > 2,
+        "in touch with the store, the target isn't cold"
+    );
     let sent = burst(&mut bench, 8_000);
     assert!(sent <= 2, "{sent} of 6 by one of seven, cut off");
 }
 
-/// An instance is killed and replaced within a second. The one before has used
-/// its part in that second.
+/// An instance is killed and restarted within a second. Its earlier process has used
+/// the allotment of that second, so that the new one must send nothing in it.
 #[test]
-fn start_with_nothing() {
+fn send_nothing_right_after_start() {
     let mut bench = Bench::new(route(), &[cold_target()]);
     assert_eq!(burst(&mut bench, 500), 0);
     assert!(burst(&mut bench, 1_300) > 0);
--- a/crates/steer/tests/direct/routes.rs
+++ b/crates/steer/tests/direct/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request has, and which part of a split it goes to.
+//! Lookup of a request's route, and weighted splits of a route over services.
 
 use rstest::rstest;
 use steer::process::direct::split::Splits;
@@ -20,7 +20,7 @@
         named("other", "b.example", "/view/"),
     ];
     let limits = bench::routes(1, bench::route()).limits;
-    Routes::new(1, routes, Vec::new(), limits).expect("no two are alike")
+    Routes::new(1, routes, Vec::new(), limits).expect("no two routes clash")
 }
 
 #[rstest]
@@ -43,12 +43,13 @@
 fn refuse_two_routes_of_one_prefix() {
     let limits = bench::routes(1, bench::route()).limits;
     let routes = vec![bench::route(), bench::route()];
-    let clash = Routes::new(1, routes, Vec::new(), limits).expect_err("they are alike");
+    let clash = Routes::new(1, routes, Vec::new(), limits).expect_err("the routes clash");
     assert_eq!((&*clash.first, &*clash.second), ("view", "view"));
 }
 
-/// Each run of ten requests has each part's share to within one, from the
-/// first on: at a few requests a second chance would miss it by a fifth.
+/// Every run of ten requests, from the first on, must give each part its share to
+/// within one request. A random draw would miss it by a fifth at a few requests per
+/// second.
 #[test]
 fn split_every_run() {
     let part = |service: &str, weight| Part {
