--- a/crates/steer/tests/direct.rs
+++ b/crates/steer/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Steering straight to targets: routes, placement, repeats, shares, members.
+//! Tests of direct steering, one module per mechanism, on the fixture in `bench`.
 
 #[path = "direct/access.rs"]
 mod access;
@@ -23,10 +23,10 @@
 mod quota;
 #[path = "direct/quota_fleet.rs"]
 mod quota_fleet;
-#[path = "direct/repeat.rs"]
-mod repeat;
 #[path = "direct/replica.rs"]
 mod replica;
+#[path = "direct/retry.rs"]
+mod retry;
 #[path = "direct/roster.rs"]
 mod roster;
 #[path = "direct/routes.rs"]
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -210,7 +210,7 @@
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
     bench.direct.submit(at(10), asked).expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
     assert!(bench.direct.may_send_request(at(20), &go));
@@ -225,7 +225,7 @@
         .direct
         .finish_attempt(at(20), go.ticket, AttemptOutcome::Withdrawn);
     assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
+    let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
     };
     assert_eq!(why, Rejection::Denied);
@@ -238,7 +238,7 @@
     bench.direct.confirm(at(0));
     let asked = ask(&bench, at(10), "masons");
     bench.direct.submit(at(10), asked).expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
     configure(
@@ -251,7 +251,7 @@
         .direct
         .finish_attempt(at(20), go.ticket, AttemptOutcome::ConnectionLost);
     assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Reject { why, .. }) = bench.order(at(20)) else {
+    let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
     };
     assert_eq!(why, Rejection::OutcomeUnknown);
@@ -277,7 +277,7 @@
         return;
     };
     taken.expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.order(at(10)) else {
+    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
     assert_eq!(&*go.target, expected);
@@ -286,7 +286,7 @@
         .direct
         .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
     assert_eq!(next, FollowUp::Retry);
-    match bench.order(at(20)) {
+    match bench.decide(at(20)) {
         Some(Decision::Send(go)) => {
             assert!(of_route.is_empty() && of_team.is_empty(), "{go:?}");
         }
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -1,4 +1,5 @@
-//! A small deployment: two regions of two domains, targets as a test names them.
+//! Test fixture: steering of one instance in a deployment of two regions with two
+//! failure domains each, with the targets that a test names.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -14,12 +15,15 @@
 use steer::request::arrival::Fingerprint;
 use steer::version::routes::{Limits, Part, Route, Routes, Service};
 
+/// One millisecond.
 pub const MS: Duration = Duration::from_millis(1);
 
+/// The time `millis` milliseconds after the start of the process.
 pub fn at(millis: u64) -> Time {
     Time::from_micros(millis * 1000)
 }
 
+/// Registration of an instance in the first failure domain of a region.
 pub fn registration(region: &str) -> Registration {
     let addr = ([127, 0, 0, 1], 1).into();
     Registration {
@@ -31,6 +35,7 @@
     }
 }
 
+/// A heartbeat of an instance of region `near` that reports nothing.
 pub fn heartbeat(name: &str, seq: u64) -> Heartbeat {
     Heartbeat {
         name: name.into(),
@@ -49,6 +54,7 @@
     }
 }
 
+/// An idempotent route with a latency objective of 600 ms and two attempts.
 pub fn route() -> Route {
     Route {
         name: "view".into(),
@@ -69,6 +75,7 @@
     }
 }
 
+/// A configuration with this route and its service.
 pub fn routes(version: u64, route: Route) -> Routes {
     let service = Service {
         name: "sheets".into(),
@@ -86,6 +93,7 @@
     Routes::new(version, vec![route], vec![service], limits).expect("one route can't clash")
 }
 
+/// Entry of a ready target with three slots.
 pub fn entry(id: &str, domain: &str) -> Entry {
     Entry {
         id: id.into(),
@@ -100,21 +108,24 @@
     }
 }
 
+/// Steering of one instance, and the route of its requests.
 pub struct Bench {
     pub direct: Direct,
     pub route: Arc<Route>,
 }
 
 impl Bench {
+    /// Sets up instance `near-1`.
     pub fn new(route: Route, targets: &[Entry]) -> Self {
         Self::named("near-1", route, targets)
     }
 
+    /// Sets up an instance of region `near` with the given name.
     pub fn named(name: &str, route: Route, targets: &[Entry]) -> Self {
         Self::with(name, route, targets, |bounds| bounds)
     }
 
-    /// The same with other bounds than the usual ones.
+    /// Sets up instance `near-1` with changed bounds.
     pub fn bounded(route: Route, targets: &[Entry], change: impl FnOnce(Bounds) -> Bounds) -> Self {
         Self::with("near-1", route, targets, change)
     }
@@ -156,14 +167,14 @@
         Self { direct, route }
     }
 
-    /// A request arrives at `now`, for an object if one is named.
+    /// Submits a request whose caller waits for 4 s, for an object if one is given.
     pub fn submit(&mut self, now: Time, object: Option<u64>) -> Ticket {
         self.submit_until(now, object, now + Duration::from_secs(4))
     }
 
-    /// A request arrives whose caller waits until `deadline`.
+    /// Submits a request whose caller waits until `deadline`.
     pub fn submit_until(&mut self, now: Time, object: Option<u64>, deadline: Time) -> Ticket {
-        let ask = Request {
+        let request = Request {
             route: Arc::clone(&self.route),
             pass: None,
             object,
@@ -171,44 +182,44 @@
             print: Fingerprint(1),
         };
         self.direct
-            .submit(now, ask)
+            .submit(now, request)
             .expect("the route has a service")
     }
 
-    /// The only order of a step, if there is one.
-    pub fn order(&mut self, now: Time) -> Option<Decision> {
-        let mut orders = self.direct.step(now);
-        assert!(orders.len() < 2, "more than one order: {orders:?}");
-        orders.pop()
+    /// Runs a step and returns its only decision, if there is one.
+    pub fn decide(&mut self, now: Time) -> Option<Decision> {
+        let mut decisions = self.direct.step(now);
+        assert!(decisions.len() < 2, "more than one decision: {decisions:?}");
+        decisions.pop()
     }
 
-    /// A request arrives and is sent at once.
+    /// Submits a request that must be sent at once.
     pub fn send(&mut self, now: Time, object: Option<u64>) -> Assignment {
         self.submit(now, object);
-        match self.order(now) {
-            Some(Decision::Send(go)) => go,
+        match self.decide(now) {
+            Some(Decision::Send(assignment)) => assignment,
             other => panic!("not sent: {other:?}"),
         }
     }
 
-    /// A request arrives, is sent and answered after `took`.
-    pub fn serve(&mut self, now: Time, object: u64, took: Duration) -> Assignment {
-        let go = self.send(now, Some(object));
-        let next = self
-            .direct
-            .finish_attempt(now + took, go.ticket, AttemptOutcome::Answered);
-        assert_eq!(next, FollowUp::Settled);
-        go
+    /// Submits a request that is sent at once and answered after `latency`.
+    pub fn serve(&mut self, now: Time, object: u64, latency: Duration) -> Assignment {
+        let assignment = self.send(now, Some(object));
+        let follow_up =
+            self.direct
+                .finish_attempt(now + latency, assignment.ticket, AttemptOutcome::Answered);
+        assert_eq!(follow_up, FollowUp::Settled);
+        assignment
     }
 
-    /// Serves an object and others until times are known well, by 20 s. The
-    /// object's target.
+    /// Serves an object and others, until 20 s, so that latency estimates are
+    /// reliable. Returns the target of the object.
     pub fn learn(&mut self, object: u64) -> String {
         let first = self.serve(at(0), object, 600 * MS).target;
         for i in 1..10 {
             self.serve(at(i * 2_000), object + (i << 32), 600 * MS);
-            let go = self.serve(at(i * 2_000 + 1_000), object, 300 * MS);
-            assert_eq!(go.target, first);
+            let assignment = self.serve(at(i * 2_000 + 1_000), object, 300 * MS);
+            assert_eq!(assignment.target, first);
         }
         first.as_ref().to_owned()
     }
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of targets that are slow or fail.
+//! Health observations that instances exchange about slow and failing targets.
 
 use core::time::Duration;
 
@@ -12,23 +12,25 @@
 
 const OBJECT: u64 = 5;
 
-/// Times between the requests of one instance to one target in a large fleet.
-const SELDOM: u64 = 20_000;
+/// Milliseconds between the requests of one instance to one target in a large fleet.
+const REQUEST_INTERVAL: u64 = 20_000;
 
-/// Six targets; one holds the object, and times are known well.
-fn served(route: Route) -> (Bench, String) {
+/// Sets up six targets with reliable latency estimates. Also returns the target where
+/// [`OBJECT`] is warm.
+fn warmed_up(route: Route) -> (Bench, String) {
     let targets = ["t1", "t2", "t3", "t4", "t5", "t6"].map(|id| entry(id, "near-a"));
     let mut bench = Bench::new(route, &targets);
     let first = bench.learn(OBJECT);
     (bench, first)
 }
 
-fn tell(bench: &mut Bench, millis: u64, seq: u64, observations: &[Observation]) {
-    let told = Heartbeat {
+/// Delivers a heartbeat of another instance with these observations.
+fn receive(bench: &mut Bench, millis: u64, seq: u64, observations: &[Observation]) {
+    let heartbeat = Heartbeat {
         observations: observations.to_vec(),
         ..heartbeat("near-2", seq)
     };
-    bench.direct.hear(at(millis), told);
+    bench.direct.hear(at(millis), heartbeat);
 }
 
 fn unsafe_route() -> Route {
@@ -38,72 +40,72 @@
     }
 }
 
-/// The target that holds the object begins to lose answers. Callers of other
-/// instances are told that nobody knows whether their payments ran; this one has
-/// sent nothing there meanwhile, and its next caller must not learn it anew.
+/// The object's target fails requests of other instances, whose outcome is unknown.
+/// This instance has sent nothing there meanwhile. It must avoid the target by their
+/// observations, not by a failure of its own.
 #[test]
 fn avoid_target_that_fails_others() {
-    let (mut bench, first) = served(unsafe_route());
+    let (mut bench, first) = warmed_up(unsafe_route());
     for seq in 1..=4 {
         let seen = [Observation::failed(name_hash(&first))];
-        tell(&mut bench, 21_000 + seq * 250, seq, &seen);
+        receive(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
-    let go = bench.send(at(24_200), Some(OBJECT));
-    assert_ne!(*go.target, *first);
+    let assignment = bench.send(at(24_200), Some(OBJECT));
+    assert_ne!(*assignment.target, *first);
 }
 
-/// The target that holds the object has become many times slower. The requests of
-/// others there are overdue; the answers that would tell come in seconds.
+/// The object's target has become many times slower. Requests of other instances are
+/// overdue there, and the answers that would show it take seconds to come.
 #[rstest]
 #[case::twelve_times(12.0)]
 #[case::twenty_times(20.0)]
 fn avoid_target_slow_to_others(#[case] ratio: f64) {
-    let (mut bench, first) = served(route());
+    let (mut bench, first) = warmed_up(route());
     for seq in 1..=12 {
         let seen = [Observation::slow(name_hash(&first), ratio)];
-        tell(&mut bench, 21_000 + seq * 250, seq, &seen);
+        receive(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
-    let go = bench.send(at(24_200), Some(OBJECT));
-    assert_ne!(*go.target, *first);
+    let assignment = bench.send(at(24_200), Some(OBJECT));
+    assert_ne!(*assignment.target, *first);
 }
 
-/// One request in hundreds fails at any target. That moves no object: it would
-/// begin cold elsewhere.
+/// One request in hundreds fails at any target. A single failure must not move an
+/// object, which would be cold at another target.
 #[test]
 fn stay_after_single_failure() {
-    let (mut bench, first) = served(route());
-    tell(
+    let (mut bench, first) = warmed_up(route());
+    receive(
         &mut bench,
         21_000,
         1,
         &[Observation::failed(name_hash(&first))],
     );
-    let go = bench.send(at(21_100), Some(OBJECT));
-    assert_eq!(*go.target, *first);
+    let assignment = bench.send(at(21_100), Some(OBJECT));
+    assert_eq!(*assignment.target, *first);
 }
 
-/// The target is well again. Nobody sends to it, so nobody could tell: what was
-/// told fades, and its objects come home.
+/// A target has recovered, but no instance sends requests to it and could notice.
+/// The observations must decay, so that its objects return.
 #[test]
-fn come_back_when_told_no_more() {
-    let (mut bench, first) = served(route());
+fn return_when_observations_decay() {
+    let (mut bench, first) = warmed_up(route());
     for seq in 1..=12 {
         let seen = [Observation::slow(name_hash(&first), 12.0)];
-        tell(&mut bench, 21_000 + seq * 250, seq, &seen);
+        receive(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
-    let go = bench.send(at(45_000), Some(OBJECT));
-    assert_eq!(*go.target, *first);
+    let assignment = bench.send(at(45_000), Some(OBJECT));
+    assert_eq!(*assignment.target, *first);
 }
 
-/// A request is at a target for far longer than even an object that isn't held
-/// there would take. Others are told while it is still there.
+/// A request is in flight for far longer than one for a cold object takes. Other
+/// instances must be warned before its answer comes.
 #[test]
-fn tell_of_overdue_request() {
-    let (mut bench, first) = served(route());
-    let now = at(SELDOM + 2_000);
+fn report_overdue_request() {
+    let (mut bench, first) = warmed_up(route());
+    let now = at(REQUEST_INTERVAL + 2_000);
     bench.send(now, Some(OBJECT));
     let seen = bench.direct.beat(now + 500 * MS, false).observations;
-    assert_eq!(seen, [], "it may only be cold there");
+    assert_eq!(seen, [], "the object may be cold there");
     let seen = bench
         .direct
         .beat(now + Duration::from_secs(3), false)
@@ -113,52 +115,52 @@
     assert!(seen[0].ratio_eighths > 16, "{seen:?}");
 }
 
-/// What failed is told by one heartbeat: the next would count it twice.
+/// A failure must be reported in one heartbeat only; a second would count it twice.
 #[rstest]
 #[case::lost(AttemptOutcome::ConnectionLost)]
 #[case::failed(AttemptOutcome::Failed)]
 #[case::late(AttemptOutcome::TimedOut)]
-fn tell_failure_once(#[case] ending: AttemptOutcome) {
-    let (mut bench, first) = served(unsafe_route());
-    let now = at(SELDOM + 2_000);
-    let go = bench.send(now, Some(OBJECT));
+fn report_failure_once(#[case] outcome: AttemptOutcome) {
+    let (mut bench, first) = warmed_up(unsafe_route());
+    let now = at(REQUEST_INTERVAL + 2_000);
+    let assignment = bench.send(now, Some(OBJECT));
     bench
         .direct
-        .finish_attempt(now + 100 * MS, go.ticket, ending);
+        .finish_attempt(now + 100 * MS, assignment.ticket, outcome);
     let seen = bench.direct.beat(now + 200 * MS, false).observations;
     assert_eq!(seen, [Observation::failed(name_hash(&first))]);
     assert_eq!(bench.direct.beat(now + 450 * MS, false).observations, []);
 }
 
-/// A target turns requests away, being full or for another reason. It still
-/// serves others, and the objects that it holds are warm nowhere else.
+/// A target refuses requests because it is full or for another reason. It still serves
+/// others, and its objects are warm nowhere else, so that no object must move.
 #[test]
-fn keep_refusals_to_oneself() {
-    let (mut bench, first) = served(route());
-    let now = at(SELDOM + 2_000);
-    let go = bench.send(now, Some(OBJECT));
+fn report_no_refusals() {
+    let (mut bench, first) = warmed_up(route());
+    let now = at(REQUEST_INTERVAL + 2_000);
+    let assignment = bench.send(now, Some(OBJECT));
     bench
         .direct
-        .finish_attempt(now + 100 * MS, go.ticket, AttemptOutcome::NotRun);
+        .finish_attempt(now + 100 * MS, assignment.ticket, AttemptOutcome::NotRun);
     assert_eq!(bench.direct.beat(now + 200 * MS, false).observations, []);
-    let Some(Decision::Send(_)) = bench.order(now + 200 * MS) else {
-        panic!("what wasn't run is sent again");
+    let Some(Decision::Send(_)) = bench.decide(now + 200 * MS) else {
+        panic!("a refused request is sent again");
     };
-    let again = bench.send(now + 500 * MS, Some(OBJECT));
-    assert_eq!(*again.target, *first);
+    let next = bench.send(now + 500 * MS, Some(OBJECT));
+    assert_eq!(*next.target, *first);
 }
 
-/// All targets of a service turn requests away alike. There is nowhere better,
-/// and objects stay where they are held.
+/// All targets of a service fail requests alike. No other target is better, so that
+/// objects must stay where they are warm.
 #[test]
-fn stay_if_all_do_poorly() {
-    let (mut bench, first) = served(route());
+fn stay_if_all_degraded() {
+    let (mut bench, first) = warmed_up(route());
     let ids = ["t1", "t2", "t3", "t4", "t5", "t6"];
     for seq in 1..=4 {
         let mut seen = ids.map(|id| Observation::failed(name_hash(id)));
         seen.sort_unstable();
-        tell(&mut bench, 21_000 + seq * 250, seq, &seen);
+        receive(&mut bench, 21_000 + seq * 250, seq, &seen);
     }
-    let go = bench.send(at(24_200), Some(OBJECT));
-    assert_eq!(*go.target, *first);
+    let assignment = bench.send(at(24_200), Some(OBJECT));
+    assert_eq!(*assignment.target, *first);
 }
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -1,4 +1,4 @@
-//! Which target a request is sent to.
+//! Choice of the target for a request, queueing at the instance and rejection.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -9,49 +9,52 @@
 
 use super::bench::{Bench, MS, at, entry, route};
 
-/// Callers ask for the same sheet again and again. A target that has handled it
-/// takes a third of the time; spread over all targets, each request would begin
-/// from nothing.
+/// Guards against spreading the requests for an object over all targets: each
+/// target would start cold, where a warm one takes a third of the time.
 #[test]
 fn keep_object_at_its_target() {
     let targets = ["t1", "t2", "t3", "t4"].map(|id| entry(id, "near-a"));
     let mut bench = Bench::new(route(), &targets);
     let first = bench.serve(at(0), 5, 900 * MS);
     for i in 1..20 {
-        let go = bench.serve(at(i * 1_000), 5, 300 * MS);
-        assert_eq!(go.target, first.target);
-        assert!(go.warm);
+        let assignment = bench.serve(at(i * 1_000), 5, 300 * MS);
+        assert_eq!(assignment.target, first.target);
+        assert!(assignment.warm);
     }
 }
 
-/// The target that holds the sheet is full for a moment and others are idle. A
-/// short wait beats three times the work, for this request and for those that
-/// would find the other target's slots taken.
+/// Guards against sending an object to an idle cold target when its warm target is
+/// full for a moment. The short wait beats three times the service time, for this
+/// request and for those that would find the slots of the other target taken.
 #[test]
 fn wait_for_warm_target() {
     let targets = ["t1", "t2"].map(|id| entry(id, "near-a"));
     let mut bench = Bench::new(route(), &targets);
     let warm = bench.serve(at(0), 5, 900 * MS).target;
     bench.serve(at(1_000), 5, 300 * MS);
-    let mut held = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..4 {
-        held.push(bench.send(at(2_000), Some(5)));
+        in_flight.push(bench.send(at(2_000), Some(5)));
     }
-    assert!(held.iter().all(|go| go.target == warm));
+    assert!(in_flight.iter().all(|assignment| assignment.target == warm));
     bench.submit(at(2_010), Some(5));
-    assert_eq!(bench.order(at(2_010)), None, "it waits for its target");
+    assert_eq!(
+        bench.decide(at(2_010)),
+        None,
+        "it waits for its warm target"
+    );
     bench
         .direct
-        .finish_attempt(at(2_100), held[0].ticket, AttemptOutcome::Answered);
-    let Some(Decision::Send(go)) = bench.order(at(2_100)) else {
+        .finish_attempt(at(2_100), in_flight[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(assignment)) = bench.decide(at(2_100)) else {
         panic!("a slot is free");
     };
-    assert_eq!(go.target, warm);
+    assert_eq!(assignment.target, warm);
 }
 
-/// One sheet is asked for more often than a target can bear, and others stand
-/// idle. All instances send what doesn't fit to the same second target: it is
-/// cold there once, instead of at each instance's own choice.
+/// One object is requested more often than a target can serve, and other targets
+/// are idle. All instances must send the excess to the same second target, where the
+/// object is cold only once, and not each to a target of its own choice.
 #[test]
 fn spill_to_same_second_target() {
     const SENT: u64 = 16;
@@ -64,11 +67,11 @@
             bench.submit(at(21_000), Some(5));
         }
         let mut used = Vec::new();
-        for order in bench.direct.step(at(21_000)) {
-            if let Decision::Send(go) = order
-                && !used.contains(&go.target)
+        for decision in bench.direct.step(at(21_000)) {
+            if let Decision::Send(assignment) = decision
+                && !used.contains(&assignment.target)
             {
-                used.push(go.target);
+                used.push(assignment.target);
             }
         }
         used
@@ -88,41 +91,41 @@
     let now = at(1_000);
     match why {
         "leaving" => {
-            let leaving = steer::process::direct::target::Entry {
+            let draining = steer::process::direct::target::Entry {
                 draining: true,
                 seq: 2,
                 ..entry("t1", "near-a")
             };
-            bench.direct.roster.put(now, leaving);
+            bench.direct.roster.put(now, draining);
         }
         "gone" => assert!(bench.direct.unlist(now, "t1")),
         _ => bench.direct.evacuate(now, vec!["near-a".into()]),
     }
     for i in 0..8 {
-        let go = bench.send(at(1_000 + i), Some(i));
-        assert_eq!(&*go.target, "t2");
+        let assignment = bench.send(at(1_000 + i), Some(i));
+        assert_eq!(&*assignment.target, "t2");
         bench
             .direct
-            .finish_attempt(at(1_001 + i), go.ticket, AttemptOutcome::Answered);
+            .finish_attempt(at(1_001 + i), assignment.ticket, AttemptOutcome::Answered);
     }
 }
 
-/// A request waits here for a target whose domain is then evacuated: it must
-/// not be sent there when the slot becomes free.
+/// A request waits for a target whose domain is then evacuated. It must not be sent
+/// there when a slot becomes free.
 #[test]
 fn evacuate_under_waiting_request() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a"), entry("t2", "near-b")]);
     bench.direct.evacuate(at(0), vec!["near-b".into()]);
-    let held: Vec<_> = (0..4).map(|_| bench.send(at(0), Some(1))).collect();
+    let in_flight: Vec<_> = (0..4).map(|_| bench.send(at(0), Some(1))).collect();
     bench.submit(at(10), Some(1));
-    assert_eq!(bench.order(at(10)), None);
+    assert_eq!(bench.decide(at(10)), None);
     let both = vec!["near-a".into(), "near-b".into()];
     bench.direct.evacuate(at(20), both);
     bench
         .direct
-        .finish_attempt(at(30), held[0].ticket, AttemptOutcome::Answered);
-    let order = bench.order(at(30));
-    assert!(!matches!(order, Some(Decision::Send(_))), "{order:?}");
+        .finish_attempt(at(30), in_flight[0].ticket, AttemptOutcome::Answered);
+    let decision = bench.decide(at(30));
+    assert!(!matches!(decision, Some(Decision::Send(_))), "{decision:?}");
 }
 
 #[test]
@@ -131,8 +134,8 @@
     let only_far = [entry("t1", "far-a")];
     let mut bench = Bench::new(Route { homes, ..route() }, &only_far);
     bench.submit(at(0), None);
-    assert_eq!(bench.order(at(0)), None);
-    let Some(Decision::Reject { why, .. }) = bench.order(at(100)) else {
+    assert_eq!(bench.decide(at(0)), None);
+    let Some(Decision::Reject { why, .. }) = bench.decide(at(100)) else {
         panic!("nothing can serve it");
     };
     assert_eq!(why, Rejection::NoTarget);
@@ -144,8 +147,8 @@
     assert_eq!(&*bench.send(at(0), Some(1)).target, "t1");
 }
 
-/// All slots are taken for longer than the caller waits: it is rejected at
-/// once, with a time to come back, and not when its time is over.
+/// All slots are taken for longer than the caller waits. It must be rejected at once,
+/// with a time to come back, and not when its deadline passes.
 #[test]
 fn reject_hopeless_at_once() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
@@ -155,8 +158,8 @@
     let mut rejected = 0;
     for _ in 0..20 {
         bench.submit(at(10_000), Some(1));
-        for order in bench.direct.step(at(10_000)) {
-            if let Decision::Reject { after, why, .. } = order {
+        for decision in bench.direct.step(at(10_000)) {
+            if let Decision::Reject { after, why, .. } = decision {
                 assert_eq!(why, Rejection::Overload);
                 assert!(after >= Duration::from_millis(100));
                 rejected += 1;
@@ -166,9 +169,9 @@
     assert!(rejected >= 8, "only {rejected} of 20");
 }
 
-/// The caller returns after an outage with 20 ms of its time left. A slot is
-/// free, but the answer takes 300 ms: sent all the same, the request would
-/// occupy the slot in vain, and its caller couldn't be told that it hasn't run.
+/// A caller retries after an outage with 20 ms of its time left. A slot is free, but
+/// the answer takes 300 ms. If the request were sent, it would waste the slot, and
+/// its caller couldn't be told that it hasn't run.
 #[test]
 fn reject_hopeless_despite_free_slot() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
@@ -176,50 +179,50 @@
         bench.serve(at(i * 2_000), 1, 300 * MS);
     }
     bench.submit_until(at(10_000), Some(1), at(10_050));
-    let order = bench.order(at(10_000));
+    let decision = bench.decide(at(10_000));
     assert!(
         matches!(
-            order,
+            decision,
             Some(Decision::Reject {
                 why: Rejection::Overload,
                 ..
             })
         ),
-        "{order:?}"
+        "{decision:?}"
     );
     bench.submit_until(at(10_000), Some(1), at(10_250));
-    let order = bench.order(at(10_000));
-    assert!(matches!(order, Some(Decision::Send(_))), "{order:?}");
+    let decision = bench.decide(at(10_000));
+    assert!(matches!(decision, Some(Decision::Send(_))), "{decision:?}");
 }
 
-/// The more urgent of two that wait goes first, whichever came first.
+/// The more urgent of two waiting requests goes first, in whatever order they came.
 #[test]
 fn prefer_urgent_request() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
-    let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
+    let in_flight: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
     let patient = bench.submit(at(1), None);
-    assert_eq!(bench.order(at(1)), None);
-    let usual = Arc::clone(&bench.route);
+    assert_eq!(bench.decide(at(1)), None);
+    let base = Arc::clone(&bench.route);
     bench.route = Arc::new(Route {
         name: "urgent".into(),
         priority: 0,
-        ..(*usual).clone()
+        ..(*base).clone()
     });
     let urgent = bench.submit(at(2), None);
-    assert_eq!(bench.order(at(2)), None);
+    assert_eq!(bench.decide(at(2)), None);
     bench
         .direct
-        .finish_attempt(at(50), held[0].ticket, AttemptOutcome::Answered);
-    let Some(Decision::Send(go)) = bench.order(at(50)) else {
+        .finish_attempt(at(50), in_flight[0].ticket, AttemptOutcome::Answered);
+    let Some(Decision::Send(assignment)) = bench.decide(at(50)) else {
         panic!("a slot is free");
     };
-    assert_eq!(go.ticket, urgent);
-    assert_ne!(go.ticket, patient);
+    assert_eq!(assignment.ticket, urgent);
+    assert_ne!(assignment.ticket, patient);
 }
 
-/// A request is decided on, and its target announces that it leaves before an
-/// instance that is a second behind has sent it. It must not be sent any more,
-/// and goes to another target, whether it may be repeated or not.
+/// A target announces that it is draining after a request was assigned to it and
+/// before an overloaded instance has sent the request, a second later. The request
+/// must not be sent there, and goes to another target whether idempotent or not.
 #[rstest]
 #[case::idempotent(true)]
 #[case::once(false)]
@@ -230,23 +233,24 @@
         ..route()
     };
     let mut bench = Bench::new(route, &targets);
-    let go = bench.send(at(1_000), Some(5));
-    assert!(bench.direct.may_send(&go.target));
-    let left = targets.iter().find(|t| t.id == go.target);
-    let leaving = steer::process::direct::target::Entry {
+    let assignment = bench.send(at(1_000), Some(5));
+    assert!(bench.direct.may_send(&assignment.target));
+    let target = targets.iter().find(|t| t.id == assignment.target);
+    let draining = steer::process::direct::target::Entry {
         draining: true,
         seq: 2,
-        ..left.expect("it was sent to one of them").clone()
+        ..target.expect("it was sent to one of them").clone()
     };
-    bench.direct.roster.put(at(1_200), leaving);
-    assert!(!bench.direct.may_send(&go.target));
-    let next = bench
-        .direct
-        .finish_attempt(at(2_400), go.ticket, AttemptOutcome::Withdrawn);
-    assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Send(again)) = bench.order(at(2_400)) else {
+    bench.direct.roster.put(at(1_200), draining);
+    assert!(!bench.direct.may_send(&assignment.target));
+    let follow_up =
+        bench
+            .direct
+            .finish_attempt(at(2_400), assignment.ticket, AttemptOutcome::Withdrawn);
+    assert_eq!(follow_up, FollowUp::Retry);
+    let Some(Decision::Send(retry)) = bench.decide(at(2_400)) else {
         panic!("there is another target");
     };
-    assert_ne!(again.target, go.target);
-    assert!(bench.direct.may_send(&again.target));
+    assert_ne!(retry.target, assignment.target);
+    assert!(bench.direct.may_send(&retry.target));
 }
--- a/crates/steer/tests/direct/repeat.rs
+++ b/crates/steer/tests/direct/retry.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent again after an attempt failed.
+//! Retries after failed attempts, and what a caller is told about the outcome.
 
 use rstest::rstest;
 use steer::process::direct::{AttemptOutcome, Decision, FollowUp, Rejection};
@@ -6,21 +6,24 @@
 
 use super::bench::{Bench, at, entry, route};
 
-fn after(idempotent: bool, ending: AttemptOutcome) -> (Bench, FollowUp) {
+/// Sends a request to one of three targets, where the attempt ends as given.
+fn send_and_finish(idempotent: bool, outcome: AttemptOutcome) -> (Bench, FollowUp) {
     let targets = ["t1", "t2", "t3"].map(|id| entry(id, "near-a"));
     let route = Route {
         idempotent,
         ..route()
     };
     let mut bench = Bench::new(route, &targets);
-    let go = bench.send(at(0), Some(1));
-    let next = bench.direct.finish_attempt(at(10), go.ticket, ending);
-    (bench, next)
+    let assignment = bench.send(at(0), Some(1));
+    let follow_up = bench
+        .direct
+        .finish_attempt(at(10), assignment.ticket, outcome);
+    (bench, follow_up)
 }
 
-/// A lodgement whose attempt may have run is never sent again, and its caller is
-/// told that its fate is unknown; only what proves that it wasn't run allows
-/// another target.
+/// A request that isn't idempotent and may have run must never be sent again; its
+/// caller is told that the outcome is unknown. Only an outcome that proves that it
+/// wasn't run allows another target.
 #[rstest]
 #[case::not_run(AttemptOutcome::NotRun, FollowUp::Retry)]
 #[case::elsewhere(AttemptOutcome::WrongTarget, FollowUp::Retry)]
@@ -30,11 +33,11 @@
 #[case::broken(AttemptOutcome::ConnectionLost, FollowUp::Settled)]
 #[case::garbled(AttemptOutcome::InvalidResponse, FollowUp::Settled)]
 #[case::late(AttemptOutcome::TimedOut, FollowUp::Settled)]
-fn repeat_unsafe(#[case] ending: AttemptOutcome, #[case] expected: FollowUp) {
-    let (mut bench, next) = after(false, ending);
-    assert_eq!(next, expected);
-    let sent = matches!(bench.order(at(10)), Some(Decision::Send(_)));
-    assert_eq!(sent, expected == FollowUp::Retry);
+fn retry_unsafe(#[case] outcome: AttemptOutcome, #[case] expected: FollowUp) {
+    let (mut bench, follow_up) = send_and_finish(false, outcome);
+    assert_eq!(follow_up, expected);
+    let is_sent = matches!(bench.decide(at(10)), Some(Decision::Send(_)));
+    assert_eq!(is_sent, expected == FollowUp::Retry);
 }
 
 #[rstest]
@@ -42,69 +45,73 @@
 #[case::failed(AttemptOutcome::Failed)]
 #[case::broken(AttemptOutcome::ConnectionLost)]
 #[case::garbled(AttemptOutcome::InvalidResponse)]
-fn repeat_idempotent_elsewhere(#[case] ending: AttemptOutcome) {
-    let (mut bench, next) = after(true, ending);
-    assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Send(go)) = bench.order(at(10)) else {
+fn retry_idempotent_elsewhere(#[case] outcome: AttemptOutcome) {
+    let (mut bench, follow_up) = send_and_finish(true, outcome);
+    assert_eq!(follow_up, FollowUp::Retry);
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
         panic!("another target is free");
     };
-    assert_eq!(go.attempt, 2);
-    let last = bench.direct.finish_attempt(at(20), go.ticket, ending);
+    assert_eq!(assignment.attempt, 2);
+    let last = bench
+        .direct
+        .finish_attempt(at(20), assignment.ticket, outcome);
     assert_ne!(last, FollowUp::Retry, "its route allows two targets");
 }
 
-/// Two rejections by targets, after an attempt that may have run: the answer
-/// must not say "not run".
+/// A target refuses the retry of a request whose first attempt may have run. The
+/// answer must not say that it wasn't run.
 #[test]
-fn stay_in_doubt_after_doubt() {
-    let (mut bench, next) = after(true, AttemptOutcome::ConnectionLost);
-    assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Send(go)) = bench.order(at(10)) else {
+fn keep_outcome_unknown_after_refusal() {
+    let (mut bench, follow_up) = send_and_finish(true, AttemptOutcome::ConnectionLost);
+    assert_eq!(follow_up, FollowUp::Retry);
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
         panic!("another target is free");
     };
     let last = bench
         .direct
-        .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
+        .finish_attempt(at(20), assignment.ticket, AttemptOutcome::NotRun);
     assert_eq!(last, FollowUp::Settled);
 }
 
-/// The caller leaves while its request waits: it is never sent.
+/// A request whose caller leaves while it waits must never be sent.
 #[test]
 fn forget_request_of_caller_that_left() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
-    let held: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
+    let in_flight: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
     let ticket = bench.submit(at(1), None);
-    assert_eq!(bench.order(at(1)), None);
+    assert_eq!(bench.decide(at(1)), None);
     bench.direct.cancel(at(20), ticket);
     bench
         .direct
-        .finish_attempt(at(50), held[0].ticket, AttemptOutcome::Answered);
-    assert_eq!(bench.order(at(50)), None);
+        .finish_attempt(at(50), in_flight[0].ticket, AttemptOutcome::Answered);
+    assert_eq!(bench.decide(at(50)), None);
     assert_eq!(bench.direct.request_count(), 3);
 }
 
-/// A look-up's target gives no answer, and then no other is left that could take
-/// it. It may have run: its caller must not hear "not run".
+/// An attempt that may have run fails, and no target is left for a retry. The caller
+/// must not be told that the request wasn't run.
 #[test]
-fn stay_in_doubt_without_room() {
+fn keep_outcome_unknown_without_target() {
     let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
     let mut bench = Bench::new(route(), &targets);
-    let go = bench.send(at(0), Some(1));
-    let next = bench
-        .direct
-        .finish_attempt(at(900), go.ticket, AttemptOutcome::InvalidResponse);
-    assert_eq!(next, FollowUp::Retry);
+    let assignment = bench.send(at(0), Some(1));
+    let follow_up =
+        bench
+            .direct
+            .finish_attempt(at(900), assignment.ticket, AttemptOutcome::InvalidResponse);
+    assert_eq!(follow_up, FollowUp::Retry);
     for id in ["t1", "t2"] {
         assert!(bench.direct.unlist(at(900), id));
     }
-    let Some(Decision::Reject { why, .. }) = bench.order(at(1_000)) else {
+    let Some(Decision::Reject { why, .. }) = bench.decide(at(1_000)) else {
         panic!("no target is left");
     };
     assert_eq!(why, Rejection::OutcomeUnknown);
 }
 
-/// A request crashes each target that begins to run it, and its caller sends it
-/// again and again, at any instance. Two targets are lost, not all of them.
+/// A request crashes every target that runs it, and its caller sends it again and
+/// again, to any instance. It must be refused after two crashes, also by the other
+/// instances.
 #[test]
 fn refuse_request_that_crashes_targets() {
     let targets = ["t1", "t2", "t3", "t4"].map(|id| entry(id, "near-a"));
@@ -116,7 +123,7 @@
             .finish_attempt(at(50), first.ticket, AttemptOutcome::ConnectionLost),
         FollowUp::Retry
     );
-    let Some(Decision::Send(second)) = bench.order(at(50)) else {
+    let Some(Decision::Send(second)) = bench.decide(at(50)) else {
         panic!("another target is free");
     };
     assert_eq!(
@@ -125,9 +132,9 @@
             .finish_attempt(at(90), second.ticket, AttemptOutcome::ConnectionLost),
         FollowUp::Settled
     );
-    let told = bench.direct.beat(at(100), false).struck;
-    assert_eq!(told, [(1, 2)]);
-    let ask = steer::process::direct::Request {
+    let struck = bench.direct.beat(at(100), false).struck;
+    assert_eq!(struck, [(1, 2)]);
+    let request = steer::process::direct::Request {
         route: std::sync::Arc::clone(&bench.route),
         pass: None,
         object: Some(1),
@@ -135,23 +142,24 @@
         print: steer::request::arrival::Fingerprint(1),
     };
     assert_eq!(
-        bench.direct.submit(at(200), ask.clone()),
+        bench.direct.submit(at(200), request.clone()),
         Err(Rejection::Poison)
     );
-    // Another instance hears of it.
+    // Another instance learns of it by a heartbeat.
     let mut other = Bench::new(route(), &targets);
     let heartbeat = steer::process::direct::members::Heartbeat {
-        struck: told,
+        struck,
         ..super::bench::heartbeat("near-2", 1)
     };
     other.direct.hear(at(0), heartbeat);
-    assert_eq!(other.direct.submit(at(10), ask), Err(Rejection::Poison));
+    assert_eq!(other.direct.submit(at(10), request), Err(Rejection::Poison));
 }
 
-/// A target loses answers but goes on: requests that were there before are
-/// answered after. The one that it broke under is no culprit.
+/// A connection to a target breaks, but the target still answers a request that was
+/// sent before. The request on the broken connection can't have crashed it and must
+/// be cleared.
 #[test]
-fn acquit_request_whose_target_goes_on() {
+fn clear_request_whose_target_survives() {
     let targets = [entry("t1", "near-a")];
     let mut bench = Bench::new(route(), &targets);
     let lost = bench.send(at(0), Some(1));
--- a/crates/steer/tests/direct/stop.rs
+++ b/crates/steer/tests/direct/stop.rs
@@ -1,4 +1,4 @@
-//! What a process that was told to stop does with requests.
+//! Requests at an instance that was told to stop.
 
 use core::time::Duration;
 
@@ -7,9 +7,9 @@
 
 use super::bench::{Bench, MS, at, entry, route};
 
-/// All slots are taken by long look-ups when the process is told to stop. One
-/// that waits would still wait when the process ends, and its caller would get
-/// no answer: it is rejected in time, and asks another instance.
+/// All slots are taken by long requests when the process is told to stop. A request
+/// that still waited at its end would get no answer. It must be rejected in time, so
+/// that the caller can try another instance.
 #[test]
 fn reject_who_still_waits() {
     let patient = Route {
@@ -25,15 +25,18 @@
     bench.submit_until(at(1_100), Some(1), at(21_000));
     let mut rejected = None;
     for millis in (1_100..2_500).step_by(25) {
-        if let Some(Decision::Reject { why, .. }) = bench.order(at(millis)) {
+        if let Some(Decision::Reject { why, .. }) = bench.decide(at(millis)) {
             assert_eq!(why, Rejection::Overload);
             rejected.get_or_insert(millis);
         }
     }
-    assert!(rejected.is_some(), "it waits when the process ends");
+    assert!(
+        rejected.is_some(),
+        "the request still waits when the process ends"
+    );
 }
 
-/// A slot is free, but what it takes would last longer than the process.
+/// A slot is free, but the request would take longer than the process lasts.
 #[test]
 fn reject_what_outlasts_process() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
@@ -44,11 +47,14 @@
         .direct
         .finish_attempt(at(1_900), sent.ticket, AttemptOutcome::Answered);
     bench.submit(at(2_000), Some(1));
-    let order = bench.order(at(2_000));
-    assert!(matches!(order, Some(Decision::Reject { .. })), "{order:?}");
+    let decision = bench.decide(at(2_000));
+    assert!(
+        matches!(decision, Some(Decision::Reject { .. })),
+        "{decision:?}"
+    );
 }
 
-/// The caller's own limit still holds if it ends first.
+/// The caller's deadline still holds if it comes before the end of the process.
 #[test]
 fn keep_callers_limit() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
