--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn may_send_request(&self, now: Time, assignment: &Assignment) -> bool {
         let job = self.find(assignment.ticket).map(|at| &self.jobs[at]);
-        let is_authorized = job.is_ok_and(|job| self.withheld(now, &job.request).is_none());
+        let is_authorized = job.is_ok_and(|job| self.withhold_reason(now, &job.request).is_none());
         is_authorized && self.may_send(&assignment.target)
     }
 
@@ -123,7 +123,7 @@
         sent_at: Time,
         outcome: AttemptOutcome,
     ) {
-        let fingerprint = job.request.print;
+        let fingerprint = job.request.fingerprint;
         match outcome {
             AttemptOutcome::ConnectionLost => {
                 self.suspects.strike(now, job.strikes, fingerprint, target);
@@ -161,7 +161,7 @@
         let job = &mut self.jobs[at];
         job.may_have_run |= !is_not_run;
         let may_retry = self.mechanisms.has(Mechanism::Retry);
-        let is_poison = self.suspects.strikes(job.request.print) >= STRIKES;
+        let is_poison = self.suspects.strikes(job.request.fingerprint) >= STRIKES;
         let is_safe =
             may_retry && !is_poison && (!job.may_have_run || job.request.route.idempotent);
         let has_attempts = job.tried.len() < job.request.route.attempts.max(1);
@@ -169,7 +169,7 @@
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
         let was_sent = !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Withdrawn);
-        let rule = self.bounds.repeats;
+        let rule = self.bounds.retries;
         let instances = self.participants.len() + 1;
         // The bound is on retries that follow an attempt which reached a target; one
         // that was never sent cost no target anything.
@@ -195,10 +195,10 @@
         let Some(target) = self.roster.get(target) else {
             return;
         };
-        if !warm || !job.request.is_free() {
+        if !warm || !job.request.is_unrestricted() {
             return;
         }
-        let is_remote = target.region != self.home.region;
+        let is_remote = target.region != self.identity.region;
         let is_late = now > job.objective();
         let found = self.spillovers.binary_search_by(|p| p.0.cmp(&job.service));
         if let Ok(at) = found {
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -212,13 +212,13 @@
     /// Records the rate limit in an answer to this instance; `None` lifts it. Returns
     /// whether the limit has changed.
     pub fn update_limit(&mut self, now: Time, rate: Option<f64>) -> bool {
-        let limit = self.limit.answered(now, rate);
+        let limit = self.limit.updated(now, rate);
         core::mem::replace(&mut self.limit, limit).rate != rate
     }
 
     /// Adopts a rate limit that it reported to another instance, if that is newer.
     pub(super) fn merge_limit(&mut self, limit: Limit) {
-        if self.limit.is_before(&limit) {
+        if self.limit.is_older_than(&limit) {
             self.limit = limit;
         }
     }
--- a/crates/steer/tests/direct/cold.rs
+++ b/crates/steer/tests/direct/cold.rs
@@ -13,7 +13,7 @@
 fn participant(number: u32, is_near: bool) -> Participant {
     Participant {
         region: if is_near { "near".into() } else { "far".into() },
-        mark: number.wrapping_mul(0x0101_0163),
+        name_hash: number.wrapping_mul(0x0101_0163),
     }
 }
 
@@ -71,7 +71,7 @@
     let mut bench = Bench::new(route(), &[cold_target()]);
     for i in 0..6 {
         let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
-        bench.direct.hear(at(2_000), heartbeat);
+        bench.direct.receive_heartbeat(at(2_000), heartbeat);
     }
     bench
 }
@@ -99,10 +99,10 @@
 fn leave_allotment_to_leaving_instance() {
     let mut bench = Bench::new(route(), &[cold_target()]);
     let leaving = |seq| Heartbeat {
-        leaving: true,
+        is_leaving: true,
         ..heartbeat("near-2", seq)
     };
-    bench.direct.hear(at(2_000), leaving(1));
+    bench.direct.receive_heartbeat(at(2_000), leaving(1));
     assert_eq!(burst(&mut bench, 2_000), 3);
     bench.direct.sweep(at(8_000));
     assert!(burst(&mut bench, 8_000) > 3, "the other instance is gone");
@@ -115,9 +115,9 @@
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     for i in 0..6 {
         let heartbeat = heartbeat(&format!("near-{}", i + 2), 1);
-        bench.direct.hear(at(2_000), heartbeat);
+        bench.direct.receive_heartbeat(at(2_000), heartbeat);
     }
-    bench.direct.in_touch(at(2_000), 1);
+    bench.direct.store_answered(at(2_000), 1);
     assert!(
         burst(&mut bench, 3_000) > 2,
         "in touch with the store, the target isn't cold"
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -30,7 +30,7 @@
         observations: observations.to_vec(),
         ..heartbeat("near-2", seq)
     };
-    bench.direct.hear(at(millis), heartbeat);
+    bench.direct.receive_heartbeat(at(millis), heartbeat);
 }
 
 fn unsafe_route() -> Route {
@@ -104,11 +104,11 @@
     let (mut bench, first) = warmed_up(route());
     let now = at(REQUEST_INTERVAL + 2_000);
     bench.send(now, Some(OBJECT));
-    let seen = bench.direct.beat(now + 500 * MS, false).observations;
+    let seen = bench.direct.heartbeat(now + 500 * MS, false).observations;
     assert_eq!(seen, [], "the object may be cold there");
     let seen = bench
         .direct
-        .beat(now + Duration::from_secs(3), false)
+        .heartbeat(now + Duration::from_secs(3), false)
         .observations;
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].target_hash, name_hash(&first));
@@ -127,9 +127,12 @@
     bench
         .direct
         .finish_attempt(now + 100 * MS, assignment.ticket, outcome);
-    let seen = bench.direct.beat(now + 200 * MS, false).observations;
+    let seen = bench.direct.heartbeat(now + 200 * MS, false).observations;
     assert_eq!(seen, [Observation::failed(name_hash(&first))]);
-    assert_eq!(bench.direct.beat(now + 450 * MS, false).observations, []);
+    assert_eq!(
+        bench.direct.heartbeat(now + 450 * MS, false).observations,
+        []
+    );
 }
 
 /// A target refuses requests because it is full or for another reason. It still serves
@@ -142,7 +145,10 @@
     bench
         .direct
         .finish_attempt(now + 100 * MS, assignment.ticket, AttemptOutcome::NotRun);
-    assert_eq!(bench.direct.beat(now + 200 * MS, false).observations, []);
+    assert_eq!(
+        bench.direct.heartbeat(now + 200 * MS, false).observations,
+        []
+    );
     let Some(Decision::Send(_)) = bench.decide(now + 200 * MS) else {
         panic!("a refused request is sent again");
     };
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -92,11 +92,11 @@
                 id: id(),
                 outcome: line.ending(),
             }),
-            "told" => self.feed(traffic::Event::Told {
+            "told" => self.feed(traffic::Event::AskEnded {
                 ask: ask(),
-                word: line.told(),
+                reply: line.told(),
             }),
-            "asked" => self.feed(traffic::Event::Asked {
+            "asked" => self.feed(traffic::Event::PeerAsked {
                 ask: ask(),
                 question: self.question(line),
             }),
@@ -116,7 +116,7 @@
             }
             "state" => {
                 let counts = self.traffic.gate_state().counts();
-                let drained = self.traffic.drained();
+                let drained = self.traffic.is_drained();
                 vec![
                     format!("{counts}; drained: {drained}"),
                     self.traffic.gate_state().tally().to_string(),
@@ -230,7 +230,7 @@
                 };
                 format!("ask{} to {}: {what}", ask.0, peer.name)
             }
-            traffic::Action::Tell { ask, word } => format!("tell ask{}: {word}", ask.0),
+            traffic::Action::Respond { ask, reply: word } => format!("tell ask{}: {word}", ask.0),
             traffic::Action::Store { id, key, call, .. } => {
                 let what = match call {
                     record::StoreCall::Create(attempt) => format!("create {attempt}"),
