--- a/crates/steer/src/process/direct/contact.rs
+++ b/crates/steer/src/process/direct/contact.rs
@@ -183,7 +183,7 @@
     /// Takes another instance's heartbeat.
     pub fn receive_heartbeat(&mut self, now: Time, beat: Heartbeat) {
         for (print, strikes) in &beat.suspects {
-            self.suspects.told(now, Fingerprint(*print), *strikes);
+            self.suspects.merge(now, Fingerprint(*print), *strikes);
         }
         for (mark, object) in &beat.warm_objects {
             self.roster.note_warm_object(now, *mark, *object);
@@ -209,7 +209,7 @@
         let held = self.object_reports(now);
         let observations = self.take_observations(now);
         let limits = self.limit_reports(now);
-        let struck = self.suspects.lately(now, TOLD);
+        let struck = self.suspects.recent(now, TOLD);
         Heartbeat {
             name: Arc::clone(&self.identity.name),
             incarnation: self.identity.incarnation,
@@ -220,7 +220,7 @@
             version: self.version(),
             registration: row.then(|| self.identity.registration.clone()),
             warm_objects: held,
-            suspects: struck.map(|c| (c.print.0, c.strikes)).collect(),
+            suspects: struck.map(|c| (c.fingerprint.0, c.strikes)).collect(),
             in_flight: self.roster.in_flight(),
             observations,
             limits,
@@ -286,7 +286,7 @@
 
     /// Forgets what is gone. Names targets that were missing and are dropped.
     pub fn sweep(&mut self, now: Time) -> Vec<Arc<str>> {
-        self.suspects.forget(now);
+        self.suspects.expire(now);
         self.members.sweep(now);
         self.roster.update_peer_load(now, &self.members);
         self.update_participants(now);
--- a/crates/steer/tests/dispatch_newcomer.rs
+++ b/crates/steer/tests/dispatch_newcomer.rs
@@ -78,12 +78,12 @@
 fn forget_repeated_report() {
     let mut suspects = Suspects::default();
     let mut now = Time::ZERO;
-    suspects.told(now, FINGERPRINT, poison::STRIKES);
+    suspects.merge(now, FINGERPRINT, poison::STRIKES_MAX);
     for _ in 0..4 {
-        now = now + poison::KEPT / 3;
-        suspects.forget(now);
+        now = now + poison::SUSPECT_TTL / 3;
+        suspects.expire(now);
         if suspects.strikes(FINGERPRINT) > 0 {
-            suspects.told(now, FINGERPRINT, poison::STRIKES);
+            suspects.merge(now, FINGERPRINT, poison::STRIKES_MAX);
         }
     }
     assert_eq!(suspects.strikes(FINGERPRINT), 0);
