--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -133,7 +133,7 @@
     /// starts there.
     pub(super) fn slot_deficit(&self, service: &str) -> f64 {
         let mut slots: Vec<(&str, f64)> = Vec::new();
-        for (_, target) in self.roster.of(service) {
+        for (_, target) in self.roster.of_service(service) {
             if !target.is_available() {
                 continue;
             }
@@ -144,7 +144,7 @@
             }
         }
         let total: f64 = slots.iter().map(|s| s.1).sum();
-        let local = slots.iter().find(|s| s.0 == &*self.home.region);
+        let local = slots.iter().find(|s| s.0 == &*self.identity.region);
         let local = local.map_or(0.0, |s| s.1);
         #[allow(clippy::cast_precision_loss, reason = "regions are few")]
         let mean = total / slots.len().max(1) as f64;
@@ -157,13 +157,13 @@
     /// Load of a service's targets in the own region over their slots; 1 if there
     /// are none.
     pub(super) fn local_utilization(&self, now: Time, service: &str) -> f64 {
-        self.utilization_where(now, service, |target| target.region == self.home.region)
+        self.utilization_where(now, service, |target| target.region == self.identity.region)
     }
 
     /// Utilization of the targets in the regions where a request is to run: the own
     /// region or, if `is_remote` or the own one is not allowed, the others.
     pub(super) fn utilization_for(&self, now: Time, job: &Job, is_remote: bool) -> f64 {
-        let home = &self.home.region;
+        let home = &self.identity.region;
         let is_remote = is_remote || !job.request.allows(home);
         self.utilization_where(now, &job.service, |target| {
             (target.region != *home) == is_remote && job.request.allows(&target.region)
@@ -172,7 +172,7 @@
 
     fn utilization_where(&self, now: Time, service: &str, fits: impl Fn(&Target) -> bool) -> f64 {
         let (mut load, mut slots) = (0.0, 0.0);
-        for (_, target) in self.roster.of(service) {
+        for (_, target) in self.roster.of_service(service) {
             let is_usable =
                 target.is_available() && !self.roster.is_evacuated(&target.entry.domain);
             if is_usable && fits(target) {
@@ -186,19 +186,21 @@
     /// Whether the own region has a target for a request that may be usable soon.
     fn has_local_target(&self, job: &Job) -> bool {
         let is_candidate = |t: &Target| {
-            t.region == self.home.region
+            t.region == self.identity.region
                 && t.is_available()
                 && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
                 && !job.tried.contains(&t.entry.id)
         };
-        self.roster.of(&job.service).any(|(_, t)| is_candidate(t))
+        self.roster
+            .of_service(&job.service)
+            .any(|(_, t)| is_candidate(t))
     }
 
     /// Whether a target of the own region would be usable but for the rate limit that
     /// it reports.
     fn is_local_limited(&self, now: Time, job: &Job) -> bool {
-        let mut all = self.roster.of(&job.service);
+        let mut all = self.roster.of_service(&job.service);
         all.any(|(_, t)| self.is_eligible(now, job, t, true) && !self.is_within_limit(now, t))
     }
 
@@ -232,7 +234,7 @@
             LOST_COST
         };
         let mut best: Option<Place> = None;
-        for (index, target) in self.roster.of(&job.service) {
+        for (index, target) in self.roster.of_service(&job.service) {
             if !self.is_usable(now, job, target, is_local) {
                 continue;
             }
@@ -318,7 +320,7 @@
 
     /// Whether a target is usable apart from the rate limit that it reports.
     fn is_eligible(&self, now: Time, job: &Job, target: &Target, is_local: bool) -> bool {
-        (target.region == self.home.region) == is_local
+        (target.region == self.identity.region) == is_local
             && target.is_available()
             && !target.is_ejected(now)
             && job.request.allows(&target.region)
@@ -370,7 +372,7 @@
         is_local: bool,
     ) -> [Option<usize>; PREFERRED_MAX] {
         let is_candidate = |t: &Target| {
-            (t.region == self.home.region) == is_local
+            (t.region == self.identity.region) == is_local
                 && t.is_available()
                 && job.request.allows(&t.region)
                 && !self.roster.is_evacuated(&t.entry.domain)
@@ -378,7 +380,7 @@
         let uses_shared_health = self.mechanisms.has(Mechanism::SharedHealth);
         let candidates = self
             .roster
-            .of(&job.service)
+            .of_service(&job.service)
             .filter(|(_, t)| is_candidate(t));
         let candidates: Vec<(usize, &Target)> = candidates.collect();
         let baseline = Baseline::of(now, candidates.iter().map(|(_, t)| &t.health));
--- /dev/null
+++ b/crates/steer/tests/direct/retry.rs
@@ -0,0 +1,174 @@
+//! Retries after failed attempts, and what a caller is told about the outcome.
+
+use rstest::rstest;
+use steer::process::direct::{AttemptOutcome, Decision, FollowUp, Rejection};
+use steer::version::routes::Route;
+
+use super::bench::{Bench, at, entry, route};
+
+/// Sends a request to one of three targets, where the attempt ends as given.
+fn send_and_finish(idempotent: bool, outcome: AttemptOutcome) -> (Bench, FollowUp) {
+    let targets = ["t1", "t2", "t3"].map(|id| entry(id, "near-a"));
+    let route = Route {
+        idempotent,
+        ..route()
+    };
+    let mut bench = Bench::new(route, &targets);
+    let assignment = bench.send(at(0), Some(1));
+    let follow_up = bench
+        .direct
+        .finish_attempt(at(10), assignment.ticket, outcome);
+    (bench, follow_up)
+}
+
+/// A request that isn't idempotent and may have run must never be sent again; its
+/// caller is told that the outcome is unknown. Only an outcome that proves that it
+/// wasn't run allows another target.
+#[rstest]
+#[case::not_run(AttemptOutcome::NotRun, FollowUp::Retry)]
+#[case::elsewhere(AttemptOutcome::WrongTarget, FollowUp::Retry)]
+#[case::unreached(AttemptOutcome::NotSent, FollowUp::Retry)]
+#[case::withdrawn(AttemptOutcome::Withdrawn, FollowUp::Retry)]
+#[case::failed(AttemptOutcome::Failed, FollowUp::Settled)]
+#[case::broken(AttemptOutcome::ConnectionLost, FollowUp::Settled)]
+#[case::garbled(AttemptOutcome::InvalidResponse, FollowUp::Settled)]
+#[case::late(AttemptOutcome::TimedOut, FollowUp::Settled)]
+fn retry_unsafe(#[case] outcome: AttemptOutcome, #[case] expected: FollowUp) {
+    let (mut bench, follow_up) = send_and_finish(false, outcome);
+    assert_eq!(follow_up, expected);
+    let is_sent = matches!(bench.decide(at(10)), Some(Decision::Send(_)));
+    assert_eq!(is_sent, expected == FollowUp::Retry);
+}
+
+#[rstest]
+#[case::not_run(AttemptOutcome::NotRun)]
+#[case::failed(AttemptOutcome::Failed)]
+#[case::broken(AttemptOutcome::ConnectionLost)]
+#[case::garbled(AttemptOutcome::InvalidResponse)]
+fn retry_idempotent_elsewhere(#[case] outcome: AttemptOutcome) {
+    let (mut bench, follow_up) = send_and_finish(true, outcome);
+    assert_eq!(follow_up, FollowUp::Retry);
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
+        panic!("another target is free");
+    };
+    assert_eq!(assignment.attempt, 2);
+    let last = bench
+        .direct
+        .finish_attempt(at(20), assignment.ticket, outcome);
+    assert_ne!(last, FollowUp::Retry, "its route allows two targets");
+}
+
+/// A target refuses the retry of a request whose first attempt may have run. The
+/// answer must not say that it wasn't run.
+#[test]
+fn keep_outcome_unknown_after_refusal() {
+    let (mut bench, follow_up) = send_and_finish(true, AttemptOutcome::ConnectionLost);
+    assert_eq!(follow_up, FollowUp::Retry);
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
+        panic!("another target is free");
+    };
+    let last = bench
+        .direct
+        .finish_attempt(at(20), assignment.ticket, AttemptOutcome::NotRun);
+    assert_eq!(last, FollowUp::Settled);
+}
+
+/// A request whose caller leaves while it waits must never be sent.
+#[test]
+fn forget_request_of_caller_that_left() {
+    let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
+    let in_flight: Vec<_> = (0..4).map(|_| bench.send(at(0), None)).collect();
+    let ticket = bench.submit(at(1), None);
+    assert_eq!(bench.decide(at(1)), None);
+    bench.direct.cancel(at(20), ticket);
+    bench
+        .direct
+        .finish_attempt(at(50), in_flight[0].ticket, AttemptOutcome::Answered);
+    assert_eq!(bench.decide(at(50)), None);
+    assert_eq!(bench.direct.request_count(), 3);
+}
+
+/// An attempt that may have run fails, and no target is left for a retry. The caller
+/// must not be told that the request wasn't run.
+#[test]
+fn keep_outcome_unknown_without_target() {
+    let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
+    let mut bench = Bench::new(route(), &targets);
+    let assignment = bench.send(at(0), Some(1));
+    let follow_up =
+        bench
+            .direct
+            .finish_attempt(at(900), assignment.ticket, AttemptOutcome::InvalidResponse);
+    assert_eq!(follow_up, FollowUp::Retry);
+    for id in ["t1", "t2"] {
+        assert!(bench.direct.unlist(at(900), id));
+    }
+    let Some(Decision::Reject { why, .. }) = bench.decide(at(1_000)) else {
+        panic!("no target is left");
+    };
+    assert_eq!(why, Rejection::OutcomeUnknown);
+}
+
+/// A request crashes every target that runs it, and its caller sends it again and
+/// again, to any instance. It must be refused after two crashes, also by the other
+/// instances.
+#[test]
+fn refuse_request_that_crashes_targets() {
+    let targets = ["t1", "t2", "t3", "t4"].map(|id| entry(id, "near-a"));
+    let mut bench = Bench::new(route(), &targets);
+    let first = bench.send(at(0), Some(1));
+    assert_eq!(
+        bench
+            .direct
+            .finish_attempt(at(50), first.ticket, AttemptOutcome::ConnectionLost),
+        FollowUp::Retry
+    );
+    let Some(Decision::Send(second)) = bench.decide(at(50)) else {
+        panic!("another target is free");
+    };
+    assert_eq!(
+        bench
+            .direct
+            .finish_attempt(at(90), second.ticket, AttemptOutcome::ConnectionLost),
+        FollowUp::Settled
+    );
+    let suspects = bench.direct.heartbeat(at(100), false).suspects;
+    assert_eq!(suspects, [(1, 2)]);
+    let request = steer::process::direct::Request {
+        route: std::sync::Arc::clone(&bench.route),
+        authorized: None,
+        object: Some(1),
+        deadline: at(5_000),
+        fingerprint: steer::request::arrival::Fingerprint(1),
+    };
+    assert_eq!(
+        bench.direct.submit(at(200), request.clone()),
+        Err(Rejection::Poison)
+    );
+    // Another instance learns of it by a heartbeat.
+    let mut other = Bench::new(route(), &targets);
+    let heartbeat = steer::process::direct::members::Heartbeat {
+        suspects,
+        ..super::bench::heartbeat("near-2", 1)
+    };
+    other.direct.receive_heartbeat(at(0), heartbeat);
+    assert_eq!(other.direct.submit(at(10), request), Err(Rejection::Poison));
+}
+
+/// A connection to a target breaks, but the target still answers a request that was
+/// sent before. The request on the broken connection can't have crashed it and must
+/// be cleared.
+#[test]
+fn clear_request_whose_target_survives() {
+    let targets = [entry("t1", "near-a")];
+    let mut bench = Bench::new(route(), &targets);
+    let lost = bench.send(at(0), Some(1));
+    let kept = bench.send(at(1), Some(1));
+    bench
+        .direct
+        .finish_attempt(at(50), lost.ticket, AttemptOutcome::ConnectionLost);
+    bench
+        .direct
+        .finish_attempt(at(60), kept.ticket, AttemptOutcome::Answered);
+    assert!(bench.direct.heartbeat(at(70), false).suspects.is_empty());
+}
