--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -6,82 +6,82 @@
 //! was known before a freeze isn't acted on until somebody confirms it.
 //!
 //! Topology. Within a failure domain every process sends a heartbeat to every
-//! other. Between two domains [`REPS`] processes of one of them do, to a few of
+//! other. Between two domains [`REPRESENTATIVES`] processes of one of them do, to a few of
 //! the other; which ones follows from a hash of the names, so nothing is
 //! elected. Records are pushed when they change and compared by digests, so
 //! nothing that stays the same is sent twice.
 
-mod across;
-mod adopt;
 pub mod apply;
 mod hints;
+mod local;
 mod members;
 pub mod message;
-mod near;
 mod peer;
-mod rows;
-mod standing;
+mod remote;
+mod rollout;
+mod status;
 pub mod store;
+mod sync;
 mod types;
 
 use core::time::Duration;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub use types::{Action, Counters, Event, Notice, Safeguards, Settings, Snapshot, Standing};
+pub use types::{Action, Counters, Event, MemberStatus, Notice, Safeguards, Settings, Snapshot};
 
 use crate::clock::Time;
 use crate::process::config::Head;
-use crate::process::config::keeper;
+use crate::process::config::tracker;
 use crate::process::member::table;
-use crate::process::member::{Life, Record, Stamp, Vitals};
+use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 use crate::process::slot;
 use crate::version::view::Version;
 
 /// Longest time between two [`Event::Tick`]s that a healthy driver leaves.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL_MAX: Duration = Duration::from_millis(100);
 
 /// Time between two heartbeats to the same process.
-pub const BEAT: Duration = Duration::from_millis(700);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Silence after which others are asked whether they hear a process.
-pub const SUSPECT: Duration = Duration::from_millis(1500);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Silence after which a process of this domain is dropped.
-pub const DROP: Duration = Duration::from_millis(2400);
+pub const DROP_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// Silence after which a whole failure domain is left out of look-ups.
-pub const SILENT: Duration = Duration::from_millis(2800);
+pub const DOMAIN_TIMEOUT: Duration = Duration::from_millis(2800);
 
 /// Gap between two events after which the process was frozen. It is so far
-/// below [`DROP`] that no peer drops a process that doesn't notice its freeze.
-pub const GAP: Duration = Duration::from_millis(1500);
+/// below [`DROP_TIMEOUT`] that no peer drops a process that doesn't notice its freeze.
+pub const FREEZE_GAP_MIN: Duration = Duration::from_millis(1500);
 
 /// Time in doubt after which a process that nobody answers is on its own.
-pub const ISOLATED: Duration = Duration::from_secs(5);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time after the first answer in which a starting process may still raise its
 /// generation above that of a predecessor.
-pub const SETTLE: Duration = Duration::from_secs(5);
+pub const JOIN_WINDOW: Duration = Duration::from_secs(5);
 
 /// Shortest time between two raises of the generation.
-pub const RAISE: Duration = Duration::from_secs(1);
+pub const RAISE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
 /// Time for which tombstones are kept: longer than any freeze that matters,
 /// since the successor's record outlives it.
-pub const FORGET: Duration = Duration::from_mins(15);
+pub const TOMBSTONE_TTL: Duration = Duration::from_mins(15);
 
 /// Processes of a domain that keep up the contact with another domain.
-pub const REPS: usize = 2;
+pub const REPRESENTATIVES: usize = 2;
 
 /// Processes of a domain that watch the store's head.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_DOMAIN: usize = 2;
 
 /// Versions after which the watchers change.
-const ROTATION: u64 = 16;
+const WATCHER_ROTATION_VERSIONS: u64 = 16;
 
 /// Longest time between two publications; changes are published at once.
-const PUBLISH: Duration = Duration::from_secs(2);
+const PUBLISH_INTERVAL_MAX: Duration = Duration::from_secs(2);
 
 /// Control's state.
 pub struct Control {
@@ -91,20 +91,20 @@
     answered: Option<Time>,
     joining: bool,
     raised: Option<Time>,
-    standing: Standing,
-    doubt: standing::Doubt,
+    status: MemberStatus,
+    doubt: status::Doubt,
     table: table::Table,
     peers: Vec<peer::Peer>,
     fars: Vec<peer::Far>,
     hints: hints::Hints,
     sorted: Option<Vec<members::Line>>,
-    keeper: keeper::Keeper,
+    tracker: tracker::Tracker,
     heard: Version,
-    pull: Option<adopt::Pull>,
-    fetches: Vec<adopt::Fetch>,
+    pull: Option<rollout::Pull>,
+    fetches: Vec<rollout::Fetch>,
     holder: Option<SocketAddr>,
     store: store::Policy,
-    alarms: adopt::Alarms,
+    alarms: rollout::Alarms,
     slot: slot::Slot,
     beat: Time,
     sync: Time,
@@ -136,7 +136,7 @@
                 incarnation,
             },
             serial: 1,
-            life: Life::Live,
+            lifecycle: Lifecycle::Live,
         };
         let mut slot = slot::Slot::new(now, guards.slot);
         let shown = slot.share(now, false);
@@ -147,20 +147,20 @@
             answered: None,
             joining: true,
             raised: None,
-            standing: Standing::Current,
-            doubt: standing::Doubt::default(),
+            status: MemberStatus::Current,
+            doubt: status::Doubt::default(),
             table: table::Table::default(),
             peers: Vec::new(),
             fars: Vec::new(),
             hints: hints::Hints::new(seeds),
             sorted: None,
-            keeper: keeper::Keeper::new(guards.monotonic),
+            tracker: tracker::Tracker::new(guards.monotonic),
             heard: Version(0),
             pull: None,
             fetches: Vec::new(),
             holder: None,
             store: store::Policy::new(now, guards.reread, &mut rng),
-            alarms: adopt::Alarms::default(),
+            alarms: rollout::Alarms::default(),
             slot,
             beat: now,
             sync: now,
@@ -195,25 +195,25 @@
     /// process has taken the name over.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.keeper.version() > Version(0) && self.standing != Standing::Superseded
+        self.tracker.version() > Version(0) && self.status != MemberStatus::Superseded
     }
 
     /// Whether what the process knows may be acted on.
     #[must_use]
-    pub const fn standing(&self) -> Standing {
-        self.standing
+    pub const fn status(&self) -> MemberStatus {
+        self.status
     }
 
     /// Version in force; zero if none.
     #[must_use]
     pub fn version(&self) -> Version {
-        self.keeper.version()
+        self.tracker.version()
     }
 
     /// Head in force.
     #[must_use]
     pub const fn head(&self) -> Option<&Arc<Head>> {
-        self.keeper.head()
+        self.tracker.head()
     }
 
     /// What this process says of itself.
@@ -239,12 +239,12 @@
 
     /// Part of every cap that this process may use now.
     pub fn share(&mut self, now: Time) -> slot::Share {
-        let sure = self.standing == Standing::Current;
+        let sure = self.status == MemberStatus::Current;
         self.slot.share(now, sure)
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.standing == Standing::Superseded {
+        if self.status == MemberStatus::Superseded {
             return self.publish_due(now, out);
         }
         self.age_doubt(now, out);
@@ -259,19 +259,19 @@
         self.publish_due(now, out);
     }
 
-    /// One round of heartbeats, each [`BEAT`].
+    /// One round of heartbeats, each [`HEARTBEAT_INTERVAL`].
     fn round(&mut self, now: Time, out: &mut Vec<Action>) {
-        let step = BEAT.mul_f64(0.95 + 0.1 * self.rng.f64());
+        let step = HEARTBEAT_INTERVAL.mul_f64(0.95 + 0.1 * self.rng.f64());
         self.beat = now + step;
-        self.table.forget(now, FORGET);
+        self.table.forget(now, TOMBSTONE_TTL);
         self.beat_all(now, false, out);
         self.try_hint(now, out);
         self.round_across(now, out);
     }
 
-    fn vitals(&self) -> Vitals {
-        Vitals {
-            version: self.keeper.version(),
+    fn health(&self) -> HealthSummary {
+        HealthSummary {
+            version: self.tracker.version(),
             load: self.load,
             store: !self.store.is_away(),
         }
@@ -285,7 +285,7 @@
     }
 
     fn leave(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.live_on(Life::Leaving);
+        self.set_lifecycle(Lifecycle::Leaving);
         self.beat_all(now, false, out);
         self.tell_across(now, out);
     }
@@ -293,17 +293,21 @@
     /// The last word of a process that stops. It gives up its slot only if it
     /// holds it: one still in quarantine knows nothing of the holder before it.
     fn stop(&mut self, now: Time, out: &mut Vec<Action>) {
-        let holds = self.standing == Standing::Current && self.slot.is_held(now);
-        let life = if holds { Life::Released } else { Life::Dead };
-        self.live_on(life);
+        let holds = self.status == MemberStatus::Current && self.slot.is_held(now);
+        let lifecycle = if holds {
+            Lifecycle::Released
+        } else {
+            Lifecycle::Dead
+        };
+        self.set_lifecycle(lifecycle);
         self.beat_all(now, false, out);
         self.tell_across(now, out);
     }
 
-    fn live_on(&mut self, life: Life) {
+    fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
         let mut me = Record::clone(&self.me);
         me.serial += 1;
-        me.life = life;
+        me.lifecycle = lifecycle;
         self.set_me(me);
     }
 
@@ -315,7 +319,7 @@
 
     fn publish_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let share = self.share(now);
-        let due = now.since(self.published) >= PUBLISH;
+        let due = now.since(self.published) >= PUBLISH_INTERVAL_MAX;
         if !self.dirty && share == self.shown && !due {
             return;
         }
@@ -324,9 +328,9 @@
         self.published = now;
         let members = self.members(now);
         out.push(Action::Publish(Snapshot {
-            standing: self.standing,
+            status: self.status,
             ready: self.is_ready(),
-            version: self.keeper.version(),
+            version: self.tracker.version(),
             share,
             members: members.into(),
         }));
--- a/crates/steer/src/process/control/near.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -3,15 +3,15 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use super::message::{Beat, Content, Heard, Message};
+use super::message::{Content, DomainSeen, Heartbeat, Message};
 use super::peer::Peer;
-use super::{Action, Control, DROP, Notice, SILENT, SUSPECT, Standing};
+use super::{Action, Control, DOMAIN_TIMEOUT, DROP_TIMEOUT, MemberStatus, Notice, SUSPECT_TIMEOUT};
 use crate::clock::Time;
 use crate::process::member::table::Merge;
-use crate::process::member::{Life, Record, Stamp, Vitals};
+use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 
 /// Processes asked about a silent one.
-const WITNESSES: usize = 3;
+const QUERIED_PEERS_MAX: usize = 3;
 
 impl Control {
     /// Takes a message of any kind.
@@ -21,7 +21,7 @@
         if self.is_own(from) {
             return self.namesake(now, from, out);
         }
-        if self.standing == Standing::Superseded {
+        if self.status == MemberStatus::Superseded {
             return;
         }
         if let Content::Superseded(stamp) = message.content {
@@ -32,18 +32,18 @@
         }
         let near = from.identity.domain == self.me.identity.domain;
         match &message.content {
-            Content::Beat(beat) if near => self.beaten(now, from, beat, out),
-            Content::Across(across) if !near => self.hear_across(now, from, across, out),
-            Content::Beat(_) | Content::Across(_) | Content::Superseded(_) => {}
+            Content::Heartbeat(beat) if near => self.beaten(now, from, beat, out),
+            Content::DomainHeartbeat(across) if !near => self.hear_across(now, from, across, out),
+            Content::Heartbeat(_) | Content::DomainHeartbeat(_) | Content::Superseded(_) => {}
             Content::Sync(digests) => {
                 let domains = self.differing(digests);
                 self.send_rows(message, &domains, out);
             }
-            Content::Want(domains) => self.send_rows(message, domains, out),
-            Content::Rows(rows) => self.learn(now, rows, near, out),
+            Content::RecordsRequest(domains) => self.send_rows(message, domains, out),
+            Content::Records(rows) => self.learn(now, rows, near, out),
             Content::Succeeded(stamp) => self.slot.note_release(now, *stamp),
-            Content::Ask(name) => self.tell(now, message, name, out),
-            Content::Told { name, stamp, age } => self.told(now, name, *stamp, *age),
+            Content::PeerQuery(name) => self.tell(now, message, name, out),
+            Content::PeerSeen { name, stamp, age } => self.told(now, name, *stamp, *age),
             Content::Pull(_) | Content::Offer(_) | Content::Fetch(_) | Content::Bodies(_) => {
                 self.exchange(now, message, out);
             }
@@ -76,8 +76,8 @@
                 self.send(to, Content::Superseded(row.stamp), out);
                 return false;
             }
-            let buried = row.stamp == from.stamp && !row.life.is_alive();
-            if buried && from.life.is_alive() && row.serial >= from.serial {
+            let buried = row.stamp == from.stamp && !row.lifecycle.is_alive();
+            if buried && from.lifecycle.is_alive() && row.serial >= from.serial {
                 self.send_held(now, from, row.serial, out);
                 return false;
             }
@@ -102,7 +102,7 @@
         self.moved = true;
         self.sorted = None;
         let rows = self.table.domain(&self.me.identity.domain);
-        let alive = rows.iter().filter(|row| row.record.life.is_alive());
+        let alive = rows.iter().filter(|row| row.record.lifecycle.is_alive());
         let mut peers = Vec::new();
         for row in alive {
             let record = &row.record;
@@ -120,7 +120,7 @@
                 heard: now,
                 direct: None,
                 probe: None,
-                vitals: Vitals::default(),
+                health: HealthSummary::default(),
                 asked: false,
                 differs: 0,
             }));
@@ -128,9 +128,9 @@
         self.peers = peers;
     }
 
-    fn beaten(&mut self, now: Time, from: &Arc<Record>, beat: &Beat, out: &mut Vec<Action>) {
-        if let Some(held) = beat.held {
-            return self.refute(now, held, out);
+    fn beaten(&mut self, now: Time, from: &Arc<Record>, beat: &Heartbeat, out: &mut Vec<Action>) {
+        if let Some(serial) = beat.tombstone {
+            return self.refute(now, serial, out);
         }
         let total = self.table.total();
         let found = self
@@ -142,8 +142,8 @@
             peer.direct = Some(now);
             peer.asked = false;
             peer.probe = Some(beat.probe);
-            peer.vitals = beat.vitals;
-            let same = beat.total == total;
+            peer.health = beat.health;
+            let same = beat.digest == total;
             peer.differs = if same {
                 0
             } else {
@@ -152,13 +152,13 @@
             let differs = peer.differs;
             self.sync_due(now, from, differs, out);
         }
-        for heard in &beat.heard {
-            self.hear_of(now, &heard.domain, heard.age);
+        for seen in &beat.domains_seen {
+            self.hear_of(now, &seen.domain, seen.age);
         }
         if let Some(echo) = beat.echo {
-            self.confirmed(now, echo, beat.vitals.version, out);
+            self.confirmed(now, echo, beat.health.version, out);
         }
-        self.version_heard(now, beat.vitals.version, from, out);
+        self.version_heard(now, beat.health.version, from, out);
         if beat.reply {
             self.send_beat(now, &from.identity.name, false, out);
         }
@@ -167,16 +167,16 @@
     /// One heartbeat to every process of the domain.
     pub(super) fn beat_all(&mut self, now: Time, reply: bool, out: &mut Vec<Action>) {
         self.own_row(now);
-        let reply = reply || self.standing != Standing::Current;
+        let reply = reply || self.status != MemberStatus::Current;
         let beat = self.beat(now, reply);
         for at in 0..self.peers.len() {
             let peer = &self.peers[at];
             let to = peer.addr;
-            let beat = Beat {
+            let beat = Heartbeat {
                 echo: peer.probe,
                 ..beat.clone()
             };
-            self.send(to, Content::Beat(beat), out);
+            self.send(to, Content::Heartbeat(beat), out);
         }
     }
 
@@ -186,43 +186,43 @@
         };
         let peer = &self.peers[at];
         let to = peer.addr;
-        let beat = Beat {
+        let beat = Heartbeat {
             echo: peer.probe,
             ..self.beat(now, reply)
         };
-        self.send(to, Content::Beat(beat), out);
+        self.send(to, Content::Heartbeat(beat), out);
     }
 
     pub(super) fn send_held(&mut self, now: Time, to: &Record, serial: u32, out: &mut Vec<Action>) {
-        let held = Some(serial);
+        let tombstone = Some(serial);
         let content = if to.identity.domain == self.me.identity.domain {
-            Content::Beat(Beat {
-                held,
+            Content::Heartbeat(Heartbeat {
+                tombstone,
                 ..self.beat(now, false)
             })
         } else {
-            Content::Across(super::message::Across {
-                held,
+            Content::DomainHeartbeat(super::message::DomainHeartbeat {
+                tombstone,
                 ..self.across(now, false)
             })
         };
         self.send(to.identity.peer, content, out);
     }
 
-    fn beat(&self, now: Time, reply: bool) -> Beat {
+    fn beat(&self, now: Time, reply: bool) -> Heartbeat {
         let direct = |far: &super::peer::Far| {
             let age = now.since(far.direct?);
             let domain = Arc::clone(&far.name);
-            (age < SILENT).then_some(Heard { domain, age })
+            (age < DOMAIN_TIMEOUT).then_some(DomainSeen { domain, age })
         };
-        Beat {
-            vitals: self.vitals(),
+        Heartbeat {
+            health: self.health(),
             reply,
             probe: now,
             echo: None,
-            held: None,
-            total: self.table.total(),
-            heard: self.fars.iter().filter_map(direct).collect(),
+            tombstone: None,
+            digest: self.table.total(),
+            domains_seen: self.fars.iter().filter_map(direct).collect(),
         }
     }
 
@@ -232,9 +232,9 @@
         let mut silent = Vec::new();
         for peer in &mut self.peers {
             let silence = now.since(peer.heard);
-            if silence > DROP {
+            if silence > DROP_TIMEOUT {
                 dead.push(Arc::clone(&peer.name));
-            } else if silence > SUSPECT && !peer.asked {
+            } else if silence > SUSPECT_TIMEOUT && !peer.asked {
                 peer.asked = true;
                 silent.push(Arc::clone(&peer.name));
             }
@@ -254,7 +254,7 @@
         let Some(row) = self.table.get(&domain, name) else {
             return;
         };
-        let dead = Arc::new(row.record.with_life(Life::Dead));
+        let dead = Arc::new(row.record.with_lifecycle(Lifecycle::Dead));
         self.table.merge(now, &dead, true);
         self.counters.dropped += 1;
         self.changed(now);
@@ -267,9 +267,9 @@
         self.counters.suspected += 1;
         let others = self.peers.iter().filter(|p| p.name != *name && !p.asked);
         let others: Vec<_> = others.map(|p| p.addr).collect();
-        let few = self.rng.choose_multiple(others, WITNESSES);
+        let few = self.rng.choose_multiple(others, QUERIED_PEERS_MAX);
         for to in few {
-            self.send(to, Content::Ask(Arc::clone(name)), out);
+            self.send(to, Content::PeerQuery(Arc::clone(name)), out);
         }
     }
 
@@ -278,7 +278,7 @@
         let Ok(at) = found else { return };
         let peer = &self.peers[at];
         let Some(direct) = peer.direct else { return };
-        let content = Content::Told {
+        let content = Content::PeerSeen {
             name: Arc::clone(name),
             stamp: peer.stamp,
             age: now.since(direct),
@@ -293,7 +293,7 @@
         let heard = now - age;
         if peer.stamp == stamp && heard > peer.heard {
             peer.heard = heard;
-            peer.asked = now.since(heard) > SUSPECT;
+            peer.asked = now.since(heard) > SUSPECT_TIMEOUT;
         }
     }
 
@@ -302,7 +302,7 @@
     pub(super) fn try_hint(&mut self, now: Time, out: &mut Vec<Action>) {
         let own = &self.me.identity;
         let rows = self.table.domain(&own.domain).iter();
-        let dead = rows.filter(|row| !row.record.life.is_alive());
+        let dead = rows.filter(|row| !row.record.lifecycle.is_alive());
         let dead = dead.map(|row| row.record.identity.peer);
         let hints = self.hints.of(&own.domain).iter().map(|h| h.peer);
         let fits = |to: &std::net::SocketAddr| {
@@ -313,6 +313,6 @@
             return;
         };
         let beat = self.beat(now, true);
-        self.send(to, Content::Beat(beat), out);
+        self.send(to, Content::Heartbeat(beat), out);
     }
 }
