--- a/crates/wire/src/beat.rs
+++ b/crates/wire/src/beat.rs
@@ -40,7 +40,7 @@
     pub incarnation: [u8; 8],
 }
 
-/// Twin of [`steer::process::member::Life`].
+/// Twin of [`steer::process::member::Lifecycle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Life {
     /// Takes new work.
@@ -72,7 +72,7 @@
     pub life: Life,
 }
 
-/// Twin of [`steer::process::member::Vitals`].
+/// Twin of [`steer::process::member::HealthSummary`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vitals {
     /// Version in force.
@@ -96,7 +96,7 @@
     pub load: u8,
 }
 
-/// Twin of [`steer::process::control::message::Heard`].
+/// Twin of [`steer::process::control::message::DomainSeen`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heard {
     /// Name of the failure domain.
@@ -105,7 +105,7 @@
     pub age_ms: u32,
 }
 
-/// Twin of [`steer::process::control::message::Beat`].
+/// Twin of [`steer::process::control::message::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
     /// The sender's.
@@ -124,7 +124,7 @@
     pub heard: Vec<Heard>,
 }
 
-/// Twin of [`steer::process::control::message::Across`].
+/// Twin of [`steer::process::control::message::DomainHeartbeat`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Across {
     /// The sender's domain, in short.
