--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -97,7 +97,7 @@
         loop {
             let input = async { inbox.recv().await.ok() };
             let pause = async {
-                smol::Timer::after(control::TICK).await;
+                smol::Timer::after(control::TICK_INTERVAL_MAX).await;
                 None
             };
             match future::or(input, pause).await {
@@ -153,7 +153,7 @@
             control::Action::Publish(snapshot) => self.publish(&snapshot),
             control::Action::Notice(notice) => {
                 dump::note(&notice);
-                if notice == control::Notice::Standing(control::Standing::Superseded) {
+                if notice == control::Notice::Standing(control::MemberStatus::Superseded) {
                     self.holding.close();
                 }
             }
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -6,7 +6,7 @@
 use super::message::Message;
 use super::store::{Call, CallId, Reply};
 use crate::process::config::{Body, Head};
-use crate::process::member::{Hint, Identity, Seen, Stamp};
+use crate::process::member::{Hint, Identity, Member, Stamp};
 use crate::process::slot;
 use crate::version::view::{Incarnation, Version};
 
@@ -69,7 +69,7 @@
 
 /// Whether a process may act on what it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It may.
     Current,
     /// It was frozen or held for dead, and nobody has answered it since. Until
@@ -83,7 +83,7 @@
     Superseded,
 }
 
-impl Standing {
+impl MemberStatus {
     /// The word in dumps and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -99,7 +99,7 @@
 /// What happens to control.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due at least every [`TICK`](super::TICK).
+    /// Time passed; due at least every [`TICK_INTERVAL_MAX`](super::TICK_INTERVAL_MAX).
     Tick,
     /// A peer's message came. The driver has checked the peers' secret, and the
     /// hash of each body.
@@ -141,7 +141,7 @@
         message: Message,
     },
     /// Call the store; [`Event::Stored`] is due once, within
-    /// [`LOST`](super::store::LOST) beyond the call's own wait.
+    /// [`CALL_TIMEOUT`](super::store::CALL_TIMEOUT) beyond the call's own wait.
     Store {
         /// Names the call.
         id: CallId,
@@ -166,12 +166,12 @@
 ///
 /// After a freeze other threads may run before control does, and read what it
 /// published before. So the driver also publishes the time of the last
-/// [`Event::Tick`], and a reader that finds it older than [`GAP`](super::GAP)
-/// reads the standing as [`Standing::Doubt`] and the share as nothing.
+/// [`Event::Tick`], and a reader that finds it older than [`FREEZE_GAP_MIN`](super::FREEZE_GAP_MIN)
+/// reads the standing as [`MemberStatus::Doubt`] and the share as nothing.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Whether the process may act on what it knows.
-    pub standing: Standing,
+    pub status: MemberStatus,
     /// Whether callers may be served.
     pub ready: bool,
     /// Version in force.
@@ -179,7 +179,7 @@
     /// Part of every cap that the process may use.
     pub share: slot::Share,
     /// Processes that look-ups may name, this one included, sorted by name.
-    pub members: Arc<[Seen]>,
+    pub members: Arc<[Member]>,
 }
 
 /// A change of state.
@@ -205,7 +205,7 @@
     /// A version came in force.
     InForce(Version),
     /// Whether the process may act on what it knows has changed.
-    Standing(Standing),
+    Standing(MemberStatus),
     /// The process raised its generation above a predecessor's.
     Raised(Stamp),
     /// A process of this domain stopped answering.
--- a/crates/steer/tests/share_model/world.rs
+++ b/crates/steer/tests/share_model/world.rs
@@ -130,11 +130,11 @@
                 ramp,
             });
         }
-        for &(from, to, bits) in &self.links {
+        for &(from, to, bits_per_s) in &self.links {
             view.links.push(Link {
                 from: Region::new(from),
                 to: Region::new(to),
-                bits,
+                bits_per_s,
             });
         }
         view.shifts.sort_by_key(|s| (s.service, s.from, s.to));
