--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -178,7 +178,8 @@
         self.routes.as_ref().map_or(0, |r| r.version)
     }
 
-    /// Sets the failure domains that must not receive requests; see [`Roster::evacuate`].
+    /// Sets the failure domains that must not receive requests. Targets in a domain
+    /// that is no longer among them are cold for the longest warm-up of any service.
     pub fn evacuate(&mut self, now: Time, domains: Vec<Arc<str>>) {
         let warmups = self.routes.iter().flat_map(|r| r.services());
         let warmup = warmups.map(|s| s.warmup).max().unwrap_or_default();
@@ -201,8 +202,8 @@
     /// Number of requests that wait for a target.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
-        let waiting = |j: &&Job| matches!(j.state, State::Waiting);
-        self.jobs.iter().filter(waiting).count()
+        let is_waiting = |j: &&Job| matches!(j.state, State::Waiting);
+        self.jobs.iter().filter(is_waiting).count()
     }
 
     /// Queues a request that has arrived; [`Direct::step`] decides on it.
--- a/crates/steer/src/process/direct/health.rs
+++ b/crates/steer/src/process/direct/health.rs
@@ -170,7 +170,7 @@
         failure_rate: 0.0,
     };
 
-    /// Computes the baseline as the lower quartile of these targets.
+    /// Computes the baseline as the lower quartiles of these targets' estimates.
     pub(super) fn of<'a>(now: Time, all: impl Iterator<Item = &'a Health> + Clone) -> Self {
         // Fast path: computed with each request, and mostly no target is degraded.
         if !all.clone().any(|h| h.is_degraded(now, &Self::HEALTHY)) {
@@ -206,7 +206,7 @@
     pub ratio_eighths: u8,
 }
 
-/// Steps in which a latency ratio of 1 is encoded.
+/// Encoded steps per unit of a latency ratio.
 const RATIO_STEPS: f64 = 8.0;
 
 impl Observation {
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -61,7 +61,7 @@
 pub const COLD_WINDOW: Duration = Duration::from_millis(1250);
 
 /// Ejection time after the first failure to reach a target; it doubles with each
-/// further failure.
+/// further consecutive failure.
 const EJECTION_TIME_MIN: Duration = Duration::from_millis(400);
 
 /// Longest ejection time.
@@ -178,8 +178,8 @@
     }
 
     /// Estimated number of requests at it or reserved for it. The load of other
-    /// instances in the target's last report decays with the time constant `decay_time`; it
-    /// counts if it exceeds what their heartbeats say.
+    /// instances by the target's last report decays with the time constant
+    /// `decay_time`, and counts if it exceeds that by their heartbeats.
     #[must_use]
     pub fn load(&self, now: Time, decay_time: Duration) -> f64 {
         let mut others = f64::from(self.peers_in_flight);
@@ -279,8 +279,8 @@
     /// [`COLD_WINDOW`] or the window of its rate limit.
     #[must_use]
     pub fn sent_within(&self, now: Time, span: Duration) -> usize {
-        let recent = |at: &&Time| now.since(**at) < span;
-        self.sent_at.iter().rev().take_while(recent).count()
+        let is_recent = |at: &&Time| now.since(**at) < span;
+        self.sent_at.iter().rev().take_while(is_recent).count()
     }
 
     /// Time of this instance's last request to it, if it is remembered.
--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -117,9 +117,9 @@
 
 /// A failure must be reported in one heartbeat only; a second would count it twice.
 #[rstest]
-#[case::lost(AttemptOutcome::ConnectionLost)]
+#[case::connection_lost(AttemptOutcome::ConnectionLost)]
 #[case::failed(AttemptOutcome::Failed)]
-#[case::late(AttemptOutcome::TimedOut)]
+#[case::timed_out(AttemptOutcome::TimedOut)]
 fn report_failure_once(#[case] outcome: AttemptOutcome) {
     let (mut bench, first) = warmed_up(unsafe_route());
     let now = at(REQUEST_INTERVAL + 2_000);
--- a/crates/steer/tests/direct/retry.rs
+++ b/crates/steer/tests/direct/retry.rs
@@ -26,13 +26,13 @@
 /// wasn't run allows another target.
 #[rstest]
 #[case::not_run(AttemptOutcome::NotRun, FollowUp::Retry)]
-#[case::elsewhere(AttemptOutcome::WrongTarget, FollowUp::Retry)]
-#[case::unreached(AttemptOutcome::NotSent, FollowUp::Retry)]
+#[case::wrong_target(AttemptOutcome::WrongTarget, FollowUp::Retry)]
+#[case::not_sent(AttemptOutcome::NotSent, FollowUp::Retry)]
 #[case::withdrawn(AttemptOutcome::Withdrawn, FollowUp::Retry)]
 #[case::failed(AttemptOutcome::Failed, FollowUp::Settled)]
-#[case::broken(AttemptOutcome::ConnectionLost, FollowUp::Settled)]
-#[case::garbled(AttemptOutcome::InvalidResponse, FollowUp::Settled)]
-#[case::late(AttemptOutcome::TimedOut, FollowUp::Settled)]
+#[case::connection_lost(AttemptOutcome::ConnectionLost, FollowUp::Settled)]
+#[case::invalid_response(AttemptOutcome::InvalidResponse, FollowUp::Settled)]
+#[case::timed_out(AttemptOutcome::TimedOut, FollowUp::Settled)]
 fn retry_unsafe(#[case] outcome: AttemptOutcome, #[case] expected: FollowUp) {
     let (mut bench, follow_up) = send_and_finish(false, outcome);
     assert_eq!(follow_up, expected);
@@ -43,8 +43,8 @@
 #[rstest]
 #[case::not_run(AttemptOutcome::NotRun)]
 #[case::failed(AttemptOutcome::Failed)]
-#[case::broken(AttemptOutcome::ConnectionLost)]
-#[case::garbled(AttemptOutcome::InvalidResponse)]
+#[case::connection_lost(AttemptOutcome::ConnectionLost)]
+#[case::invalid_response(AttemptOutcome::InvalidResponse)]
 fn retry_idempotent_elsewhere(#[case] outcome: AttemptOutcome) {
     let (mut bench, follow_up) = send_and_finish(true, outcome);
     assert_eq!(follow_up, FollowUp::Retry);
