--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -49,7 +49,7 @@
         let rows = control.table().rows().iter().map(|row| Row {
             name: Arc::clone(&row.record.identity.name),
             domain: Arc::clone(&row.record.identity.domain),
-            life: row.record.life.as_str(),
+            life: row.record.lifecycle.as_str(),
             stamp: row.record.stamp.to_string(),
         });
         let targets = snapshot.view.targets.values().map(|t| Target {
@@ -64,7 +64,7 @@
             name: Arc::clone(&parts.settings.name),
             domain: Arc::clone(&parts.settings.domain),
             incarnation: parts.incarnation.to_string(),
-            standing: control.standing().as_str(),
+            standing: control.status().as_str(),
             ready: control.is_ready(),
             version: control.version().0,
             in_flight: parts.engine.in_flight(),
--- a/crates/steer/src/process/control/peer.rs
+++ b/crates/steer/src/process/control/peer.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::BEAT;
+use super::HEARTBEAT_INTERVAL;
 use crate::clock::Time;
-use crate::process::member::{Stamp, Summary, Vitals};
+use crate::process::member::{HealthSummary, Stamp, Summary};
 
 /// A live process of the home domain.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// Its newest probe, in its own time.
     pub(super) probe: Option<Time>,
     /// Its vitals.
-    pub(super) vitals: Vitals,
+    pub(super) health: HealthSummary,
     /// Whether others were asked about it since it was last heard.
     pub(super) asked: bool,
     /// Heartbeats in a row in which its table differed from this one's.
@@ -69,7 +69,7 @@
 /// Puts a contact in place of its older self, and drops those long silent.
 pub(super) fn note(contacts: &mut Vec<Contact>, contact: Contact) {
     let now = contact.heard;
-    contacts.retain(|c| c.addr != contact.addr && now.since(c.heard) < BEAT * 5);
+    contacts.retain(|c| c.addr != contact.addr && now.since(c.heard) < HEARTBEAT_INTERVAL * 5);
     contacts.push(contact);
 }
 
--- a/crates/steer/src/process/control/across.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -1,6 +1,6 @@
 //! Heartbeats between failure domains.
 //!
-//! Of a pair of domains one keeps up the contact: [`REPS`] of its processes
+//! Of a pair of domains one keeps up the contact: [`REPRESENTATIVES`] of its processes
 //! each send a heartbeat to two processes of the other in turn, and are
 //! answered. If the pair is silent the other tries as well.
 
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::message::{Across, Content};
+use super::message::{Content, DomainHeartbeat};
 use super::peer::{self, Contact, Far};
-use super::{Action, BEAT, Control, Notice, REPS, SILENT};
+use super::{Action, Control, DOMAIN_TIMEOUT, HEARTBEAT_INTERVAL, Notice, REPRESENTATIVES};
 use crate::clock::Time;
-use crate::process::member::{Record, Summary, Vitals, hash};
+use crate::process::member::{HealthSummary, Record, Summary, hash};
 
 /// Processes of the other domain that one process talks to in turn, so that
 /// the death of one of them costs every second heartbeat.
-const CONTACTS: usize = 2;
+const CONTACTS_PER_DOMAIN: usize = 2;
 
 /// Time between two requests for the rows of one domain.
-const WANT: Duration = Duration::from_millis(300);
+const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Control {
     /// One round of heartbeats to the domains that are this process's part.
@@ -27,8 +27,10 @@
         self.meet_domains();
         for at in 0..self.fars.len() {
             let far = &self.fars[at];
-            let quiet = far.heard.is_none_or(|t| now.since(t) > BEAT * 2);
-            let ours = far.rank.is_some_and(|rank| rank < REPS);
+            let quiet = far
+                .heard
+                .is_none_or(|t| now.since(t) > HEARTBEAT_INTERVAL * 2);
+            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
             if ours && (quiet || self.starts(&far.name)) {
                 self.call_far(now, at, quiet, out);
             }
@@ -54,20 +56,20 @@
         }
         let far = &mut self.fars[at];
         far.turn = far.turn.wrapping_add(1);
-        let first = far.rank.unwrap_or(0) * CONTACTS;
+        let first = far.rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
         let turn = if quiet {
             self.rng.usize(..contacts.len())
         } else {
-            first + far.turn % CONTACTS
+            first + far.turn % CONTACTS_PER_DOMAIN
         };
         let to = contacts[turn % contacts.len()];
         let answers = self.fars[at].answers.iter();
         let echo = answers.filter(|c| c.addr == to).map(|c| c.probe).next();
-        let across = Across {
+        let across = DomainHeartbeat {
             echo,
             ..self.across(now, true)
         };
-        self.send(to, Content::Across(across), out);
+        self.send(to, Content::DomainHeartbeat(across), out);
     }
 
     /// Addresses of a domain's processes, in an order that differs from domain
@@ -76,7 +78,7 @@
         let far = &self.fars[at];
         let own = &self.me.identity.domain;
         let rows = self.table.domain(&far.name).iter();
-        let alive = rows.filter(|row| row.record.life.is_alive());
+        let alive = rows.filter(|row| row.record.lifecycle.is_alive());
         let mut contacts: Vec<_> = alive
             .map(|row| {
                 let identity = &row.record.identity;
@@ -93,30 +95,30 @@
         contacts
     }
 
-    pub(super) fn across(&self, now: Time, reply: bool) -> Across {
-        Across {
+    pub(super) fn across(&self, now: Time, reply: bool) -> DomainHeartbeat {
+        DomainHeartbeat {
             summary: self.summary(),
             digest: self.table.digest(&self.me.identity.domain),
             reply,
             probe: now,
             echo: None,
-            held: None,
+            tombstone: None,
         }
     }
 
     fn summary(&self) -> Summary {
         let mut summary = Summary {
             count: 1,
-            oldest: self.keeper.version(),
-            newest: self.keeper.version(),
+            oldest: self.tracker.version(),
+            newest: self.tracker.version(),
             load: 0,
         };
         let mut load = u32::from(self.load);
         for peer in &self.peers {
             summary.count += 1;
-            summary.oldest = summary.oldest.min(peer.vitals.version);
-            summary.newest = summary.newest.max(peer.vitals.version);
-            load += u32::from(peer.vitals.load);
+            summary.oldest = summary.oldest.min(peer.health.version);
+            summary.newest = summary.newest.max(peer.health.version);
+            load += u32::from(peer.health.load);
         }
         summary.load = u8::try_from(load / summary.count).unwrap_or(u8::MAX);
         summary
@@ -126,11 +128,11 @@
         &mut self,
         now: Time,
         from: &Arc<Record>,
-        across: &Across,
+        across: &DomainHeartbeat,
         out: &mut Vec<Action>,
     ) {
-        if let Some(held) = across.held {
-            return self.refute(now, held, out);
+        if let Some(serial) = across.tombstone {
+            return self.refute(now, serial, out);
         }
         let to = from.identity.peer;
         let domain = &from.identity.domain;
@@ -139,7 +141,9 @@
         far.heard = Some(now);
         far.direct = Some(now);
         far.summary = across.summary;
-        let asked = far.wanted.is_some_and(|t| now.since(t) < WANT);
+        let asked = far
+            .wanted
+            .is_some_and(|t| now.since(t) < RECORDS_REQUEST_INTERVAL);
         if differs && !asked {
             far.wanted = Some(now);
             self.compare_rows(to, domain, out);
@@ -163,11 +167,11 @@
     }
 
     fn answer_across(&mut self, now: Time, contact: Contact, out: &mut Vec<Action>) {
-        let answer = Across {
+        let answer = DomainHeartbeat {
             echo: Some(contact.probe),
             ..self.across(now, false)
         };
-        self.send(contact.addr, Content::Across(answer), out);
+        self.send(contact.addr, Content::DomainHeartbeat(answer), out);
     }
 
     /// Asks a process of another domain for its domain's rows, and tells it
@@ -175,11 +179,11 @@
     /// lags, its processes find each other through the other domains.
     fn compare_rows(&mut self, to: SocketAddr, domain: &Arc<str>, out: &mut Vec<Action>) {
         let domains = vec![Arc::clone(domain)];
-        self.send(to, Content::Want(domains), out);
+        self.send(to, Content::RecordsRequest(domains), out);
         let rows = self.table.domain(domain).iter();
         let rows: Vec<_> = rows.map(|row| Arc::clone(&row.record)).collect();
         if self.guards.introduce && !rows.is_empty() {
-            self.send(to, Content::Rows(rows), out);
+            self.send(to, Content::Records(rows), out);
         }
     }
 
@@ -188,17 +192,18 @@
     pub(super) fn tell_across(&mut self, now: Time, out: &mut Vec<Action>) {
         for at in 0..self.fars.len() {
             let far = &mut self.fars[at];
-            far.callers.retain(|c| now.since(c.heard) < BEAT * 3);
+            far.callers
+                .retain(|c| now.since(c.heard) < HEARTBEAT_INTERVAL * 3);
             let mut to: Vec<_> = far.callers.iter().map(|c| c.addr).collect();
-            let ours = far.rank.is_some_and(|rank| rank < REPS);
+            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
             if ours && self.starts(&self.fars[at].name) {
-                let first = self.fars[at].rank.unwrap_or(0) * CONTACTS;
+                let first = self.fars[at].rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
                 let contacts = self.contacts(at, false);
                 to.extend(contacts.get(first % contacts.len().max(1)));
             }
             for to in to {
                 let across = self.across(now, false);
-                self.send(to, Content::Across(across), out);
+                self.send(to, Content::DomainHeartbeat(across), out);
             }
         }
     }
@@ -267,7 +272,7 @@
     /// Notices domains that fell silent or came back.
     pub(super) fn check_fars(&mut self, out: &mut Vec<Action>, now: Time) {
         for far in &mut self.fars {
-            let silent = far.heard.is_none_or(|t| now.since(t) > SILENT);
+            let silent = far.heard.is_none_or(|t| now.since(t) > DOMAIN_TIMEOUT);
             if silent == far.silent {
                 continue;
             }
@@ -283,10 +288,10 @@
     }
 
     /// A domain's summary as the vitals of its processes; `None` if silent.
-    pub(super) fn far_vitals(&self, now: Time, at: usize) -> Option<Vitals> {
+    pub(super) fn remote_health(&self, now: Time, at: usize) -> Option<HealthSummary> {
         let far = self.fars.get(at)?;
         let heard = far.heard?;
-        (now.since(heard) <= SILENT).then_some(Vitals {
+        (now.since(heard) <= DOMAIN_TIMEOUT).then_some(HealthSummary {
             version: far.summary.oldest,
             load: far.summary.load,
             store: false,
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -7,7 +7,7 @@
 use steer::process::config::{File, Head};
 use steer::process::control::apply::{self, Apply, Base, Expect, Outcome, Step};
 use steer::process::control::store::Stored;
-use steer::process::control::{Event, Safeguards, Standing};
+use steer::process::control::{Event, MemberStatus, Safeguards};
 use steer::version::view::Version;
 
 use crate::fleet::{self, Fleet, Layout, Place};
@@ -300,12 +300,12 @@
             } else {
                 "'"
             };
-            let standing = match node.control.standing() {
+            let status = match node.control.status() {
                 _ if node.frozen => "frozen",
-                Standing::Current => "current",
+                MemberStatus::Current => "current",
                 other => other.as_str(),
             };
-            (standing, format!("{}{old}", fleet.name(node.slot)))
+            (status, format!("{}{old}", fleet.name(node.slot)))
         });
         grouped(rows.collect())
     }
@@ -314,8 +314,8 @@
         let node = self.fleet().node(name);
         let shown = node.shown.as_ref().expect("published");
         let rows = shown.members.iter().map(|seen| {
-            let life = seen.record.life.as_str();
-            (life, seen.record.identity.name.to_string())
+            let lifecycle = seen.record.lifecycle.as_str();
+            (lifecycle, seen.record.identity.name.to_string())
         });
         grouped(rows.collect())
     }
@@ -364,8 +364,11 @@
         let mut of_name = fleet.nodes.iter().filter(|n| n.slot == slot);
         let incarnation = row.record.stamp.incarnation;
         let at = of_name.position(|n| n.control.record().stamp.incarnation == incarnation);
-        let life = row.record.life.as_str();
-        format!("process {} of {about}: {life}\n", at.expect("known") + 1)
+        let lifecycle = row.record.lifecycle.as_str();
+        format!(
+            "process {} of {about}: {lifecycle}\n",
+            at.expect("known") + 1
+        )
     }
 
     fn notices(&mut self, name: &str) -> String {
