--- a/crates/steer/src/version/routes.rs
+++ b/crates/steer/src/version/routes.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Whether a region is among these home_regions, which are sorted; any is if there are
-/// none.
+/// Returns whether `home_regions`, which are sorted, contain `region`. An empty list
+/// contains every region.
 #[must_use]
 pub(super) fn allows(home_regions: &[Arc<str>], region: &str) -> bool {
     home_regions.is_empty()
