--- a/crates/steer/src/clock.rs
+++ b/crates/steer/src/clock.rs
@@ -1,33 +1,33 @@
-//! Time as the decisions see it.
+//! Monotonic time of one process.
 //!
-//! Invariant: a [`Time`] is only ever compared with one from the same process.
-//! Nothing that two processes exchange carries a `Time`, only durations.
+//! Invariant: a [`Time`] is only compared with one from the same process.
+//! Messages between processes carry durations, never a `Time`.
 
 use core::fmt;
 use core::ops::{Add, Sub};
 use core::time::Duration;
 
-/// A point on one process's monotonic clock: microseconds since its start.
+/// A point in time on the process's monotonic clock, in microseconds since start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
 impl Time {
-    /// The start of the process.
+    /// Start of the process.
     pub const ZERO: Self = Self(0);
 
-    /// From microseconds since the process's start.
+    /// Creates a time from microseconds since the start of the process.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the process's start.
+    /// Returns the microseconds since the start of the process.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time from `earlier` to this one; zero if `earlier` is later.
+    /// Returns the duration from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/steer/src/connection.rs
+++ b/crates/steer/src/connection.rs
@@ -1,3 +1,3 @@
-//! What lives as long as one connection.
+//! Connections to targets and peers.
 
 pub mod pool;
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,12 +1,12 @@
-//! All decisions of the system, and nothing else.
+//! Decision logic of traffic steering, without I/O.
 //!
 //! Invariant: no function here does I/O, reads a clock, starts a thread or
-//! keeps global state. Events go in, actions come out; time and randomness are
-//! passed in. A live process, a scripted scenario and the explorer therefore
-//! all drive the same code.
+//! keeps global state. Callers pass in events, time and randomness, and carry
+//! out the actions returned. A live process, a scripted scenario and the
+//! explorer therefore run the same code.
 //!
-//! The folders follow life spans: what lives for a [`request`], for a
-//! [`connection`], for a [`version`] of the configuration, for a [`process`].
+//! Modules are grouped by the lifetime of their state: that of a [`request`], of
+//! a [`connection`], of a [`version`] of the configuration, or of the [`process`].
 
 pub mod clock;
 pub mod connection;
--- a/crates/steer/src/request.rs
+++ b/crates/steer/src/request.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! Requests: their arrival, idempotency keys, admission, retries and outcome.
 
 pub mod admission;
 pub mod answer;
--- a/crates/steer/src/version.rs
+++ b/crates/steer/src/version.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one version of the configuration.
+//! Tables derived from one version of the configuration. They are never changed.
 
 pub mod blocks;
 pub mod lookup;
