--- a/crates/steer/src/request/answer.rs
+++ b/crates/steer/src/request/answer.rs
@@ -1,10 +1,10 @@
-//! A target's whole answer.
+//! Complete HTTP response of a target.
 //!
-//! Invariant: an [`Answer`] is only built from an answer received to its end.
+//! Invariant: an [`Answer`] is only built from a response received completely.
 
 use std::sync::Arc;
 
-/// One header line.
+/// A header field.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Header {
     /// Field name.
@@ -13,19 +13,20 @@
     pub value: Arc<str>,
 }
 
-/// Status, the headers worth passing on, and the whole body.
+/// Status, end-to-end headers and body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers, in the order received.
     pub headers: Vec<Header>,
-    /// The body, whole.
+    /// Complete body.
     pub body: Arc<[u8]>,
 }
 
 impl Answer {
-    /// Size in bytes as it counts against links and memory.
+    /// Returns the size of headers and body in bytes, as counted against the caps on
+    /// links and memory.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let headers: usize = self
--- a/crates/steer/src/request/arrival.rs
+++ b/crates/steer/src/request/arrival.rs
@@ -1,10 +1,12 @@
-//! A request as it enters the decisions. The body stays with the driver.
+//! Metadata of an incoming request. The body stays with the driver.
+//!
+//! Invariant: ids of requests and attempts are never reused within a process.
 
 use core::fmt;
 use core::time::Duration;
 use std::sync::Arc;
 
-/// Names one request within one process; never reused.
+/// Identifies a request within one process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -14,8 +16,8 @@
     }
 }
 
-/// Names one try at running a request, within one process; never reused, so
-/// that an answer that arrives late can't be taken for a newer try's.
+/// Identifies an attempt to run a request, within one process. Never reused, so that
+/// a late answer can't be taken for that of a newer attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
@@ -25,46 +27,47 @@
     }
 }
 
-/// Digest of a request's service, method, path and body: equal for a repeat.
+/// Digest of a request's service, method, path and body. Repeats of a request have
+/// equal fingerprints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
-/// Where a request came from.
+/// Sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
-    /// From a caller.
+    /// A caller.
     Caller,
-    /// From an entry instance of another failure domain, which has applied the
-    /// caps; it is served here or refused, never passed on again.
+    /// An entry instance of another failure domain, which has applied the caps. The
+    /// request is served here or refused, never forwarded again.
     Peer,
-    /// From an entry instance that its caller reached with a key which only
-    /// this process may run. No cap has been applied yet.
+    /// An entry instance that forwards a request whose key only this process may
+    /// run. No cap has been applied yet.
     Forward,
 }
 
-/// The facts of one request that decisions are made from.
+/// Properties of a request that steering decisions depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Name of the service asked for.
+    /// Name of the requested service.
     pub service: Arc<str>,
-    /// Who asks: the caller's own name, or else its address.
+    /// Name that the caller gave, or else its address.
     pub caller: Arc<str>,
-    /// What the caller sent as its idempotency key.
+    /// Idempotency key that the caller sent.
     pub key: Option<Arc<str>>,
-    /// Equal for a repeat of the same request.
+    /// Digest that repeats of the request share.
     pub fingerprint: Fingerprint,
-    /// Time left until the caller stops waiting; `None` takes the service's.
+    /// Time until the caller stops waiting; `None` stands for the service's default.
     pub deadline: Option<Duration>,
-    /// Size of the request in bytes.
+    /// Size in bytes.
     pub bytes: u64,
-    /// Where it came from.
+    /// Sender of the request.
     pub origin: Origin,
-    /// Name of the region whose caller sent it; `None` if its block is unknown,
-    /// and then the caller counts as one of the instance's own region.
+    /// Region of the caller. `None` if no client block holds its address; it then
+    /// counts as a caller of the instance's own region.
     pub caller_region: Option<Arc<str>>,
-    /// Name of the region of the peer that passed it on; the answer goes back
-    /// over the link to it.
+    /// Region of the peer that forwarded the request. The answer goes back over the
+    /// link to that region.
     pub peer_region: Option<Arc<str>>,
 }
