--- a/crates/steer/src/request/poison.rs
+++ b/crates/steer/src/request/poison.rs
@@ -1,14 +1,15 @@
-//! Requests that crash the targets that run them.
+//! Detection of requests that crash targets.
 //!
-//! A connection that breaks while requests are in flight marks each of them:
-//! one of them may have crashed the target, and nothing tells which. A marked
-//! request is a suspect; it is run alone on a target from then on. If it
-//! succeeds, the mark was unjust and goes. If a second target breaks under it,
-//! it was alone there, and it is refused for good: two targets are lost, not
-//! more. Marks are withdrawn too when the target goes on answering requests
-//! begun before the break, since then only a connection failed.
+//! When a connection breaks while requests are in flight, each of them gets a
+//! strike: one of them may have crashed the target, and nothing tells which. A
+//! request with a strike is a suspect and runs alone on a target from then on. If
+//! it succeeds, its strikes are cleared. If a second target breaks while it runs
+//! there alone, it is always refused: it costs two targets, not more. Strikes are
+//! also withdrawn when the target goes on answering requests sent before the
+//! break, since then only a connection failed.
 //!
-//! Invariant: at most [`SUSPECTS_MAX`] fingerprints are kept, each for [`SUSPECT_TTL`].
+//! Invariant: at most [`SUSPECTS_MAX`] fingerprints are kept, each until
+//! [`SUSPECT_TTL`] after its last strike.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -16,16 +17,16 @@
 use crate::clock::Time;
 use crate::request::arrival::Fingerprint;
 
-/// Strikes at which a request is refused for good.
+/// Number of strikes at which a request is always refused.
 pub const STRIKES_MAX: u8 = 2;
-/// Time after the last strike at which a fingerprint is forgotten.
+/// Time after its last strike at which a fingerprint is dropped.
 pub const SUSPECT_TTL: Duration = Duration::from_mins(10);
-/// Fingerprints kept at most.
+/// Maximum number of fingerprints kept.
 pub const SUSPECTS_MAX: usize = 1024;
 
-/// A target that broke under a request.
+/// A broken connection to a target while the request was in flight there.
 #[derive(Clone, Debug)]
-struct Mark {
+struct Break {
     target: Arc<str>,
     at: Time,
 }
@@ -33,60 +34,60 @@
 #[derive(Clone, Debug)]
 struct Entry {
     fingerprint: Fingerprint,
-    marks: Vec<Mark>,
+    breaks: Vec<Break>,
     reported: u8,
-    at: Time,
+    struck_at: Time,
 }
 
 impl Entry {
     fn strikes(&self) -> u8 {
-        let own = u8::try_from(self.marks.len()).unwrap_or(u8::MAX);
+        let own = u8::try_from(self.breaks.len()).unwrap_or(u8::MAX);
         own.max(self.reported)
     }
 }
 
-/// What became of a fingerprint's strikes, to be reported to peers.
+/// New number of strikes of a fingerprint, to be reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StrikeUpdate {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// Its strikes now; zero clears it.
+    /// Current strikes; zero clears them.
     pub strikes: u8,
 }
 
-/// Suspects and culprits, sorted by fingerprint.
+/// Fingerprints with strikes, sorted by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     entries: Vec<Entry>,
 }
 
 impl Suspects {
-    /// Strikes against a fingerprint.
+    /// Returns the strikes of a fingerprint.
     #[must_use]
     pub fn strikes(&self, fingerprint: Fingerprint) -> u8 {
         self.find(fingerprint)
             .map_or(0, |at| self.entries[at].strikes())
     }
 
-    /// Number of fingerprints kept.
+    /// Returns the number of fingerprints kept.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is suspected.
+    /// Returns whether no fingerprint has strikes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// `target` broke under a request that had `known` strikes when it was
-    /// sent there.
+    /// Records a strike for a request in flight when the connection to `target`
+    /// broke. `known` is its number of strikes when it was sent there.
     ///
-    /// Only a request that was sent as a suspect can get a further strike.
-    /// Several copies of a popular look-up are in flight at any time; when a
-    /// rack fails they break together on several targets, which says no more
-    /// against them than one break does.
+    /// Strikes that were not known at that time rule out another one. Several
+    /// copies of a popular request are in flight at any time; when a rack fails
+    /// they break on several targets at once, which is no more evidence than a
+    /// single break.
     pub fn strike(
         &mut self,
         now: Time,
@@ -98,12 +99,12 @@
         let entry = &mut self.entries[at];
         let before = entry.strikes();
         if known >= before {
-            entry.marks.push(Mark {
+            entry.breaks.push(Break {
                 target: Arc::clone(target),
                 at: now,
             });
             entry.reported = entry.reported.max((before + 1).min(STRIKES_MAX));
-            entry.at = now;
+            entry.struck_at = now;
         }
         StrikeUpdate {
             fingerprint,
@@ -111,7 +112,8 @@
         }
     }
 
-    /// A peer's word. Zero clears, unless the request is refused for good.
+    /// Merges a peer's report. Zero strikes clear the fingerprint, unless it has
+    /// [`STRIKES_MAX`].
     pub fn merge(&mut self, now: Time, fingerprint: Fingerprint, strikes: u8) {
         if strikes == 0 {
             self.clear(fingerprint);
@@ -119,15 +121,15 @@
         }
         let at = self.ensure(now, fingerprint);
         let entry = &mut self.entries[at];
-        // The same word again doesn't make it younger: peers repeat it to each
-        // newcomer, and would keep it alive among themselves for ever.
+        // A repeated report doesn't extend the lifetime: peers repeat reports to
+        // each new instance and would keep the entry alive for ever.
         if strikes > entry.reported {
             entry.reported = strikes;
-            entry.at = now;
+            entry.struck_at = now;
         }
     }
 
-    /// Requests that are refused for good.
+    /// Lists the fingerprints that are always refused, with their strikes.
     pub fn rejected(&self) -> impl Iterator<Item = StrikeUpdate> {
         let refused = self.entries.iter().filter(|e| e.strikes() >= STRIKES_MAX);
         refused.map(|entry| StrikeUpdate {
@@ -136,16 +138,19 @@
         })
     }
 
-    /// Requests that were struck within `span`, for peers.
+    /// Lists the fingerprints whose last strike is less than `span` ago.
     pub fn recent(&self, now: Time, span: Duration) -> impl Iterator<Item = StrikeUpdate> {
-        let fresh = self.entries.iter().filter(move |e| now.since(e.at) < span);
+        let fresh = self
+            .entries
+            .iter()
+            .filter(move |e| now.since(e.struck_at) < span);
         fresh.map(|entry| StrikeUpdate {
             fingerprint: entry.fingerprint,
             strikes: entry.strikes(),
         })
     }
 
-    /// The request succeeded: it doesn't crash targets.
+    /// Clears a request that succeeded. Does nothing if it has [`STRIKES_MAX`].
     pub fn clear(&mut self, fingerprint: Fingerprint) -> Option<StrikeUpdate> {
         let at = self.find(fingerprint)?;
         if self.entries[at].strikes() >= STRIKES_MAX {
@@ -158,18 +163,19 @@
         })
     }
 
-    /// `target` answered a request begun at `begun`: it survived every break
-    /// since then, so the marks of those breaks are withdrawn.
-    pub fn withdraw(&mut self, target: &str, begun: Time, out: &mut Vec<StrikeUpdate>) {
+    /// Withdraws the strikes of breaks since `sent_at`, after `target` has answered a
+    /// request sent at that time: the target did not crash. Appends the changed
+    /// fingerprints to `out`.
+    pub fn withdraw(&mut self, target: &str, sent_at: Time, out: &mut Vec<StrikeUpdate>) {
         for entry in &mut self.entries {
-            let before = entry.marks.len();
+            let before = entry.breaks.len();
             entry
-                .marks
-                .retain(|m| *m.target != *target || m.at <= begun);
-            if entry.marks.len() == before {
+                .breaks
+                .retain(|b| *b.target != *target || b.at <= sent_at);
+            if entry.breaks.len() == before {
                 continue;
             }
-            let own = u8::try_from(entry.marks.len()).unwrap_or(u8::MAX);
+            let own = u8::try_from(entry.breaks.len()).unwrap_or(u8::MAX);
             entry.reported = entry.reported.saturating_sub(1).max(own);
             out.push(StrikeUpdate {
                 fingerprint: entry.fingerprint,
@@ -179,9 +185,10 @@
         self.entries.retain(|e| e.strikes() > 0);
     }
 
-    /// Forgets what is older than [`SUSPECT_TTL`].
+    /// Drops fingerprints whose last strike is [`SUSPECT_TTL`] ago.
     pub fn expire(&mut self, now: Time) {
-        self.entries.retain(|e| now.since(e.at) < SUSPECT_TTL);
+        self.entries
+            .retain(|e| now.since(e.struck_at) < SUSPECT_TTL);
     }
 
     fn find(&self, fingerprint: Fingerprint) -> Option<usize> {
@@ -202,19 +209,20 @@
             .partition_point(|e| e.fingerprint < fingerprint);
         let entry = Entry {
             fingerprint,
-            marks: Vec::new(),
+            breaks: Vec::new(),
             reported: 0,
-            at: now,
+            struck_at: now,
         };
         self.entries.insert(at, entry);
         at
     }
 
-    /// Makes room: a suspect goes before a culprit, the older before the newer.
+    /// Removes the oldest suspect, or if there is none the oldest fingerprint that is
+    /// always refused.
     fn evict(&mut self) {
         let oldest = (0..self.entries.len()).min_by_key(|&i| {
             let entry = &self.entries[i];
-            (entry.strikes() >= STRIKES_MAX, entry.at)
+            (entry.strikes() >= STRIKES_MAX, entry.struck_at)
         });
         if let Some(at) = oldest {
             self.entries.remove(at);
