--- a/crates/steer/src/request/record.rs
+++ b/crates/steer/src/request/record.rs
@@ -1,7 +1,7 @@
-//! What processes tell each other and the store about keys.
+//! Records of idempotency keys: questions to witnesses, and claims in the store.
 //!
-//! Invariant: a [`Claim`] names one try of one process at one key; no other
-//! try ever has the same text.
+//! Invariant: a [`Claim`] identifies one attempt of one process to run a key's
+//! request; no other attempt ever has the same text.
 
 use core::fmt;
 use std::sync::Arc;
@@ -9,37 +9,37 @@
 use super::arrival;
 use crate::version::view;
 
-/// Names one question to a peer within the process that asks, and one question
-/// received within the process that answers; never reused.
+/// Identifies a question to a peer within the process that asks, or a question
+/// received within the process that answers. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuestionId(pub u64);
 
-/// What one process asks another in its role as a witness.
+/// Question to a process as the witness of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// The owner is about to send the key's request: record it.
+    /// Records the key for its owner, which is about to send the request.
     Claim(Arc<str>),
-    /// The owner can't be reached: make sure that the key never runs, if it
-    /// has not been claimed.
+    /// Seals the key, whose owner can't be reached: unless it has been claimed, its
+    /// request never runs.
     Seal(Arc<str>),
-    /// Which epoch do you count?
+    /// Asks for the witness's current epoch.
     Epoch,
 }
 
-/// What a witness says.
+/// Reply of a witness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reply {
-    /// The key is claimed: its owner may send it, and may have done so.
+    /// The key is claimed: its owner may send the request, and may have done so.
     Claimed,
-    /// The key never gets a claim: it has not run and won't.
+    /// The key is sealed: its request has not run and never will.
     Sealed,
-    /// The key is too old to say.
+    /// The key's epoch is too old, or not yet reached, so that its state is unknown.
     Expired,
-    /// No room for another record; nothing was recorded.
+    /// The witness has no room for another record and recorded nothing.
     Full,
-    /// The key names another process as its witness.
+    /// The key does not name this process as its witness.
     Foreign,
-    /// The witness's present epoch.
+    /// Current epoch of the witness.
     Epoch(u64),
 }
 
@@ -56,21 +56,21 @@
     }
 }
 
-/// One process's claim of a key in the platform's store.
+/// Claim of a key by one process in the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Who claims.
+    /// Claiming process.
     pub incarnation: view::Incarnation,
-    /// Which of its tries.
+    /// Number of the attempt within the process.
     pub number: u64,
-    /// The request that the key stands for.
+    /// Fingerprint of the key's request.
     pub fingerprint: arrival::Fingerprint,
 }
 
 impl fmt::Display for Claim {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let arrival::Fingerprint(print) = self.fingerprint;
-        write!(f, "{}.{}.{print:032x}", self.incarnation, self.number)
+        let arrival::Fingerprint(fingerprint) = self.fingerprint;
+        write!(f, "{}.{}.{fingerprint:032x}", self.incarnation, self.number)
     }
 }
 
@@ -80,7 +80,7 @@
     fn try_from(text: &str) -> Result<Self, ClaimError> {
         let mut parts = text.split('.');
         let mut next = || parts.next().ok_or(ClaimError);
-        let attempt = Self {
+        let claim = Self {
             incarnation: view::Incarnation(
                 u64::from_str_radix(next()?, 16).map_err(|_| ClaimError)?,
             ),
@@ -90,37 +90,37 @@
             ),
         };
         match parts.next() {
-            None => Ok(attempt),
+            None => Ok(claim),
             Some(_) => Err(ClaimError),
         }
     }
 }
 
-/// A claim in the store that no version of this program wrote.
+/// Value in the store that is not a claim in any format of this program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a claim in the store is unreadable; nothing else may write below its prefix")]
+#[error("malformed claim in the store; nothing else may write below the prefix of claims")]
 pub struct ClaimError;
 
-/// A call to the platform's store about one key chosen by a caller.
+/// Call to the platform's store about a key that a caller chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Write the attempt if the key is absent.
+    /// Writes the claim if the key is absent.
     Create(Claim),
-    /// Read the attempt that holds the key.
+    /// Reads the claim that holds the key.
     Read,
 }
 
-/// What became of a [`StoreCall`].
+/// Result of a [`StoreCall`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreResult {
-    /// The attempt was written.
+    /// The claim was written.
     Created,
-    /// This attempt holds the key; `None` if its value is unreadable.
+    /// This claim holds the key; `None` if the stored value is malformed.
     Found(Option<Claim>),
-    /// Nothing holds the key.
+    /// No claim holds the key.
     Absent,
-    /// No connection to the store: the call took no effect.
+    /// The call certainly took no effect, and never will.
     Unreachable,
-    /// The call may have taken effect, or may yet.
+    /// The effect is unknown: the call may have taken effect, or may still.
     Unknown,
 }
--- a/crates/steer/src/request/retry.rs
+++ b/crates/steer/src/request/retry.rs
@@ -1,32 +1,32 @@
-//! When a request may be sent again.
+//! Retries: whether a failed attempt may have run, and the retry budget.
 //!
-//! Invariant: a request that may have run is sent again only if its service is
-//! idempotent; and over any time an instance sends no more repeats than
-//! [`BUDGET_RATIO_PERMILLE`] of its first tries, plus [`BUDGET_BURST_MAX`].
+//! Invariants: a request that may have run is retried only if its service is
+//! idempotent. Over any period, the retries charged to a [`Budget`] cost no more than
+//! [`BUDGET_RATIO_PERMILLE`] of the first attempts plus [`BUDGET_BURST_MAX`].
 
 use core::time::Duration;
 
 use crate::process::dispatch::AttemptOutcome;
 use crate::request::outcome::{Outcome, Reason};
 
-/// Repeats earned by a first try, in thousandths.
+/// Retries that a first attempt adds to the budget, in thousandths of a retry.
 pub const BUDGET_RATIO_PERMILLE: u64 = 200;
-/// Repeats that may be saved up.
+/// Maximum balance of the budget, in retries.
 pub const BUDGET_BURST_MAX: u64 = 20;
 
-/// Shortest time an attempt gets where the request could be tried elsewhere.
+/// Shortest timeout of an attempt whose request could be retried elsewhere.
 pub const ATTEMPT_MIN: Duration = Duration::from_millis(50);
 
-/// What an attempt that failed leaves open.
+/// Whether the request of a failed attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
     /// Certainly not run.
     NotRun,
-    /// It may have run.
+    /// May have run.
     MayHaveRun,
 }
 
-/// What an outcome says about whether the request ran. `None` for an answer.
+/// Returns whether the request of a failed attempt ran; `None` if it was answered.
 #[must_use]
 pub fn execution(outcome: &AttemptOutcome) -> Option<Execution> {
     match outcome {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Why a request that is not tried again failed.
+/// Returns the reason given to the caller if the request is not retried.
 #[must_use]
 pub fn failure_reason(outcome: &AttemptOutcome) -> Reason {
     match outcome {
@@ -55,10 +55,11 @@
     }
 }
 
-/// What the repeat after this outcome costs, in thousandths. A refusal cost the
-/// target next to nothing and is how instances that share targets learn of each
-/// other; at full cost the budget refuses what the next target would take. For
-/// nothing, overload lets refused requests wander from target to target.
+/// Returns the cost of a retry after this outcome, in thousandths of a retry. A
+/// refusal costs the target next to nothing, and instances that share targets learn
+/// of each other's load by it: at full cost the budget would deny retries that the
+/// next target would accept. Without a cost, refused requests would go from target
+/// to target under overload.
 #[must_use]
 pub const fn cost(outcome: &AttemptOutcome) -> u64 {
     match outcome {
@@ -67,12 +68,13 @@
     }
 }
 
-/// Repeats that the instance may still send.
+/// Retry budget of an instance.
 ///
-/// Without a budget a brownout multiplies itself: each request that fails
-/// becomes two, which makes more fail.
+/// Without one, retries amplify a brownout: each request that fails is sent twice,
+/// which makes more requests fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
+    /// Retries left, in thousandths.
     balance: u64,
 }
 
@@ -85,23 +87,23 @@
 }
 
 impl Budget {
-    /// Notes a first try.
+    /// Adds the share of a first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + BUDGET_RATIO_PERMILLE).min(BUDGET_BURST_MAX * 1000);
     }
 
-    /// Whether a repeat may be sent.
+    /// Returns whether the balance covers a retry at full cost.
     #[must_use]
     pub const fn has_retry(&self) -> bool {
         self.balance >= 1000
     }
 
-    /// Takes a repeat's cost, if there is so much.
+    /// Deducts the cost of a retry and returns true if the balance covers it.
     pub const fn withdraw(&mut self, cost: u64) -> bool {
-        let enough = self.balance >= cost;
-        if enough {
+        let is_covered = self.balance >= cost;
+        if is_covered {
             self.balance -= cost;
         }
-        enough
+        is_covered
     }
 }
