--- a/crates/steer/src/request/key.rs
+++ b/crates/steer/src/request/key.rs
@@ -1,13 +1,14 @@
-//! Idempotency keys: who may run a request, and who vouches for it.
+//! Syntax of idempotency keys.
 //!
-//! A look-up answer gives everything up to the nonce, the caller appends a
-//! nonce of its own:
+//! An issued key names its owner, the only process that may run the request, and its
+//! witness, which has to record the key first. A look-up answer gives the part before
+//! the nonce, and the caller appends its own nonce:
 //!
 //! `a1.<owner>.<owner epoch>.<witness or 0>.<witness epoch>.<nonce>`
 //!
-//! Invariant: a key's owner and witness never change, and each epoch is a count
-//! kept by the process it belongs to. A process therefore knows a key's age
-//! without comparing its clock with anybody's.
+//! Invariant: a key's owner and witness never change, and each epoch is counted by
+//! the process it belongs to. A process therefore knows the age of a key without
+//! comparing clocks with another one.
 
 use core::fmt;
 use std::sync::Arc;
@@ -16,20 +17,20 @@
 
 use crate::version::view;
 
-/// What issued keys start with: syntax version 1.
+/// Start of issued keys: version 1 of the syntax.
 const ISSUED_PREFIX: &str = "a1.";
 
-/// Shortest nonce in bytes. Callers share the part before it, so a nonce has to
-/// be long enough that two callers don't pick the same one.
+/// Minimum length of a nonce in bytes. Callers share the part before it, so a nonce has
+/// to be long enough that no two callers pick the same one.
 pub const NONCE_LEN_MIN: usize = 16;
 
-/// Longest nonce in bytes.
+/// Maximum length of a nonce in bytes.
 pub const NONCE_LEN_MAX: usize = 64;
 
-/// Shortest key in bytes that a caller may choose without a look-up.
+/// Minimum length in bytes of a key that a caller chooses without a look-up.
 pub const CHOSEN_LEN_MIN: usize = 16;
 
-/// Longest key in bytes that a caller may choose without a look-up.
+/// Maximum length in bytes of a key that a caller chooses without a look-up.
 pub const CHOSEN_LEN_MAX: usize = 128;
 
 /// A process and one of its epochs.
@@ -37,16 +38,16 @@
 pub struct Stamp {
     /// The process.
     pub incarnation: view::Incarnation,
-    /// Its count of epochs when the key was issued.
+    /// Epoch of the process when the key was issued.
     pub epoch: u64,
 }
 
-/// The part of a key that a look-up answer gives.
+/// Part of a key that a look-up answer gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    /// The only process that may run the key.
+    /// Only process that may run the key's request.
     pub owner: Stamp,
-    /// The process that has to record the key before it may run.
+    /// Process that has to record the key before the request may run, if any.
     pub witness: Option<Stamp>,
 }
 
@@ -64,13 +65,13 @@
 /// A key formed from a look-up's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Issued {
-    /// The key as sent.
+    /// Key as sent.
     pub text: Arc<str>,
-    /// What its issuer said.
+    /// Owner and witness named in the key.
     pub prefix: Prefix,
 }
 
-/// A key as a caller sent it.
+/// Idempotency key sent by a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
     /// Formed from a look-up's answer.
@@ -79,26 +80,26 @@
     Chosen(Arc<str>),
 }
 
-/// Why a key can't be used. The verdict depends on the key's text alone, so no
-/// instance ever runs such a key.
+/// Syntax error in a key. It depends on the key's text alone, so no instance ever runs
+/// a request with such a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// Too short or too long to be chosen by a caller.
+    /// Length outside the bounds of keys that callers choose.
     #[error("a key has {CHOSEN_LEN_MIN} to {CHOSEN_LEN_MAX} characters; this one has {0}")]
     Length(usize),
-    /// A character that is not allowed.
-    #[error("a key is made of letters, digits, '-', '_', '.' and ':'; {0:?} is none")]
+    /// Character that is not allowed.
+    #[error("a key may contain letters, digits, '-', '_', '.' and ':'; found {0:?}")]
     Character(char),
-    /// Starts like an issued key but has another number of parts.
+    /// Wrong number of parts in a key that starts like an issued one.
     #[error("append a nonce without dots to the look-up's key prefix; this key has {0} parts")]
     Parts(usize),
-    /// An incarnation is not 16 hexadecimal digits.
+    /// Incarnation that is not 16 lower-case hexadecimal digits.
     #[error("copy the look-up's key prefix unchanged; its incarnation is malformed")]
     Incarnation,
-    /// An epoch is no decimal number.
+    /// Epoch that is not a decimal number without leading zeros.
     #[error("copy the look-up's key prefix unchanged; its epoch is malformed")]
     Epoch,
-    /// The nonce is too short or too long.
+    /// Length of the nonce outside its bounds.
     #[error("a nonce has {NONCE_LEN_MIN} to {NONCE_LEN_MAX} characters; this one has {0}")]
     Nonce(usize),
 }
@@ -107,14 +108,14 @@
     type Error = KeyError;
 
     fn try_from(text: &Arc<str>) -> Result<Self, KeyError> {
-        let fit = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-        if let Some(bad) = text.chars().find(|&c| !fit(c)) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+        if let Some(bad) = text.chars().find(|&c| !is_allowed(c)) {
             return Err(KeyError::Character(bad));
         }
         match text.strip_prefix(ISSUED_PREFIX) {
             Some(rest) => Ok(Self::Issued(Issued {
                 text: Arc::clone(text),
-                prefix: parse(rest)?,
+                prefix: parse_prefix(rest)?,
             })),
             None if (CHOSEN_LEN_MIN..=CHOSEN_LEN_MAX).contains(&text.len()) => {
                 Ok(Self::Chosen(Arc::clone(text)))
@@ -124,7 +125,7 @@
     }
 }
 
-fn parse(rest: &str) -> Result<Prefix, KeyError> {
+fn parse_prefix(rest: &str) -> Result<Prefix, KeyError> {
     let parts: Vec<&str> = rest.split('.').collect();
     let &[owner, owner_epoch, witness, witness_epoch, nonce] = parts.as_slice() else {
         return Err(KeyError::Parts(parts.len()));
@@ -132,17 +133,17 @@
     if !(NONCE_LEN_MIN..=NONCE_LEN_MAX).contains(&nonce.len()) {
         return Err(KeyError::Nonce(nonce.len()));
     }
-    let owner = stamp(owner, owner_epoch)?;
+    let owner = parse_stamp(owner, owner_epoch)?;
     let witness = match (witness, witness_epoch) {
         ("0", "0") => None,
-        _ => Some(stamp(witness, witness_epoch)?),
+        _ => Some(parse_stamp(witness, witness_epoch)?),
     };
     Ok(Prefix { owner, witness })
 }
 
-/// Only the form that [`Prefix`] prints is taken, so that no two texts name the
-/// same owner and epoch.
-fn stamp(incarnation: &str, epoch: &str) -> Result<Stamp, KeyError> {
+/// Parses an incarnation and an epoch. Accepts only the form that [`Prefix`] prints, so
+/// that no two texts name the same process and epoch.
+fn parse_stamp(incarnation: &str, epoch: &str) -> Result<Stamp, KeyError> {
     let number = u64::from_str_radix(incarnation, 16).map_err(|_| KeyError::Incarnation)?;
     let stamp = Stamp {
         incarnation: view::Incarnation(number),
--- a/crates/steer/src/request/outcome.rs
+++ b/crates/steer/src/request/outcome.rs
@@ -1,7 +1,7 @@
-//! What a caller is told about its request.
+//! Outcome of a request, and refusals in place of a target's answer.
 //!
-//! Invariant: [`Outcome::NotRun`] is a promise. Whatever yields it has made
-//! sure that no target ran the request and that none will.
+//! Invariant: [`Outcome::NotRun`] is a guarantee. It is only reported once it is
+//! certain that no target has run the request and that none will.
 
 use core::fmt;
 use core::time::Duration;
@@ -9,16 +9,16 @@
 /// Whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// A target ran it; the answer is the target's.
+    /// A target ran it and answered.
     Ran,
-    /// Certainly not run, and it won't be: asking again is safe.
+    /// Not run, and it never will be: a new request is safe.
     NotRun,
-    /// It may have run. It will never be run a second time under this key.
+    /// May have run. It is never run a second time under the same key.
     Unknown,
 }
 
 impl Outcome {
-    /// The word that callers see.
+    /// Returns the name sent to callers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -35,54 +35,56 @@
     }
 }
 
-/// Why a caller gets no target's answer.
+/// Reason why a request gets no answer from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// The request itself is wrong: syntax, headers.
+    /// The request is malformed, in its syntax or its headers.
     BadRequest,
-    /// The request's body is longer than allowed.
+    /// The request's body exceeds its maximum length.
     TooLarge,
-    /// No such service in the configuration in force.
+    /// The configuration in force has no such service.
     UnknownService,
-    /// A service that must not repeat wants an idempotency key.
+    /// The service is not idempotent and requires an idempotency key.
     KeyMissing,
     /// The key is malformed.
     KeyMalformed,
-    /// The key is older than the time for which records are kept.
+    /// The key is older than the retention period of records.
     KeyExpired,
     /// The key was used before with another request.
     KeyReused,
-    /// A request of this key is running; ask again for its answer.
+    /// A request with this key is in progress; a retry gets its answer.
     KeyBusy,
-    /// The key was given up before anything was sent; it never runs.
+    /// The key's request was sealed or refused before it ran, and never runs.
     KeySealed,
     /// The key's request ran, but its answer is no longer kept.
     Forgotten,
-    /// The instance that alone may run the key is gone or out of reach.
+    /// The only instance that may run the key is gone or unreachable.
     OwnerGone,
-    /// The key's witness did not give its word.
+    /// The key's witness did not record the claim.
     Witness,
     /// The instance has no configuration yet.
     NotReady,
     /// The instance is shutting down.
     Leaving,
-    /// The queue of the request's class is full.
+    /// No room for the request at this instance, its targets or its peers.
     Overloaded,
-    /// This caller has as much in flight as one caller may.
+    /// The caller has reached its limit of requests in flight.
     CallerLimit,
-    /// It can't be answered before its deadline.
+    /// The request is not expected to be answered before its deadline.
     Deadline,
-    /// No target or peer that may take it is reachable.
+    /// No target or peer that may serve the request is reachable.
     NoTarget,
-    /// Sending it elsewhere would pass an operator's cap or a link's limit.
+    /// Sending the request to another region would exceed an operator's cap or a
+    /// link's limit.
     Cap,
-    /// The platform's store, which had to record the key, can't be reached.
+    /// The platform's store, which has to record the key, can't be reached or holds a
+    /// malformed claim.
     Store,
     /// The connection to the target or peer broke after the request was sent.
     Lost,
     /// The target's answer was cut short or broke the protocol.
     BadAnswer,
-    /// Targets crashed on this request; it won't be tried again.
+    /// Targets crashed while they ran this request; it is not retried.
     Poison,
 }
 
@@ -114,7 +116,7 @@
         Self::Poison,
     ];
 
-    /// The word that callers and counters see.
+    /// Returns the name sent to callers and used as a label of metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// The HTTP status that callers see.
+    /// Returns the HTTP status sent to callers.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
@@ -169,32 +171,34 @@
         }
     }
 
-    /// What the caller can do about it.
+    /// Returns advice to the caller on how to proceed.
     #[must_use]
     pub const fn remedy(self) -> &'static str {
         match self {
-            Self::TooLarge => "send less at a time, or have `body_bytes` raised",
+            Self::TooLarge => "send a smaller body, or raise the limit `body_bytes`",
             Self::BadRequest => "correct the request before sending it again",
-            Self::UnknownService => "name a service that the configuration has",
-            Self::KeyMissing => "send an Idempotency-Key made from a look-up's answer",
-            Self::KeyMalformed => "form the Idempotency-Key as a look-up's answer says",
-            Self::KeyExpired => "find out what became of the request; a new key runs it anew",
+            Self::UnknownService => "use the name of a configured service",
+            Self::KeyMissing => "send an Idempotency-Key formed from a look-up's answer",
+            Self::KeyMalformed => {
+                "form the Idempotency-Key from the prefix in a look-up's answer and a nonce"
+            }
+            Self::KeyExpired => "check whether the request has run; a new key runs it again",
             Self::KeyReused => "use a new Idempotency-Key for a new request",
-            Self::KeyBusy => "ask again with the same key for the answer",
+            Self::KeyBusy => "retry with the same key to get the answer",
             Self::KeySealed => "send the request under a new key; this one never runs",
-            Self::Forgotten => "find out what became of the request; do not send it again",
-            Self::OwnerGone => "ask again with the same key; a new key may repeat the request",
+            Self::Forgotten => "check the effect of the request; do not send it again",
+            Self::OwnerGone => "retry with the same key; a new key may run the request twice",
             Self::Witness => "look up again and send the request under a new key",
-            Self::NotReady => "ask another entry instance, or this one later",
+            Self::NotReady => "use another entry instance, or retry later",
             Self::Leaving => "look up another entry instance",
             Self::Overloaded | Self::NoTarget | Self::Cap => {
-                "come back after the time given; if not run, a keyed request wants a new key"
+                "retry after the time given; a request with a key that has not run needs a new key"
             }
             Self::CallerLimit => "wait for requests in flight to finish",
-            Self::Deadline => "come back after the time given, or allow more time",
-            Self::Store => "use a key made from a look-up's answer, or come back later",
+            Self::Deadline => "retry after the time given, or with a longer deadline",
+            Self::Store => "use a key formed from a look-up's answer, or retry later",
             Self::Lost | Self::BadAnswer => {
-                "ask again with the same key; without a key, only if a repeat is harmless"
+                "retry with the same key; without a key, only if running it twice is harmless"
             }
             Self::Poison => "do not send this request again",
         }
@@ -207,20 +211,19 @@
     }
 }
 
-/// A final answer that is not a target's. It is sent at once.
+/// Refusal sent to the caller in place of a target's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// Whether the request ran; never [`Outcome::Ran`], except for a request
-    /// known to have crashed its target.
+    /// Whether the request may have run: [`Outcome::NotRun`] or [`Outcome::Unknown`].
     pub outcome: Outcome,
-    /// When to come back; `None` where asking again can't help.
+    /// Time after which to retry; `None` if a retry can't help.
     pub after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that was certainly not run.
+    /// Creates the refusal of a request that has not run and never will.
     #[must_use]
     pub const fn not_run(reason: Reason, after: Option<Duration>) -> Self {
         Self {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub const fn unknown(reason: Reason, after: Option<Duration>) -> Self {
         Self {
