--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -41,8 +41,8 @@
 
 impl Direct {
     /// Decides on all waiting requests and returns those to send or reject. Must
-    /// be called after each event, and at least every [`STEP_INTERVAL_MAX`](super::STEP_INTERVAL_MAX) while
-    /// requests wait.
+    /// be called after each event, and while requests wait at least every
+    /// [`STEP_INTERVAL_MAX`](super::STEP_INTERVAL_MAX).
     pub fn step(&mut self, now: Time) -> Vec<Decision> {
         let mut queue: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
         for job in &self.jobs {
