--- a/crates/steer/src/process/dispatch/job.rs
+++ b/crates/steer/src/process/dispatch/job.rs
@@ -68,7 +68,7 @@
 }
 
 /// Requests in flight, sorted by id. Boxed, so that inserting or removing one
-/// moves pointers and not whole requests.
+/// moves pointers and not requests.
 #[derive(Clone, Debug, Default)]
 pub struct RunningRequests {
     running: Vec<(RequestId, Box<Running>)>,
--- a/crates/steer/tests/dispatch_pool.rs
+++ b/crates/steer/tests/dispatch_pool.rs
@@ -17,10 +17,10 @@
 #[test]
 fn reuse_complete_only() {
     let mut pool = Pool::new(2, 0);
-    let whole = opened(&mut pool, 1);
+    let complete = opened(&mut pool, 1);
     let late = opened(&mut pool, 2);
     assert!(matches!(pool.take(), Checkout::Full));
-    pool.put(Time::ZERO, whole.into_idle());
+    pool.put(Time::ZERO, complete.into_idle());
     assert_eq!(late.into_inner(), 2);
     pool.release();
     let mut again = opened(&mut pool, 3);
