--- a/crates/steer/tests/direct/health.rs
+++ b/crates/steer/tests/direct/health.rs
@@ -35,7 +35,7 @@
 
 fn unsafe_route() -> Route {
     Route {
-        idempotent: false,
+        is_idempotent: false,
         ..route()
     }
 }
