--- a/crates/steer/src/connection/pool.rs
+++ b/crates/steer/src/connection/pool.rs
@@ -1,24 +1,24 @@
-//! Connections to one place: bounded, warmed, and never reused in doubt.
+//! Bounded pool of connections to one address.
 //!
-//! A connection whose attempt was cancelled or timed out may still carry that
-//! attempt's answer; reused, it would give a caller another caller's answer.
-//! The type keeps it out: only [`Connection::into_idle`] leads back to the pool,
-//! and it is for the driver to call when the answer was read to its end.
+//! Invariant: a connection is only reused after its answer was read completely. One
+//! whose attempt was cancelled or timed out may still deliver that answer, and would
+//! give it to another caller. The types enforce this: only [`Connection::into_idle`]
+//! leads back to the pool, and drivers call it after a complete answer.
 
 use core::marker::PhantomData;
 use core::time::Duration;
 
 use crate::clock::Time;
 
-/// A connection that carries no request.
+/// State of a connection without a request in flight.
 #[derive(Debug)]
 pub struct Idle;
 
-/// A connection that carries a request.
+/// State of a connection with a request in flight.
 #[derive(Debug)]
 pub struct Busy;
 
-/// One connection in a state of its life.
+/// A connection in the state `S`, [`Idle`] or [`Busy`].
 #[derive(Debug)]
 pub struct Connection<C, S> {
     inner: C,
@@ -26,19 +26,19 @@
 }
 
 impl<C> Connection<C, Busy> {
-    /// A connection just opened for a request.
+    /// Wraps a connection that was opened for a request.
     #[must_use]
     pub const fn opened(inner: C) -> Self {
         let state = PhantomData;
         Self { inner, state }
     }
 
-    /// The connection, to write and read.
+    /// Returns the connection for reading and writing.
     pub const fn get(&mut self) -> &mut C {
         &mut self.inner
     }
 
-    /// The whole answer was read: it may carry another request.
+    /// Makes the connection reusable, after its answer was read completely.
     #[must_use]
     pub fn into_idle(self) -> Connection<C, Idle> {
         let state = PhantomData;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Anything else happened: it is for closing.
+    /// Returns the connection to be closed, after anything but a complete answer.
     #[must_use]
     pub fn into_inner(self) -> C {
         self.inner
@@ -56,7 +56,7 @@
 }
 
 impl<C> Connection<C, Idle> {
-    /// A connection opened ahead of need.
+    /// Wraps a connection that was opened ahead of need.
     #[must_use]
     pub const fn warm(inner: C) -> Self {
         let state = PhantomData;
@@ -68,32 +68,35 @@
     }
 }
 
-/// What a request gets.
+/// Result of asking the pool for a connection.
 #[derive(Debug)]
 pub enum Checkout<C> {
-    /// A connection that is open.
+    /// An open connection.
     Open(Connection<C, Busy>),
-    /// Leave to open one; [`Pool::release`] is due if that fails.
+    /// Permission to open a connection, which already counts as open. The caller
+    /// has to call [`Pool::release`] if that fails.
     Permit,
-    /// The capacity is reached: the place counts as busy.
+    /// The pool has reached its capacity.
     Full,
 }
 
-/// Time after which an idle connection above the warm ones is closed.
+/// Time after which an idle connection beyond the number kept warm is closed.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections of one instance to one place.
+/// Connections of one instance to one address.
 #[derive(Debug)]
 pub struct Pool<C> {
+    /// Idle connections and the times they became idle, oldest first.
     idle: Vec<(Time, Connection<C, Idle>)>,
+    /// Connections open or being opened.
     open: usize,
     capacity: usize,
     warm: usize,
 }
 
 impl<C> Pool<C> {
-    /// An empty pool of at most `capacity` connections, `warm` of them kept open
-    /// ahead of need.
+    /// Creates an empty pool of at most `capacity` connections, which keeps `warm` of
+    /// them open ahead of need.
     #[must_use]
     pub const fn new(capacity: usize, warm: usize) -> Self {
         Self {
@@ -104,13 +107,15 @@
         }
     }
 
-    /// This instance's share of the connections that a target takes.
+    /// Returns one instance's share of the connections that a target accepts; at
+    /// least one.
     #[must_use]
     pub fn per_instance(connections: usize, instances: usize) -> usize {
         (connections / instances.max(1)).max(1)
     }
 
-    /// Takes the connection used last: the others age and can be closed.
+    /// Takes the most recently used idle connection, so that surplus ones reach
+    /// [`IDLE_TIMEOUT`]. Without one, asks for permission to open a connection.
     pub fn take(&mut self) -> Checkout<C> {
         if let Some((_, connection)) = self.idle.pop() {
             return Checkout::Open(connection.into_busy());
@@ -118,7 +123,7 @@
         self.permit()
     }
 
-    /// Leave to open a connection, whatever lies idle.
+    /// Asks for permission to open a connection, even if others are idle.
     pub fn permit(&mut self) -> Checkout<C> {
         if self.open >= self.capacity {
             return Checkout::Full;
@@ -127,25 +132,27 @@
         Checkout::Permit
     }
 
-    /// Takes back a connection that has carried its whole answer, or a warm
-    /// one that [`Pool::reserve_warm`] asked for.
+    /// Adds an idle connection: one whose answer was read completely, or one opened
+    /// ahead of need after [`Pool::reserve_warm`] returned true.
     pub fn put(&mut self, now: Time, connection: Connection<C, Idle>) {
         self.idle.push((now, connection));
     }
 
-    /// A connection was closed or couldn't be opened.
+    /// Removes a connection from the count after it was closed or failed to open.
     pub const fn release(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Whether one should be opened ahead of need; counts it as open.
+    /// Returns whether a connection should be opened ahead of need, and if so counts
+    /// it as open.
     pub const fn reserve_warm(&mut self) -> bool {
         let is_due = self.open < self.warm && self.open < self.capacity;
         self.open += is_due as usize;
         is_due
     }
 
-    /// Takes out what has been idle too long, for closing.
+    /// Removes and returns the connections that have been idle for [`IDLE_TIMEOUT`],
+    /// to be closed. Keeps the warm ones.
     pub fn expire(&mut self, now: Time) -> Vec<C> {
         let stale = self
             .idle
@@ -156,7 +163,7 @@
         self.idle.drain(..count).map(|i| i.1.inner).collect()
     }
 
-    /// Connections open or being opened.
+    /// Returns the number of connections open or being opened.
     #[must_use]
     pub const fn open(&self) -> usize {
         self.open
