--- a/crates/steer/src/version/blocks.rs
+++ b/crates/steer/src/version/blocks.rs
@@ -1,7 +1,7 @@
-//! Client blocks: which region a caller's address belongs to.
+//! Client blocks: longest-prefix match from a caller's IPv4 address to its region.
 //!
-//! Invariant: ranges are sorted and disjoint, so that one binary search finds
-//! the longest matching block.
+//! Invariant: ranges are sorted and disjoint, so that one binary search finds the
+//! longest matching block.
 
 use std::net::Ipv4Addr;
 
@@ -9,19 +9,19 @@
 
 use super::view::Region;
 
-/// A client block as operators write it: an IPv4 prefix and its region.
+/// Client block: an IPv4 prefix and the region of its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Block {
     /// First address of the block; host bits are zero.
     pub base: u32,
     /// Prefix length, 0 to 32.
     pub len: u8,
-    /// Region whose callers these are.
+    /// Region of the callers in the block.
     pub region: Region,
 }
 
 impl Block {
-    /// Last address of the block.
+    /// Returns the last address of the block.
     #[must_use]
     pub const fn last(&self) -> u32 {
         match u32::MAX.checked_shr(self.len as u32) {
@@ -31,17 +31,17 @@
     }
 }
 
-/// Most regions that a table can tell apart.
-pub const REGIONS_MAX: usize = NONE as usize;
+/// Maximum number of regions in a table.
+pub const REGIONS_MAX: usize = NO_REGION as usize;
 
-/// Stands for "no block" among the regions.
-const NONE: u16 = u16::MAX;
+/// Packed value of addresses that are in no block.
+const NO_REGION: u16 = u16::MAX;
 
-/// Blocks flattened to disjoint ranges. Each range starts at `starts[i]` and
-/// ends before the next start.
+/// Client blocks flattened to disjoint ranges. Range `i` starts at `starts[i]`, ends
+/// before the next start and belongs to `regions[i]`.
 ///
-/// Every process holds one for all client blocks, and two while a version
-/// changes; six bytes a range keep that small beside its other state.
+/// Every process holds a table of all client blocks, and two during a change of
+/// version. At six bytes per range they are small compared with its other state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BlockTable {
     starts: Vec<u32>,
@@ -49,7 +49,8 @@
 }
 
 impl BlockTable {
-    /// Flattens nested blocks; where two blocks are equal the later one wins.
+    /// Builds the table from blocks in any order. Of two equal blocks the later one
+    /// wins.
     ///
     /// # Panics
     /// If a region's index is not below [`REGIONS_MAX`].
@@ -59,8 +60,8 @@
         Self::from_sorted(blocks)
     }
 
-    /// The same of blocks that come sorted by first address, then length, so
-    /// that they needn't all be in memory.
+    /// Builds the table from blocks sorted by first address, then by length, which
+    /// need not all be in memory.
     ///
     /// # Panics
     /// If a region's index is not below [`REGIONS_MAX`].
@@ -70,7 +71,7 @@
         let mut open: Vec<Block> = Vec::new();
         for block in blocks {
             table.close_before(&mut open, u64::from(block.base));
-            table.begin(u64::from(block.base), Some(block.region));
+            table.start_range(u64::from(block.base), Some(block.region));
             open.push(block);
         }
         table.close_before(&mut open, 1 << 32);
@@ -79,7 +80,7 @@
         table
     }
 
-    /// Region of the longest block that holds `addr`.
+    /// Returns the region of the longest block that contains `addr`, if any.
     #[must_use]
     pub fn region(&self, addr: Ipv4Addr) -> Option<Region> {
         let addr = u32::from(addr);
@@ -87,24 +88,27 @@
         after.checked_sub(1).and_then(|i| unpack(self.regions[i]))
     }
 
-    /// All ranges in order: first address, and region if a block holds it.
+    /// Lists all ranges in order: first address, and the region if the range is in a
+    /// block.
     pub fn ranges(&self) -> impl Iterator<Item = (u32, Option<Region>)> {
         let regions = self.regions.iter().copied().map(unpack);
         self.starts.iter().copied().zip(regions)
     }
 
-    /// Number of disjoint ranges.
+    /// Returns the number of ranges.
     #[must_use]
     pub fn len(&self) -> usize {
         self.starts.len()
     }
 
-    /// Whether there are no ranges.
+    /// Returns whether the table has no ranges.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.starts.is_empty()
     }
 
+    /// Closes the open blocks that end before `next`; the range behind each belongs to
+    /// the block around it.
     fn close_before(&mut self, open: &mut Vec<Block>, next: u64) {
         while let Some(inner) = open.last().copied() {
             let end = u64::from(inner.last()) + 1;
@@ -113,12 +117,13 @@
             }
             open.pop();
             let outer = open.last().map(|b| b.region);
-            self.begin(end, outer);
+            self.start_range(end, outer);
         }
     }
 
-    /// Starts a range at `start`; a range of no length before it disappears.
-    fn begin(&mut self, start: u64, region: Option<Region>) {
+    /// Starts a range at `start`. Replaces the last range if it starts there too, and
+    /// extends it if it has the same region.
+    fn start_range(&mut self, start: u64, region: Option<Region>) {
         let Ok(start) = u32::try_from(start) else {
             return;
         };
@@ -137,14 +142,14 @@
 
 fn pack(region: Option<Region>) -> u16 {
     let Some(region) = region else {
-        return NONE;
+        return NO_REGION;
     };
     let index = u16::try_from(region.index()).ok();
     index
-        .filter(|&index| index != NONE)
+        .filter(|&index| index != NO_REGION)
         .expect("the verifier keeps regions below REGIONS_MAX")
 }
 
 fn unpack(packed: u16) -> Option<Region> {
-    (packed != NONE).then(|| Region::new(usize::from(packed)))
+    (packed != NO_REGION).then(|| Region::new(usize::from(packed)))
 }
--- a/crates/steer/src/version/lookup.rs
+++ b/crates/steer/src/version/lookup.rs
@@ -1,7 +1,8 @@
-//! Which entry instances a caller should use.
+//! Look-ups: choice of the entry instances that a caller should use.
 //!
-//! Invariant: a look-up reads one immutable table, takes no lock, allocates
-//! nothing, and its work grows with the instances of one region only.
+//! Invariant: a look-up reads one immutable table, takes no lock and allocates
+//! nothing. Its cost is linear in the members of one region; all members are read
+//! only if the caller's region is unknown or has fewer than [`CHOICES_MAX`].
 
 use std::sync::Arc;
 
@@ -9,98 +10,98 @@
 
 use super::view;
 
-/// Choices in one answer: one to use, two to fall back on.
+/// Number of entry instances in an answer: one to use and two fallbacks.
 pub const CHOICES_MAX: usize = 3;
 
-/// Entry instances to use, in the order to try them.
+/// Entry instances in the order in which a caller should try them.
 pub type Choices = [Option<view::Member>; CHOICES_MAX];
 
-/// The live members of each region, made once per view.
+/// Live members of each region, built once per view.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    regions: SecondaryMap<view::Region, Vec<Seat>>,
-    all: Vec<Seat>,
+    regions: SecondaryMap<view::Region, Vec<Candidate>>,
+    all: Vec<Candidate>,
 }
 
-/// A live member and the hash of its name, which stays the same when its
-/// process is replaced, so that its callers come back to it.
+/// Live member and the hash of its name. A process that replaces it under the same
+/// name has the same hash, and so gets the same callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Seat {
+struct Candidate {
     member: view::Member,
     hash: u64,
 }
 
 impl Table {
-    /// The table of one view.
+    /// Builds the table of a view.
     #[must_use]
     pub fn new(view: &view::View) -> Self {
         let mut table = Self::default();
         for (member, data) in view.members.iter() {
-            if !takes_callers(view, data) {
+            if !accepts_callers(view, data) {
                 continue;
             }
             let hash = hash_name(&data.name);
-            let seat = Seat { member, hash };
+            let candidate = Candidate { member, hash };
             let region = view.domains[data.domain].region;
-            table.regions[region].push(seat);
-            table.all.push(seat);
+            table.regions[region].push(candidate);
+            table.all.push(candidate);
         }
         table
     }
 
-    /// Chooses for a caller: members of its region first, then any. The order
-    /// is a rendezvous of caller and member, so that the callers of a member
-    /// that left fall evenly on the others and nobody else moves.
+    /// Chooses members for a caller, given the hash of its identity: those of its
+    /// region first, then any. Ranked by rendezvous hashing, so that the callers of a
+    /// member that leaves are spread evenly over the others and no other caller moves.
     #[must_use]
     pub fn choose(&self, region: Option<view::Region>, caller: u64) -> Choices {
-        let mut found = Top::default();
+        let mut ranking = Ranking::default();
         if let Some(region) = region {
-            found.add(&self.regions[region], caller, None);
+            ranking.add(&self.regions[region], caller, None);
         }
-        let near = found.len;
-        if near < CHOICES_MAX {
-            found.add(&self.all, caller, Some(near));
+        let locals = ranking.len;
+        if locals < CHOICES_MAX {
+            ranking.add(&self.all, caller, Some(locals));
         }
-        found.members
+        ranking.members
     }
 
-    /// Number of members that take callers.
+    /// Returns the number of members that accept callers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether nobody takes callers.
+    /// Returns whether no member accepts callers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 }
 
-fn takes_callers(view: &view::View, data: &view::MemberData) -> bool {
-    let drained = view
+fn accepts_callers(view: &view::View, data: &view::MemberData) -> bool {
+    let is_drained = view
         .entry(&data.name)
         .is_some_and(|entry| view.entries[entry].state == view::State::Leaving);
-    data.state == view::State::Live && !drained
+    data.state == view::State::Live && !is_drained
 }
 
-/// The best-ranked members so far, best first.
+/// Highest-ranked members found so far, in descending order of rank.
 #[derive(Default)]
-struct Top {
+struct Ranking {
     members: Choices,
     ranks: [u64; CHOICES_MAX],
     len: usize,
 }
 
-impl Top {
-    /// Merges seats in behind the first `keep` places.
-    fn add(&mut self, seats: &[Seat], caller: u64, keep: Option<usize>) {
+impl Ranking {
+    /// Merges candidates into the choices, behind the first `keep` ones.
+    fn add(&mut self, candidates: &[Candidate], caller: u64, keep: Option<usize>) {
         let floor = keep.unwrap_or(0);
-        for seat in seats {
-            if self.members[..floor].contains(&Some(seat.member)) {
+        for candidate in candidates {
+            if self.members[..floor].contains(&Some(candidate.member)) {
                 continue;
             }
-            self.insert(floor, seat.member, mix(caller ^ seat.hash));
+            self.insert(floor, candidate.member, mix(caller ^ candidate.hash));
         }
     }
 
@@ -118,13 +119,13 @@
     }
 }
 
-/// Hash of a name: FNV-1a, the same in every process and version.
+/// Returns the FNV-1a hash of a name, which is the same in every process and version.
 #[must_use]
 pub fn hash_name(name: &Arc<str>) -> u64 {
     hash_bytes(name.as_bytes())
 }
 
-/// Hash of bytes: FNV-1a, the same in every process and version.
+/// Returns the FNV-1a hash of bytes, which is the same in every process and version.
 #[must_use]
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -133,7 +134,7 @@
     bytes.iter().fold(OFFSET, step)
 }
 
-/// Spreads the bits of a combined hash (the finaliser of `SplitMix64`).
+/// Mixes the bits of a combined hash with the finaliser of `SplitMix64`.
 const fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/steer/tests/blocks.rs
+++ b/crates/steer/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! The table of client blocks against a search through the blocks themselves.
+//! Tests of the table of client blocks.
 
 use std::net::Ipv4Addr;
 
@@ -16,15 +16,16 @@
     }
 }
 
-/// The longest block that holds the address, by looking at each.
+/// Returns the region of the longest block that contains the address, by linear search.
 fn longest(blocks: &[Block], addr: u32) -> Option<Region> {
     let holds = |block: &&Block| block.base <= addr && addr <= block.last();
     let found = blocks.iter().filter(holds).max_by_key(|block| block.len);
     found.map(|block| block.region)
 }
 
-/// Blocks nest, touch, and reach the first and last address. Whatever address a
-/// caller has, the table answers as a search through all blocks does.
+/// Nested and adjacent blocks, and blocks at the first and last address, must not get
+/// lost when they are flattened. The table is compared with a linear search, at the
+/// edges of all blocks and at a random address.
 #[rstest]
 #[case::few(1, 8)]
 #[case::nested(2, 40)]
@@ -50,6 +51,7 @@
     }
 }
 
+/// The ranges must cover all addresses, each with the region of its innermost block.
 #[test]
 fn ranges_cover_all() {
     let table = BlockTable::new(vec![block(0, 0, 1), block(1 << 31, 1, 2)]);
--- a/crates/steer/tests/lookup.rs
+++ b/crates/steer/tests/lookup.rs
@@ -1,16 +1,17 @@
-//! Look-ups spread callers evenly, keep to their region, and move nobody but
-//! the callers of an instance that left.
+//! Tests of look-ups: callers are spread evenly, stay in their region, and only those
+//! of an instance that left are moved.
 
 use std::sync::Arc;
 
 use rstest::rstest;
 use steer::version::{lookup, view};
 
-const CALLERS: u64 = 20_000;
+/// Number of callers in the tests of an even spread.
+const CALLERS_COUNT: u64 = 20_000;
 
-/// Seven instances as in a small deployment: three in the first region, two in each of
-/// the others, all alive but those named.
-fn fleet(gone: &[&str], leaving: &[&str]) -> view::View {
+/// Builds a view of seven instances: three in the region `seq`, two in each of two
+/// others. Those in `gone` are missing, those in `leaving` are draining.
+fn view_of(gone: &[&str], leaving: &[&str]) -> view::View {
     let mut view = view::View {
         version: view::Version(1),
         ..view::View::default()
@@ -29,9 +30,9 @@
                 name: name.into(),
                 region,
             });
-            let twins: &[&str] = if name == "s1" { &["a", "b"] } else { &["a"] };
-            for twin in twins {
-                let name: Arc<str> = format!("{name}-{twin}").into();
+            let instances: &[&str] = if name == "s1" { &["a", "b"] } else { &["a"] };
+            for instance in instances {
+                let name: Arc<str> = format!("{name}-{instance}").into();
                 if gone.contains(&&*name) {
                     continue;
                 }
@@ -54,8 +55,8 @@
     view
 }
 
-/// Names of a caller's choices, in order.
-fn chosen(view: &view::View, region: Option<&str>, caller: u64) -> Vec<Arc<str>> {
+/// Returns the names of a caller's choices, in order.
+fn choices_of(view: &view::View, region: Option<&str>, caller: u64) -> Vec<Arc<str>> {
     let table = lookup::Table::new(view);
     names(view, &table, region, caller)
 }
@@ -72,11 +73,11 @@
     choices.map(|m| Arc::clone(&view.members[m].name)).collect()
 }
 
-/// How many callers have each instance as their first choice.
-fn first(view: &view::View, region: Option<&str>) -> Vec<(Arc<str>, u64)> {
+/// Counts the callers that have each instance as their first choice.
+fn count_first_choices(view: &view::View, region: Option<&str>) -> Vec<(Arc<str>, u64)> {
     let table = lookup::Table::new(view);
     let mut counts: Vec<(Arc<str>, u64)> = Vec::new();
-    for caller in 0..CALLERS {
+    for caller in 0..CALLERS_COUNT {
         let hash = lookup::hash_bytes(&caller.to_le_bytes());
         let name = names(view, &table, region, hash).swap_remove(0);
         match counts.binary_search_by(|c| c.0.cmp(&name)) {
@@ -87,10 +88,10 @@
     counts
 }
 
-/// Within a twentieth of an even share.
+/// Checks that each instance has an even share of the callers to within a twentieth.
 fn assert_even(counts: &[(Arc<str>, u64)], instances: u64) {
     assert_eq!(counts.len() as u64, instances, "{counts:?}");
-    let even = CALLERS / instances;
+    let even = CALLERS_COUNT / instances;
     for (name, count) in counts {
         assert!(
             count.abs_diff(even) < even / 20,
@@ -99,6 +100,8 @@
     }
 }
 
+/// An uneven spread would overload one instance. The callers of an instance that is
+/// gone have to be spread evenly too.
 #[rstest]
 #[case::unknown(None, &[], 7)]
 #[case::home(Some("seq"), &[], 3)]
@@ -107,18 +110,19 @@
 #[case::one_of_home_gone(Some("seq"), &["s2-a"], 2)]
 #[case::home_gone(Some("fnq"), &["f1-a", "f2-a"], 5)]
 fn choose_evenly(#[case] region: Option<&str>, #[case] gone: &[&str], #[case] instances: u64) {
-    assert_even(&first(&fleet(gone, &[]), region), instances);
+    assert_even(&count_first_choices(&view_of(gone, &[]), region), instances);
 }
 
+/// A caller must not move when an instance that it does not use leaves.
 #[test]
 fn choose_moves_only_callers_of_gone() {
-    let (before, after) = (fleet(&[], &[]), fleet(&["c1-a"], &[]));
+    let (before, after) = (view_of(&[], &[]), view_of(&["c1-a"], &[]));
     for caller in 0..1_000_u64 {
         let hash = lookup::hash_bytes(&caller.to_le_bytes());
-        let old = chosen(&before, None, hash);
-        let new = chosen(&after, None, hash);
+        let old = choices_of(&before, None, hash);
+        let new = choices_of(&after, None, hash);
         if &*old[0] == "c1-a" {
-            // The second choice, which the caller holds already, is the new first.
+            // Callers know their second choice already, and have to move to it.
             assert_eq!(new[0], old[1]);
         } else {
             assert_eq!(new[0], old[0]);
@@ -126,23 +130,26 @@
     }
 }
 
+/// A caller whose region has fewer instances than choices gets those of its region
+/// first, then one of another region.
 #[test]
 fn choose_home_then_others() {
-    let view = fleet(&[], &[]);
-    let near = chosen(&view, Some("cq"), 7);
-    assert_eq!(near.len(), lookup::CHOICES_MAX);
+    let view = view_of(&[], &[]);
+    let choices = choices_of(&view, Some("cq"), 7);
+    assert_eq!(choices.len(), lookup::CHOICES_MAX);
     assert!(
-        near[..2].iter().all(|name| name.starts_with('c')),
-        "{near:?}"
+        choices[..2].iter().all(|name| name.starts_with('c')),
+        "{choices:?}"
     );
-    assert!(!near[2].starts_with('c'));
+    assert!(!choices[2].starts_with('c'));
 }
 
+/// An instance that is draining must not get new callers.
 #[test]
 fn choose_nobody_leaving() {
-    let view = fleet(&[], &["s1-a", "s1-b"]);
+    let view = view_of(&[], &["s1-a", "s1-b"]);
     for caller in 0..100 {
-        let names = chosen(&view, Some("seq"), caller);
+        let names = choices_of(&view, Some("seq"), caller);
         assert!(
             names.iter().all(|name| !name.starts_with("s1")),
             "{names:?}"
@@ -150,20 +157,22 @@
     }
 }
 
-/// An operator drains an instance that still says it is live.
+/// An instance that an operator drains must not get new callers, even while it still
+/// reports that it is live.
 #[test]
 fn choose_nobody_drained() {
-    let mut view = fleet(&[], &[]);
+    let mut view = view_of(&[], &[]);
     let domain = view.domain("c1").expect("the plan has it");
     view.entries.push(view::EntryData {
         name: "c1-a".into(),
         domain,
         state: view::State::Leaving,
     });
-    let names = chosen(&view, Some("cq"), 1);
+    let names = choices_of(&view, Some("cq"), 1);
     assert!(!names.iter().any(|name| &**name == "c1-a"), "{names:?}");
 }
 
+/// Without instances a look-up returns no choices, and does not panic.
 #[test]
 fn choose_from_nobody() {
     let view = view::View::default();
