--- a/crates/steer/src/version/routes.rs
+++ b/crates/steer/src/version/routes.rs
@@ -1,7 +1,7 @@
-//! Routes by host and path: what a request is allowed to do, and where it goes.
+//! Routing table: routes by host and path prefix, and the services behind them.
 //!
-//! Invariant: routes are sorted by host and prefix and no two share both, so
-//! that a request finds at most one route, the one with the longest prefix.
+//! Invariant: routes are sorted by host and prefix, and no two share both. A request
+//! thus matches at most one route, the one with the longest prefix.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -10,46 +10,46 @@
 
 use super::teams::Teams;
 
-/// A part of a route's requests.
+/// Service and the weight of its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// Name of the service that gets it.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its share is this over the sum of all weights.
+    /// Weight of its share, relative to the sum of the route's weights.
     pub weight: f64,
 }
 
-/// How requests of one host and path prefix are served.
+/// Route of the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name of the route.
     pub name: Arc<str>,
-    /// Host it is for, in lower case.
+    /// Host that it matches, in lower case.
     pub host: Arc<str>,
-    /// Start of the paths it is for; begins and ends with a slash.
+    /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether a request may run more than once.
     pub is_idempotent: bool,
-    /// Longest time that a request is kept waiting.
+    /// Time within which a request is answered or rejected.
     pub timeout: Duration,
-    /// Latency objective: an answer within it earns its full benefit.
+    /// Latency objective: an answer within it has its full value.
     pub latency_goal: Duration,
-    /// Targets that one request may be sent to.
+    /// Maximum number of targets that a request is sent to.
     pub attempts_max: usize,
-    /// Rank among the routes of a service; 0 is the most urgent.
+    /// Priority among the routes of a service; 0 is the most urgent.
     pub priority: u32,
-    /// Services and their weights; one part of weight 1 without a split.
+    /// Services and their weights; a single one of weight 1 without a split.
     pub services: Vec<WeightedService>,
-    /// Whether targets are faster with objects that they handled lately.
+    /// Whether targets are faster for objects that they have handled recently.
     pub has_affinity: bool,
-    /// Regions that may serve it; any if empty. Sorted.
+    /// Regions that may serve it, sorted. Empty allows all.
     pub home_regions: Vec<Arc<str>>,
-    /// Whether it is open to callers without a key.
+    /// Whether callers without a key are admitted.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Whether a region may serve this route.
+    /// Returns whether a region may serve this route.
     #[must_use]
     pub fn allows(&self, region: &str) -> bool {
         allows(&self.home_regions, region)
@@ -66,62 +66,64 @@
             .is_ok()
 }
 
-/// What is known of a service besides its targets.
+/// Settings of a service, apart from its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Path of the targets' health check.
+    /// Path of the health check of its targets.
     pub health_path: Arc<str>,
-    /// Connections that a target takes from all callers together.
+    /// Maximum number of connections that a target accepts from all clients together.
     pub connections_max: usize,
-    /// How long a target stays cold after its start.
+    /// Time for which a target counts as cold after its start.
     pub warmup: Duration,
-    /// Requests a second that a cold target bears.
+    /// Requests per second that a cold target can serve.
     pub cold_rate: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head of a request in bytes.
+    /// Maximum length of a request head in bytes.
     pub head_bytes: usize,
-    /// Longest body of a request in bytes.
+    /// Maximum length of a request body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Time within which a request head has to arrive.
     pub head_timeout: Duration,
-    /// Time that a connection may lie idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Two routes claim the same requests.
+/// Two routes have the same host and prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("routes {first} and {second} share host and prefix; remove one of them")]
 pub struct Conflict {
-    /// One of the two.
+    /// Name of one route.
     pub first: Arc<str>,
-    /// The other.
+    /// Name of the other route.
     pub second: Arc<str>,
 }
 
-/// One version of the operator's document.
+/// Routing configuration: one version of the operators' document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routes {
-    /// Its version; versions only rise.
+    /// Version of the document. Versions only increase.
     pub version: u64,
+    /// Sorted by host and prefix.
     table: Vec<Arc<Route>>,
+    /// Sorted by name.
     services: Vec<Service>,
-    /// Bounds on callers.
+    /// Limits on the requests and connections of callers.
     pub limits: Limits,
-    /// Whose requests may come; anybody's if there are none.
+    /// Teams whose requests are admitted. Without teams, all requests are.
     pub teams: Teams,
 }
 
 impl Routes {
-    /// Sorts routes and services.
+    /// Creates a configuration without teams.
     ///
     /// # Errors
-    /// If two routes share host and prefix.
+    /// Returns a conflict if two routes share host and prefix.
     pub fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -149,14 +151,14 @@
         })
     }
 
-    /// The same for these teams only.
+    /// Replaces the teams.
     #[must_use]
     pub fn with_teams(self, teams: Teams) -> Self {
         Self { teams, ..self }
     }
 
-    /// The route of a request: of its host, with the longest prefix of `path`.
-    /// `host` is in lower case and without a port.
+    /// Finds the route of `host` with the longest prefix of `path`. `host` has to be in
+    /// lower case and without a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let mut rest = path;
@@ -174,7 +176,8 @@
         None
     }
 
-    /// Regions that may serve a host's requests, if all of its routes name some.
+    /// Lists the home regions of all routes of a host, in any letter case. Returns an
+    /// empty list if a route of the host allows all regions.
     #[must_use]
     pub fn home_regions(&self, host: &str) -> Vec<Arc<str>> {
         let host = host.to_ascii_lowercase();
@@ -190,20 +193,20 @@
         home_regions
     }
 
-    /// The service of this name.
+    /// Finds a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         let found = self.services.binary_search_by(|s| (*s.name).cmp(name));
         found.ok().map(|at| &self.services[at])
     }
 
-    /// All services, sorted by name.
+    /// Returns all services, sorted by name.
     #[must_use]
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// All routes, sorted by host and prefix.
+    /// Returns all routes, sorted by host and prefix.
     #[must_use]
     pub fn routes(&self) -> &[Arc<Route>] {
         &self.table
--- a/crates/steer/src/version/teams.rs
+++ b/crates/steer/src/version/teams.rs
@@ -1,8 +1,7 @@
-//! Teams: whose requests may come, known by which keys, which regions may serve
-//! them, and how many are admitted.
+//! Teams: their keys, home regions, priorities and quotas.
 //!
-//! Invariants: a key is held as its digest only, so nothing that prints or sends
-//! a configuration can give one away; no key belongs to two teams.
+//! Invariants: only the digest of a key is held, so that nothing that prints or
+//! sends a configuration can disclose a key. No key belongs to two teams.
 
 use core::cmp::Ordering;
 use core::fmt;
@@ -12,21 +11,23 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// The SHA-256 digest of a team's key. Prints as its first four bytes.
+/// SHA-256 digest of a team's key. Prints as its first four bytes, and is compared in
+/// constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; 32]);
 
-/// Digits of a digest that are printed: enough to tell keys apart.
-const SHOWN: usize = 8;
+/// Number of hexadecimal digits of a digest that are printed, enough to tell keys
+/// apart.
+const SHOWN_DIGITS: usize = 8;
 
 impl KeyDigest {
-    /// The digest of a key as a caller presents it.
+    /// Computes the digest of a key as a caller presents it.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// From its 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 64 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -39,7 +40,7 @@
         Some(Self(bytes))
     }
 
-    /// All 64 hexadecimal digits.
+    /// Formats the digest as 64 hexadecimal digits.
     #[must_use]
     pub fn hex(&self) -> String {
         let digit = |nibble: u8| char::from_digit(nibble.into(), 16).unwrap_or_default();
@@ -70,7 +71,7 @@
 
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "key {}", &self.hex()[..SHOWN])
+        write!(f, "key {}", &self.hex()[..SHOWN_DIGITS])
     }
 }
 
@@ -80,65 +81,66 @@
     }
 }
 
-/// Requests of a team that all instances together admit.
+/// Token bucket of the requests of a team that all instances together admit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained rate in requests per second.
     pub rate: f64,
-    /// Requests at once beyond that.
+    /// Requests admitted at once beyond the rate.
     pub burst: f64,
 }
 
-/// Whose requests they are.
+/// Customer account, on whose behalf callers send requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name, which targets are told.
+    /// Name, which is passed on to targets.
     pub name: Arc<str>,
-    /// Rank of its requests in place of the route's; 0 is the most urgent.
+    /// Priority of its requests in place of the route's; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// Regions that may serve it; any if empty. Sorted.
+    /// Regions that may serve its requests, sorted. Empty allows all.
     pub home_regions: Vec<Arc<str>>,
-    /// Requests admitted; any number if none.
+    /// Quota of its requests; `None` admits any number.
     pub quota: Option<Quota>,
 }
 
-/// Two teams claim the same.
+/// Two teams have the same name or share a key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Conflict {
-    /// A name.
+    /// The same name.
     #[error("two teams are named {0}; rename one of them")]
     Name(Arc<str>),
-    /// A key.
+    /// A shared key.
     #[error("teams {first} and {second} share {key}; give each a key of its own")]
     Key {
         /// Digest of the key.
         key: KeyDigest,
-        /// One of the two.
+        /// Name of one team.
         first: Arc<str>,
-        /// The other.
+        /// Name of the other team.
         second: Arc<str>,
     },
 }
 
-/// All teams of a configuration.
+/// Teams of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Teams {
     /// Sorted by name.
     teams: Vec<Arc<Team>>,
-    /// Sorted by digest, with the team's place.
+    /// Digests in order, each with the index of its team.
     keys: Vec<(KeyDigest, usize)>,
 }
 
 impl Teams {
-    /// Sorts teams and their keys. A key that a team names twice counts once.
+    /// Creates the table from teams and the digests of their keys. A key that a team
+    /// lists twice counts once.
     ///
     /// # Errors
-    /// If two teams share a name or a key.
+    /// Returns a conflict if two teams share a name or a key.
     pub fn new(mut teams: Vec<(Team, Vec<KeyDigest>)>) -> Result<Self, Conflict> {
         teams.sort_by(|a, b| a.0.name.cmp(&b.0.name));
-        let same = teams.windows(2).find(|w| w[0].0.name == w[1].0.name);
-        if let Some(same) = same {
-            return Err(Conflict::Name(Arc::clone(&same[0].0.name)));
+        let duplicate = teams.windows(2).find(|w| w[0].0.name == w[1].0.name);
+        if let Some(pair) = duplicate {
+            return Err(Conflict::Name(Arc::clone(&pair[0].0.name)));
         }
         let mut keys = Vec::new();
         for (at, (_, digests)) in teams.iter().enumerate() {
@@ -158,33 +160,33 @@
         Ok(Self { teams, keys })
     }
 
-    /// Whether there are none, so that requests need no key.
+    /// Returns whether there are no teams, so that requests need no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// The team that holds a key.
+    /// Finds the team that holds a key.
     #[must_use]
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<Team>> {
         let found = self.keys.binary_search_by(|(known, _)| known.cmp(key));
         found.ok().map(|at| &self.teams[self.keys[at].1])
     }
 
-    /// The team of this name.
+    /// Finds a team by name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Arc<Team>> {
         let found = self.teams.binary_search_by(|team| (*team.name).cmp(name));
         found.ok().map(|at| &self.teams[at])
     }
 
-    /// All teams, sorted by name.
+    /// Returns all teams, sorted by name.
     #[must_use]
     pub fn all(&self) -> &[Arc<Team>] {
         &self.teams
     }
 
-    /// How many keys they hold together.
+    /// Returns the number of keys of all teams.
     #[must_use]
     pub const fn keys(&self) -> usize {
         self.keys.len()
@@ -192,7 +194,7 @@
 }
 
 impl Team {
-    /// Whether a region may serve this team.
+    /// Returns whether a region may serve this team.
     #[must_use]
     pub fn allows(&self, region: &str) -> bool {
         super::routes::allows(&self.home_regions, region)
