--- a/crates/steer/src/version/view.rs
+++ b/crates/steer/src/version/view.rs
@@ -1,8 +1,8 @@
-//! The immutable picture of the world that one decision is made from.
+//! Immutable snapshot of the configuration and the known instances.
 //!
-//! A [`View`] joins one accepted version of the configuration with the newest
-//! list of instances. Invariant: once built it never changes; references are
-//! valid for this view only, names stay valid across views.
+//! A [`View`] joins one accepted version of the configuration with the newest list
+//! of instances. Invariant: a view never changes once built. Entity references are
+//! valid for one view only; names stay valid across views.
 
 use core::fmt;
 use core::time::Duration;
@@ -15,39 +15,39 @@
 use super::blocks::BlockTable;
 
 entity_ref! {
-    /// A region: failure domains that share links to other regions.
+    /// Region: failure domains that share links to other regions.
     Region, "region"
 }
 entity_ref! {
-    /// A failure domain.
+    /// Failure domain.
     Domain, "domain"
 }
 entity_ref! {
-    /// A site: the targets of one data centre, within one failure domain.
+    /// Site: the targets of one data centre, within one failure domain.
     Site, "site"
 }
 entity_ref! {
-    /// A service that sites serve.
+    /// Service that sites serve.
     Service, "service"
 }
 entity_ref! {
-    /// A class of services; a lower index is served first.
+    /// Priority class of services. Classes with a lower index are served first.
     Class, "class"
 }
 entity_ref! {
-    /// An instance that runs a service.
+    /// Target: an instance that runs a service.
     Target, "target"
 }
 entity_ref! {
-    /// An entry instance of this system, by its configured name.
+    /// Configured entry instance of this system.
     Entry, "entry"
 }
 entity_ref! {
-    /// A process of this system that is believed alive.
+    /// Process of this system that is considered alive.
     Member, "member"
 }
 
-/// The number of an accepted configuration. Zero is "none yet".
+/// Version number of an accepted configuration. Zero stands for none.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -59,7 +59,7 @@
     }
 }
 
-/// Identity of one process: random at each start, never reused.
+/// Identity of one process, drawn at random at each start and never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -71,24 +71,24 @@
     }
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new requests.
     Live,
-    /// Finishes what it has; gets nothing new.
+    /// Draining: finishes its requests and gets no new ones.
     Leaving,
 }
 
-/// A region's facts.
+/// Properties of a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionData {
     /// Name, unique among regions.
     pub name: Arc<str>,
 }
 
-/// A failure domain's facts.
+/// Properties of a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DomainData {
     /// Name, unique among domains.
@@ -97,7 +97,7 @@
     pub region: Region,
 }
 
-/// A site's facts.
+/// Properties of a site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteData {
     /// Name, unique among sites.
@@ -108,52 +108,52 @@
     pub state: State,
 }
 
-/// A class's facts.
+/// Properties of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassData {
     /// Name, unique among classes.
     pub name: Arc<str>,
-    /// Share of an instance's queue that the class may fill, 1 to 100 percent.
+    /// Share of an instance's queue that the class may use, from 1 to 100 percent.
     pub queue_percent: u8,
 }
 
-/// A service's facts.
+/// Properties of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceData {
     /// Name, unique among services.
     pub name: Arc<str>,
-    /// Class that decides who yields first.
+    /// Priority class.
     pub class: Class,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may run more than once.
     pub is_idempotent: bool,
-    /// Time a request has when its caller states no deadline.
+    /// Default deadline of requests whose callers give none.
     pub deadline: Duration,
-    /// Sites that serve it, sorted.
+    /// Sites that serve it, in ascending order.
     pub sites: Vec<Site>,
 }
 
-/// A target's facts.
+/// Properties of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetData {
     /// Name, unique among targets.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
     /// Site it belongs to.
     pub site: Site,
     /// Service it runs.
     pub service: Service,
-    /// Requests it runs at a time.
+    /// Number of requests that it runs at a time.
     pub slots: u32,
-    /// Whether the list or an operator says it is leaving.
+    /// [`State::Leaving`] if the list of instances or an operator says so.
     pub state: State,
 }
 
-/// An entry instance's facts, as configured. Static shares of a cap are counted
-/// by these, not by the processes that happen to be alive.
+/// Properties of a configured entry instance. Static shares of a cap are computed from
+/// these, not from the processes that are currently alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryData {
-    /// Name, unique among entry instances; a replacement takes it over.
+    /// Name, unique among entry instances. A replacement has the same name.
     pub name: Arc<str>,
     /// Failure domain it runs in.
     pub domain: Domain,
@@ -161,50 +161,51 @@
     pub state: State,
 }
 
-/// A process of this system that is believed alive, as it spoke of itself.
+/// Properties of a process of this system that is considered alive, as it reported
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberData {
-    /// Name of the entry instance that the process is.
+    /// Name of its entry instance.
     pub name: Arc<str>,
-    /// Which process it is.
+    /// Identity of the process.
     pub incarnation: Incarnation,
     /// Failure domain it runs in.
     pub domain: Domain,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
-    /// Whether it takes new callers.
+    /// Whether it accepts new callers.
     pub state: State,
 }
 
-/// What one pair of regions can carry in one direction.
+/// Capacity between two regions in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Link {
     /// Sending region.
     pub from: Region,
     /// Receiving region.
     pub to: Region,
-    /// Limit in bits per second, over all instances.
+    /// Limit in bits per second over all instances.
     pub bits_per_s: u64,
 }
 
-/// How far one service's traffic may shift from one region to another.
+/// Bound on the traffic of a service that is shifted from one region to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shift {
-    /// Service the intent is for.
+    /// Service whose traffic may be shifted.
     pub service: Service,
-    /// Region whose callers are moved.
+    /// Region of the callers.
     pub from: Region,
-    /// Region that takes them.
+    /// Region that serves them instead.
     pub to: Region,
-    /// Cap in requests per second, over all instances.
+    /// Maximum rate in requests per second over all instances.
     pub cap: u64,
-    /// Time over which a shift grows from nothing to its cap, for cold caches.
+    /// Time over which the rate grows from zero to the cap, so that caches can warm up.
     pub ramp: Duration,
 }
 
-/// One version of the configuration joined with the list of instances.
+/// Snapshot of one version of the configuration and the list of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     /// Version of the configuration behind this view.
@@ -215,7 +216,7 @@
     pub domains: PrimaryMap<Domain, DomainData>,
     /// All sites, sorted by name.
     pub sites: PrimaryMap<Site, SiteData>,
-    /// All classes, the one served first in front.
+    /// All classes, in the order in which they are served.
     pub classes: PrimaryMap<Class, ClassData>,
     /// All services, sorted by name.
     pub services: PrimaryMap<Service, ServiceData>,
@@ -223,60 +224,60 @@
     pub targets: PrimaryMap<Target, TargetData>,
     /// All configured entry instances, sorted by name.
     pub entries: PrimaryMap<Entry, EntryData>,
-    /// All processes of this system believed alive, sorted by name.
+    /// All processes of this system that are considered alive, sorted by name.
     pub members: PrimaryMap<Member, MemberData>,
-    /// Limits between regions, sorted by `(from, to)`.
+    /// Links between regions, sorted by `(from, to)`.
     pub links: Vec<Link>,
-    /// Intents to shift, sorted by `(service, from, to)`.
+    /// Permitted shifts, sorted by `(service, from, to)`.
     pub shifts: Vec<Shift>,
-    /// Client blocks; shared by the versions that leave them unchanged.
+    /// Client blocks. Versions that don't change them share the table.
     pub blocks: Arc<BlockTable>,
 }
 
 impl View {
-    /// Region of this name.
+    /// Finds a region by name.
     #[must_use]
     pub fn region(&self, name: &str) -> Option<Region> {
         self.regions.find_name(name, |data| &data.name)
     }
 
-    /// Failure domain of this name.
+    /// Finds a failure domain by name.
     #[must_use]
     pub fn domain(&self, name: &str) -> Option<Domain> {
         self.domains.find_name(name, |data| &data.name)
     }
 
-    /// Site of this name.
+    /// Finds a site by name.
     #[must_use]
     pub fn site(&self, name: &str) -> Option<Site> {
         self.sites.find_name(name, |data| &data.name)
     }
 
-    /// Service of this name.
+    /// Finds a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<Service> {
         self.services.find_name(name, |data| &data.name)
     }
 
-    /// Target of this name.
+    /// Finds a target by name.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<Target> {
         self.targets.find_name(name, |data| &data.name)
     }
 
-    /// Configured entry instance of this name.
+    /// Finds a configured entry instance by name.
     #[must_use]
     pub fn entry(&self, name: &str) -> Option<Entry> {
         self.entries.find_name(name, |data| &data.name)
     }
 
-    /// Process believed alive under this name.
+    /// Finds the process that is considered alive under a name.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<Member> {
         self.members.find_name(name, |data| &data.name)
     }
 
-    /// Failure domain that a target runs in.
+    /// Returns the failure domain of a target.
     #[must_use]
     pub fn target_domain(&self, target: Target) -> Domain {
         self.sites[self.targets[target].site].domain
