--- a/crates/steer/examples/fleet.rs
+++ b/crates/steer/examples/fleet.rs
@@ -1,11 +1,11 @@
-//! Measures fleets of control states in virtual time.
+//! Measures the cost of the control protocol for fleets of processes, in virtual time.
 //!
-//! `cargo run --release -p steer --example fleet -- 7 20 40` prints a row for
-//! each size in ordinary operation; with `events` before the sizes, what an
-//! outage of the store, the restart of a whole failure domain and a region that
-//! is cut off cost. Sizes of the configuration and of the domains follow the target's
-//! proportions. Bytes are those of the payloads as they cross the wire; real
-//! time is that of control, encoding and decoding.
+//! `cargo run --release -p steer --example fleet -- 7 20 40` prints a row for each
+//! number of processes in ordinary operation. With `events` before the numbers, a row
+//! shows the cost of an outage of the store, of the restart of a whole failure domain,
+//! and of a region that is cut off. The sizes of the configuration and of the failure
+//! domains are scaled from a deployment of [`FULL_NODES`] processes. Bytes are those of
+//! encoded payloads; CPU time is the real time of control, encoding and decoding.
 
 #[path = "../tests/control_scenarios/fleet.rs"]
 #[expect(dead_code, reason = "scenarios use more of it")]
@@ -21,25 +21,33 @@
 use steer::process::control::{Safeguards, Snapshot};
 use steer::version::view::Version;
 
-const TARGET: usize = 1500;
-const TARGET_DOMAINS: usize = 69;
+/// Processes in a deployment of full size.
+const FULL_NODES: usize = 1500;
+/// Failure domains in a deployment of full size.
+const FULL_DOMAINS: usize = 69;
 /// Failure domains in a region.
-const PER_REGION: usize = 3;
-/// Base, 230 overlays, and client blocks in 80 parts.
-const TARGET_FILES: usize = 311;
-const CHANGES_A_DAY: f64 = 1300.0;
-const REPLACED_A_DAY: f64 = 470.0;
-const DAY: f64 = 86_400.0;
-/// Bytes of the body that a change replaces.
-const CHANGED: usize = 8192;
-const QUIET: Duration = Duration::from_secs(30);
-const CHANGES: usize = 10;
-const DEATHS: usize = 8;
-/// Bytes that a message costs beyond its payload: the call's frame and that of
-/// its empty answer, and two TCP segments of 52 bytes of headers.
-const OVERHEAD: f64 = 150.0;
+const DOMAINS_PER_REGION: usize = 3;
+/// Files of a configuration of full size: the base, 230 overlays, and client blocks in
+/// 80 parts.
+const FULL_FILES: usize = 311;
+/// Configuration changes per day.
+const CHANGES_PER_DAY: f64 = 1300.0;
+/// Processes replaced per day in a deployment of full size.
+const REPLACED_PER_DAY: f64 = 470.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Size in bytes of the file that a change replaces.
+const CHANGED_BYTES: usize = 8192;
+/// Time over which the rates without events are measured.
+const QUIET_SPAN: Duration = Duration::from_secs(30);
+/// Number of changes measured.
+const CHANGES_COUNT: usize = 10;
+/// Number of deaths of a process measured.
+const DEATHS_COUNT: usize = 8;
+/// Bytes of a message beyond its payload: the frames of the call and of its empty
+/// response, and two TCP segments with headers of 52 bytes.
+const OVERHEAD_BYTES: f64 = 150.0;
 
-/// Totals over all processes at one moment.
+/// Totals over all processes at one time.
 #[derive(Clone, Copy)]
 struct Totals {
     now: Time,
@@ -48,7 +56,7 @@
     spent: Duration,
 }
 
-/// Rates per process and second between two moments.
+/// Rates per process and second between two times.
 #[derive(Clone, Copy)]
 struct Rates {
     bytes: f64,
@@ -61,33 +69,40 @@
     let events = args.first().is_some_and(|a| a == "events");
     let sizes = args.iter().skip(usize::from(events));
     let sizes: Vec<usize> = sizes.map(|a| a.parse().expect("a number")).collect();
-    println!("{}", if events { EVENTS } else { ORDINARY });
+    println!(
+        "{}",
+        if events {
+            EVENTS_HEADER
+        } else {
+            ORDINARY_HEADER
+        }
+    );
     for nodes in sizes {
         if events {
             measure_events(nodes);
         } else {
-            measure(nodes);
+            measure_ordinary(nodes);
         }
     }
 }
 
-const ORDINARY: &str = "nodes domains | quiet: B/s msg/s wireB/s cpu% | \
+const ORDINARY_HEADER: &str = "nodes domains | quiet: B/s msg/s wireB/s cpu% | \
     change: B cpu-ms  p50/p99/max s | death: p50/p99/max s  kB cpu-ms | \
     steady: wireB/s cpu% | store calls/s quiet, max | kB/node";
 
-const EVENTS: &str = "nodes domains | store away 120 s: calls/s mean, max; in the 60 s after: \
+const EVENTS_HEADER: &str = "nodes domains | store away 120 s: calls/s mean, max; in the 60 s after: \
     mean, max | a domain restarted at once: s until the last is ready, \
     s until all are in all look-ups, wireB/s of the other processes | \
     a region cut off for 60 s with a change elsewhere: wireB/s, after it \
     s until all are in all look-ups, s until the change is in force";
 
-/// A fleet with a first version in force, and its files.
-fn settled(nodes: usize) -> (Fleet, Vec<File>) {
-    let domains = (nodes * TARGET_DOMAINS).div_ceil(TARGET).max(6);
+/// Starts a fleet with a first version in force. Returns it with its files.
+fn start_fleet(nodes: usize) -> (Fleet, Vec<File>) {
+    let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
     let mut fleet = Fleet::new(Layout {
         domains,
         nodes,
-        per_region: PER_REGION,
+        per_region: DOMAINS_PER_REGION,
         loss: 0.0,
         seed: 7,
         guards: Safeguards::default(),
@@ -95,7 +110,7 @@
     });
     fleet.timed = true;
     let mut files = Vec::new();
-    for at in 0..(TARGET_FILES * nodes).div_ceil(TARGET).max(4) {
+    for at in 0..(FULL_FILES * nodes).div_ceil(FULL_NODES).max(4) {
         let body = fleet::body(&format!("{at:0>200}"));
         files.push(File {
             name: format!("overlay-of-site-{at:03}").into(),
@@ -106,21 +121,24 @@
     write(&mut fleet, 1, files.clone());
     fleet.run(Duration::from_secs(40));
     let mut versions = fleet.nodes.iter().map(|n| n.control.version());
-    assert!(versions.all(|v| v == Version(1)), "the first version lacks");
+    assert!(
+        versions.all(|v| v == Version(1)),
+        "the first version is not in force everywhere"
+    );
     (fleet, files)
 }
 
 fn measure_events(nodes: usize) {
-    let (mut fleet, files) = settled(nodes);
-    let domains = (nodes * TARGET_DOMAINS).div_ceil(TARGET).max(6);
+    let (mut fleet, files) = start_fleet(nodes);
+    let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
     fleet.store_away(true);
     let away = fleet.now;
     fleet.run(Duration::from_mins(2));
-    let during = load(calls(&fleet, away));
+    let during = mean_and_max(calls(&fleet, away));
     fleet.store_away(false);
     let back = fleet.now;
     fleet.run(Duration::from_mins(1));
-    let after = load(calls(&fleet, back));
+    let after = mean_and_max(calls(&fleet, back));
     let (ready, seen, bytes) = restart(&mut fleet, domains);
     fleet.run(Duration::from_secs(20));
     let (cut, back, force) = isolate(&mut fleet, domains, files);
@@ -131,7 +149,8 @@
     );
 }
 
-/// Kills all processes of domain 1 and starts them anew at once.
+/// Restarts all processes of the second domain at once. Returns the seconds until the
+/// last one is ready and until all look-ups name all of them, and the rate of bytes.
 fn restart(fleet: &mut Fleet, domains: usize) -> (f64, f64, f64) {
     let slots: Vec<usize> = (1..fleet.slots.len()).step_by(domains).collect();
     for &slot in &slots {
@@ -146,15 +165,15 @@
     for tenth in 1..=300 {
         fleet.run(Duration::from_millis(100));
         let at = f64::from(tenth) / 10.0;
-        let started = |&slot: &usize| fleet.nodes[fleet.slots[slot]].control.is_ready();
-        if ready.is_nan() && slots.iter().all(started) {
+        let is_started = |&slot: &usize| fleet.nodes[fleet.slots[slot]].control.is_ready();
+        if ready.is_nan() && slots.iter().all(is_started) {
             ready = at;
         }
-        let known = fleet.slots.iter().all(|&at| {
+        let is_listed = fleet.slots.iter().all(|&at| {
             let shown = fleet.nodes[at].shown.as_ref();
-            shown.is_some_and(|s| s.members.len() == nodes && names_new(fleet, s, &slots))
+            shown.is_some_and(|s| s.members.len() == nodes && names_restarted(fleet, s, &slots))
         });
-        if seen.is_nan() && known {
+        if seen.is_nan() && is_listed {
             seen = at;
         }
         if !ready.is_nan() && !seen.is_nan() {
@@ -162,13 +181,15 @@
         }
     }
     let rates = rates(nodes, from, totals(fleet));
-    (ready, seen, rates.bytes + rates.messages * OVERHEAD)
+    (ready, seen, rates.bytes + rates.messages * OVERHEAD_BYTES)
 }
 
-/// Cuts off the second region, changes the configuration elsewhere, and heals.
+/// Cuts off the second region, changes the configuration elsewhere, and reconnects it.
+/// Returns the rate of bytes while it is cut off, and the seconds after that until all
+/// look-ups name all processes and until the change is in force everywhere.
 fn isolate(fleet: &mut Fleet, domains: usize, files: Vec<File>) -> (f64, f64, f64) {
-    for inside in PER_REGION..PER_REGION * 2 {
-        let outside = (0..domains).filter(|d| d / PER_REGION != 1);
+    for inside in DOMAINS_PER_REGION..DOMAINS_PER_REGION * 2 {
+        let outside = (0..domains).filter(|d| d / DOMAINS_PER_REGION != 1);
         let places = outside.map(Place::Domain).chain([Place::Store]);
         let cuts = places.map(|place| (Place::Domain(inside), place));
         fleet.cuts.extend(cuts);
@@ -185,18 +206,18 @@
         fleet.run(Duration::from_millis(100));
         let at = f64::from(tenth) / 10.0;
         let live = || fleet.slots.iter().map(|&at| &fleet.nodes[at]);
-        let whole = |shown: &Snapshot| shown.members.len() == nodes;
-        if back.is_nan() && live().all(|n| n.shown.as_ref().is_some_and(whole)) {
+        let is_complete = |shown: &Snapshot| shown.members.len() == nodes;
+        if back.is_nan() && live().all(|n| n.shown.as_ref().is_some_and(is_complete)) {
             back = at;
         }
         if force.is_nan() && live().all(|n| n.control.version() == Version(2)) {
             force = at;
         }
     }
-    (rates.bytes + rates.messages * OVERHEAD, back, force)
+    (rates.bytes + rates.messages * OVERHEAD_BYTES, back, force)
 }
 
-fn names_new(fleet: &Fleet, shown: &Snapshot, slots: &[usize]) -> bool {
+fn names_restarted(fleet: &Fleet, shown: &Snapshot, slots: &[usize]) -> bool {
     slots.iter().all(|&slot| {
         let node = &fleet.nodes[fleet.slots[slot]];
         let members = &shown.members;
@@ -209,46 +230,47 @@
     })
 }
 
-fn load(calls: &[u32]) -> (f64, u32) {
+fn mean_and_max(calls: &[u32]) -> (f64, u32) {
     let sum: u32 = calls.iter().sum();
     let max = calls.iter().max().copied().unwrap_or(0);
     (f64::from(sum) / as_f64(calls.len().max(1)), max)
 }
 
-fn measure(nodes: usize) {
+fn measure_ordinary(nodes: usize) {
     let start = Instant::now();
-    let domains = (nodes * TARGET_DOMAINS).div_ceil(TARGET).max(6);
-    let before = resident();
-    let (mut fleet, mut files) = settled(nodes);
-    let memory = resident().saturating_sub(before) / nodes;
+    let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
+    let before = resident_bytes();
+    let (mut fleet, mut files) = start_fleet(nodes);
+    let memory = resident_bytes().saturating_sub(before) / nodes;
 
     let quiet_from = totals(&fleet);
-    fleet.run(QUIET);
+    fleet.run(QUIET_SPAN);
     let quiet = rates(nodes, quiet_from, totals(&fleet));
     let calls = calls(&fleet, quiet_from.now);
-    let mean: f64 = calls.iter().map(|&c| f64::from(c)).sum::<f64>() / QUIET.as_secs_f64();
+    let mean: f64 = calls.iter().map(|&c| f64::from(c)).sum::<f64>() / QUIET_SPAN.as_secs_f64();
 
     let change_from = totals(&fleet);
     let mut delays = Vec::new();
-    for change in 0..CHANGES {
+    for change in 0..CHANGES_COUNT {
         delays.extend(change_once(&mut fleet, change, &mut files));
     }
     let change_to = totals(&fleet);
-    let change = extra(nodes, quiet, change_from, change_to, CHANGES);
+    let change = event_cost(nodes, quiet, change_from, change_to, CHANGES_COUNT);
     let peak = self::calls(&fleet, change_from.now);
     let peak = peak.iter().max().copied().unwrap_or(0);
 
     let death_from = totals(&fleet);
     let mut drops = Vec::new();
-    for death in 0..DEATHS {
-        drops.extend(die_once(&mut fleet, death * 7 % nodes));
+    for death in 0..DEATHS_COUNT {
+        drops.extend(kill_once(&mut fleet, death * 7 % nodes));
     }
-    let death = extra(nodes, quiet, death_from, totals(&fleet), DEATHS);
+    let death = event_cost(nodes, quiet, death_from, totals(&fleet), DEATHS_COUNT);
 
-    let replaced = REPLACED_A_DAY * as_f64(nodes) / as_f64(TARGET) / DAY;
-    let wire = |r: Rates| r.bytes + r.messages * OVERHEAD;
-    let steady = wire(quiet) + wire(change) * CHANGES_A_DAY / DAY + wire(death) * replaced;
-    let cpu = quiet.cpu + change.cpu * CHANGES_A_DAY / DAY + death.cpu * replaced;
+    let replaced = REPLACED_PER_DAY * as_f64(nodes) / as_f64(FULL_NODES) / SECONDS_PER_DAY;
+    let wire = |r: Rates| r.bytes + r.messages * OVERHEAD_BYTES;
+    let steady =
+        wire(quiet) + wire(change) * CHANGES_PER_DAY / SECONDS_PER_DAY + wire(death) * replaced;
+    let cpu = quiet.cpu + change.cpu * CHANGES_PER_DAY / SECONDS_PER_DAY + death.cpu * replaced;
     println!(
         "{nodes:5} {domains:3} | {:6.0} {:5.1} {:6.0} {:6.3} | {:7.0} {:6.2} {} | {} {:6.1} {:6.2} | \
          {steady:6.0} {:6.3} | {mean:5.1} {peak:4} | {:5} | run {:.0?}",
@@ -268,10 +290,10 @@
     );
 }
 
-/// One change: the time until it is in force, at each process.
+/// Makes one change. Returns the time until it is in force, for each process.
 fn change_once(fleet: &mut Fleet, change: usize, files: &mut [File]) -> Vec<Duration> {
     let version = u64::try_from(change + 2).expect("small");
-    let body = fleet::body(&format!("{change:0>CHANGED$}"));
+    let body = fleet::body(&format!("{change:0>CHANGED_BYTES$}"));
     let at = change % files.len();
     files[at].hash = body.hash;
     fleet.put_body(body);
@@ -287,9 +309,10 @@
     .collect()
 }
 
-/// One death: the time until the process is in no look-up, at each process. It
-/// is replaced 15 s later.
-fn die_once(fleet: &mut Fleet, slot: usize) -> Vec<Duration> {
+/// Kills a process and replaces it 15 s later. Returns, for each other process, the
+/// time until its look-ups no longer name the dead one; [`Duration::MAX`] if they still
+/// do after 15 s.
+fn kill_once(fleet: &mut Fleet, slot: usize) -> Vec<Duration> {
     let dead = fleet.slots[slot];
     let incarnation = fleet.nodes[dead].control.record().stamp.incarnation;
     let name = fleet.name(slot);
@@ -305,11 +328,11 @@
             let shown = fleet.nodes[at].shown.as_ref().expect("published");
             let members = &shown.members;
             let found = members.binary_search_by(|s| (*s.record.identity.name).cmp(&name));
-            let names = found.is_ok_and(|i| members[i].record.stamp.incarnation == incarnation);
-            if !names {
+            let is_named = found.is_ok_and(|i| members[i].record.stamp.incarnation == incarnation);
+            if !is_named {
                 delays.push(fleet.now.since(from));
             }
-            names
+            is_named
         });
     }
     delays.extend(waiting.iter().map(|_| Duration::MAX));
@@ -355,8 +378,8 @@
     }
 }
 
-/// What each of `count` events cost a process beyond the quiet rate.
-fn extra(nodes: usize, quiet: Rates, from: Totals, to: Totals, count: usize) -> Rates {
+/// Returns the cost of each of `count` events for a process, beyond the quiet rates.
+fn event_cost(nodes: usize, quiet: Rates, from: Totals, to: Totals, count: usize) -> Rates {
     let all = rates(nodes, from, to);
     let span = to.now.since(from.now).as_secs_f64() / as_f64(count);
     Rates {
@@ -377,7 +400,7 @@
     format!("{:.2}/{:.2}/{:.2}", at(50), at(99), at(100))
 }
 
-/// How much a total has grown; below 2^53, so that nothing is lost.
+/// Returns the growth of a total, which is below 2^53 and thus exact.
 #[expect(clippy::cast_precision_loss, reason = "totals are far below 2^53")]
 fn difference(from: u64, to: u64) -> f64 {
     (to - from) as f64
@@ -387,8 +410,8 @@
     f64::from(u32::try_from(number).expect("small"))
 }
 
-/// Resident memory of this process in bytes.
-fn resident() -> usize {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse().ok());
     pages.unwrap_or(0_usize) * 4096
