--- a/crates/steer/src/process/direct/quota.rs
+++ b/crates/steer/src/process/direct/quota.rs
@@ -1,17 +1,17 @@
-//! How many requests of a team are admitted, as a sum over all instances.
+//! Quotas: how many requests of a team all instances together admit.
 //!
-//! A team may send many times its usual, by all instances or by two of them,
-//! while instances are cut off, killed and started, and what is refused below its
-//! quota is lost to it. So a team has one token bucket for the whole fleet. One
-//! instance fills it and hands tokens out to one instance of each region, and that
-//! one to the others there, ahead of need ([`pool`]); all are found by a hash of
-//! names. Each admits against the tokens that it holds ([`stock`]), and asks in
-//! its region at once where it holds none. Who hears nothing of whom it asks fills
-//! an equal part of the bucket by itself.
+//! A team may send many times its usual rate, through all instances or through two of
+//! them, while instances are partitioned, killed and started; requests refused below
+//! the quota are a loss to the team. Each team therefore has one token bucket for the
+//! whole fleet. One instance fills it and hands out tokens to one instance of each
+//! region, which hands them to the others there, ahead of need ([`pool`]). Both are
+//! chosen by a hash of names. Each instance admits against its own tokens ([`local`])
+//! and asks its region's pool at once when it has none. An instance that gets no answer
+//! from any pool fills an equal fraction of the bucket itself.
 //!
-//! Invariant: tokens at all instances, in the pool and on the way never exceed
-//! the bucket, and are added at its rate at most. Messages may be lost,
-//! late, doubled or out of order: what was handed out is told as a sum.
+//! Invariant: the tokens at all instances, in the pool and in transit never exceed the
+//! bucket, and are added at most at its rate. Messages may be lost, delayed, duplicated
+//! or reordered, so grants are reported as running totals.
 
 mod link;
 mod local;
@@ -31,20 +31,20 @@
 use crate::clock::Time;
 use crate::version::teams::{Quota, Team};
 
-/// Time between reports. The same in a fleet of any size: an instance that reports
-/// less often than [`pool::REPORT_TIMEOUT`] counts as silent.
+/// Time between reports. Independent of the fleet's size: an instance that reports less
+/// often than [`pool::REPORT_TIMEOUT`] counts as silent.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between reports while a request waits.
+/// Time between reports while a request waits for a token.
 const REPORT_INTERVAL_WAITING: Duration = Duration::from_millis(40);
 
-/// Shortest time between two reports of a region. What crosses regions is paid by
-/// the byte, and a large region always lacks some team's tokens.
+/// Shortest time between two reports of a region. Bytes between regions are paid for,
+/// and a large region is always short of some team's tokens.
 const REGION_REPORT_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
-/// The terms of all teams' buckets, sorted by mark.
+/// Rate and capacity of every team's bucket, sorted by team hash.
 fn bucket_terms(teams: &[Arc<Team>], rule: Rule) -> Vec<(u64, pool::Terms)> {
-    let of = |team: &Arc<Team>| {
+    let terms_of = |team: &Arc<Team>| {
         let quota = team.quota?;
         let bucket = pool::Terms {
             rate: rule.rate(&quota),
@@ -52,46 +52,45 @@
         };
         Some((team_hash(&team.name), bucket))
     };
-    let mut all: Vec<_> = teams.iter().filter_map(of).collect();
+    let mut all: Vec<_> = teams.iter().filter_map(terms_of).collect();
     all.sort_unstable_by_key(|(team, _)| *team);
     all
 }
 
-/// Quotas as one instance keeps them.
+/// Quota state of one instance.
 #[derive(Debug, Default)]
 pub(super) struct Quotas {
-    /// Sorted by team's mark.
+    /// Sorted by team hash.
     terms: Vec<(u64, pool::Terms)>,
-    /// Tokens that it holds, and whom it asks for more in its region.
+    /// Tokens of this instance, and the region's pool that supplies them.
     cache: local::TokenCache,
     region_link: link::Link,
-    /// Tokens of its region while it hands them out there, those on their way to
-    /// it, and whom it asks for more in the fleet.
+    /// The region's pool while this instance runs it, the tokens in transit to it, and
+    /// the fleet's pool that supplies them.
     region_pool: pool::Pool,
     region_cache: local::TokenCache,
     fleet_link: link::Link,
-    /// The fleet's tokens while it hands them out to regions.
+    /// The fleet's pool while this instance runs it.
     fleet_pool: pool::Pool,
-    /// Whether a request has begun to wait for a token.
+    /// Whether a report is due at once, such as when a request has begun to wait.
     is_report_due: bool,
-    /// When it last asked for more for its region.
+    /// Time of the last report for the region.
     region_asked_at: Time,
 }
 
 impl Direct {
-    /// Whether any team has a quota.
+    /// Returns whether any team has a quota.
     #[must_use]
     pub fn has_quotas(&self) -> bool {
         !self.quotas.terms.is_empty()
     }
 
-    /// Whether a request has begun to wait for a token since this was asked.
+    /// Returns whether a report became due at once since the last call.
     pub const fn take_report_due(&mut self) -> bool {
         core::mem::replace(&mut self.quotas.is_report_due, false)
     }
 
-    /// Time until the next report: soon where requests wait for tokens that have
-    /// a way to go.
+    /// Time until the next regular report; shorter while a request waits for a token.
     #[must_use]
     pub fn report_interval(&self) -> Duration {
         if self.jobs.iter().any(|j| j.admission == Admission::Waiting) {
@@ -101,7 +100,8 @@
         }
     }
 
-    /// Takes a token for the request at `at`. `Some` if it may not go on now.
+    /// Takes a token for the request at index `at`; returns `Some` if it may not go on
+    /// now.
     pub(super) fn admit(&mut self, now: Time, at: usize) -> Option<Blocked> {
         let job = &self.jobs[at];
         let team = Arc::clone(&job.request.authorized.as_ref()?.team);
@@ -110,10 +110,10 @@
         };
         let first = job.admission == Admission::New;
         let arrived = job.arrived;
-        let alone = self.quotas.cache.is_without_pool(now);
-        let share = alone.then(|| self.local_share(&team, &quota));
-        let stock = &mut self.quotas.cache;
-        let verdict = stock.take(now, &team.name, first, arrived, share);
+        let is_without_pool = self.quotas.cache.is_without_pool(now);
+        let share = is_without_pool.then(|| self.local_share(&team, &quota));
+        let cache = &mut self.quotas.cache;
+        let verdict = cache.take(now, &team.name, first, arrived, share);
         let job = &mut self.jobs[at];
         match verdict {
             local::Verdict::Admitted => {
@@ -129,28 +129,28 @@
         }
     }
 
-    /// Gives a token back for a request that hasn't run and will not.
+    /// Returns the token of a request that has not run and will not.
     pub(super) fn refund_token(&mut self, now: Time, job: &super::job::Job) {
         let unused = job.admission == Admission::Admitted && !job.may_have_run;
-        if let Some(pass) = job.request.authorized.as_ref().filter(|_| unused) {
+        if let Some(authorized) = job.request.authorized.as_ref().filter(|_| unused) {
             let since = now.since(job.arrived);
-            self.quotas.cache.put_back(&pass.team.name, since);
+            self.quotas.cache.put_back(&authorized.team.name, since);
         }
     }
 
-    /// This instance's part of a team's bucket while it is alone with it.
+    /// Fraction of a team's bucket that this instance fills while it reaches no pool.
     fn local_share(&self, team: &Team, quota: &Quota) -> local::LocalShare {
         let count = self.participants.len() + 1;
         let capacity = self.bounds.quota.capacity(quota);
         #[allow(clippy::cast_precision_loss, reason = "instances are few")]
         let equal = capacity / count as f64;
         let part = if equal < 1.0 {
-            // Whole tokens for some of the instances.
+            // Below one token each, some of the instances get a whole one.
             let own = allotment::Participant {
                 region: Arc::clone(&self.identity.region),
                 name_hash: members::name_hash(&self.identity.name),
             };
-            let mark = members::name_hash(&team.name);
+            let hash = members::name_hash(&team.name);
             #[allow(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
@@ -158,7 +158,7 @@
             )]
             let whole = capacity as usize;
             #[allow(clippy::cast_precision_loss, reason = "instances are few")]
-            let part = allotment::equal_allotment(whole, &own, &self.participants, mark) as f64;
+            let part = allotment::equal_allotment(whole, &own, &self.participants, hash) as f64;
             part
         } else {
             equal
@@ -171,7 +171,8 @@
         }
     }
 
-    /// A new configuration is in force in place of `before`.
+    /// Adapts tokens and buckets to the configuration in force; `before` are the teams
+    /// of the previous one.
     pub(super) fn apply_quotas(&mut self, before: &[Arc<Team>]) {
         let Some(routes) = &self.routes else { return };
         let rule = self.bounds.quota;
@@ -188,13 +189,12 @@
             }
         }
         let terms = bucket_terms(routes.teams.all(), rule);
-        let marks: Vec<u64> = terms.iter().map(|(team, _)| *team).collect();
-        self.quotas.cache.keep_teams(&marks);
+        let hashes: Vec<u64> = terms.iter().map(|(team, _)| *team).collect();
+        self.quotas.cache.keep_teams(&hashes);
         self.quotas.terms = terms;
     }
 
-    /// What is to be told about tokens now, and to whom. What this instance itself
-    /// hands out is taken at once.
+    /// Reports that are due now. Those to a pool on this instance are handled at once.
     pub fn quota_reports(&mut self, now: Time) -> Vec<OutgoingReport> {
         if !self.has_quotas() {
             return Vec::new();
@@ -211,9 +211,11 @@
             })
             .collect();
         self.choose_pools(now);
-        let (name, life) = (Arc::clone(&self.identity.name), self.identity.incarnation);
+        let (name, incarnation) = (Arc::clone(&self.identity.name), self.identity.incarnation);
         let quotas = &mut self.quotas;
-        let own = quotas.cache.report(now, Arc::clone(&name), life, &waiting);
+        let own = quotas
+            .cache
+            .report(now, Arc::clone(&name), incarnation, &waiting);
         let mut due: Vec<OutgoingReport> = self.deliver(now, own).into_iter().collect();
         let quotas = &mut self.quotas;
         if quotas.region_pool.is_active(now)
@@ -223,19 +225,19 @@
             let teams = quotas.terms.iter().map(|(team, _)| *team);
             let needs = quotas.region_pool.needs(now, teams);
             let count = quotas.region_pool.represented(now);
-            let upper = quotas
+            let report = quotas
                 .region_cache
-                .report_for(now, name, life, &needs, count);
-            due.extend(self.deliver(now, upper.with_level(Level::Fleet)));
+                .report_for(now, name, incarnation, &needs, count);
+            due.extend(self.deliver(now, report.with_level(Level::Fleet)));
         }
         due.extend(self.final_reports(now));
         due
     }
 
-    /// Tells whoever was asked before that it no longer is.
+    /// Reports that tell former pools that they are no longer used.
     fn final_reports(&mut self, now: Time) -> Vec<OutgoingReport> {
         let own = Arc::clone(&self.identity.name);
-        let life = self.identity.incarnation;
+        let incarnation = self.identity.incarnation;
         let quotas = &mut self.quotas;
         let links = [
             (Level::Region, &mut quotas.region_link, &mut quotas.cache),
@@ -245,104 +247,105 @@
                 &mut quotas.region_cache,
             ),
         ];
-        let mut told = Vec::new();
-        for (level, link, stock) in links {
+        let mut reports = Vec::new();
+        for (level, link, cache) in links {
             for to in link.previous(now) {
-                let report = stock.final_report(Arc::clone(&own), life, level);
-                told.push((to, report));
+                let report = cache.final_report(Arc::clone(&own), incarnation, level);
+                reports.push((to, report));
             }
         }
         let mut due = Vec::new();
-        for (to, report) in told {
+        for (to, report) in reports {
             if to == own {
                 let grant = self.receive_report(now, report);
                 self.receive_grant(now, &grant);
-            } else if let Some(row) = self.members.registration(&to) {
-                let addr = row.heartbeats;
+            } else if let Some(registration) = self.members.registration(&to) {
+                let addr = registration.heartbeats;
                 due.push(OutgoingReport { addr, report });
             }
         }
         due
     }
 
-    /// Where a report goes; `None` if it goes to this instance, which takes it.
+    /// Addresses a report to its pool; handles it here and returns `None` if this
+    /// instance runs the pool.
     fn deliver(&mut self, now: Time, report: Report) -> Option<OutgoingReport> {
         let link = match report.level {
             Level::Region => &self.quotas.region_link,
             Level::Fleet => &self.quotas.fleet_link,
         };
-        let asked = Arc::clone(link.asked()?);
-        if asked == self.identity.name {
+        let pool = Arc::clone(link.pool()?);
+        if pool == self.identity.name {
             let grant = self.receive_report(now, report);
             self.receive_grant(now, &grant);
             return None;
         }
-        let row = self.others(now).find(|(name, _)| **name == asked);
-        let addr = row.map(|(_, row)| row.heartbeats)?;
+        let registration = self.others(now).find(|(name, _)| **name == pool);
+        let addr = registration.map(|(_, registration)| registration.heartbeats)?;
         Some(OutgoingReport { addr, report })
     }
 
-    /// A report of an instance, this one among them; says what it is given.
+    /// Handles a report to a pool on this instance and returns what is granted.
     pub fn receive_report(&mut self, now: Time, report: Report) -> Grant {
-        let (to, session, level) = (report.incarnation, report.session, report.level);
-        let given = self.answer_report(now, report);
+        let (recipient, session, level) = (report.incarnation, report.session, report.level);
+        let grants = self.answer_report(now, report);
         Grant {
             name: Arc::clone(&self.identity.name),
             incarnation: self.identity.incarnation,
             level,
-            recipient: to,
+            recipient,
             session,
-            grants: given,
+            grants,
         }
     }
 
     fn answer_report(&mut self, now: Time, report: Report) -> Vec<TeamGrant> {
         let count = self.participants.len() + 1;
         let level = report.level;
-        let fleet = level == Level::Fleet;
+        let is_fleet = level == Level::Fleet;
         let Quotas {
-            region_pool: region,
-            region_cache: upper,
-            fleet_pool: all,
+            region_pool,
+            region_cache,
+            fleet_pool,
             terms,
-            is_report_due: urgent,
-            region_asked_at: pressed,
+            is_report_due,
+            region_asked_at,
             ..
         } = &mut self.quotas;
-        let pool = if fleet { all } else { region };
+        let pool = if is_fleet { fleet_pool } else { region_pool };
         let Some(at) = pool.note_report(now, &report, self.identity.incarnation) else {
             return Vec::new();
         };
-        let alone = fleet || upper.is_without_pool(now);
-        let part = pool.fraction(now, count);
-        let mut given = Vec::new();
+        let is_without_pool = is_fleet || region_cache.is_without_pool(now);
+        let fraction = pool.fraction(now, count);
+        let mut grants = Vec::new();
         for need in report.needs {
             let Ok(found) = terms.binary_search_by_key(&need.team, |(team, _)| *team) else {
                 continue;
             };
             let terms = terms[found].1;
-            if alone {
-                pool.refill(now, need.team, part, &terms);
-                let (capacity, rate) = (terms.capacity * part, terms.rate * part);
-                given.push(pool.grant(now, at, &need, (level, capacity, rate)));
+            if is_without_pool {
+                pool.refill(now, need.team, fraction, &terms);
+                let (capacity, rate) = (terms.capacity * fraction, terms.rate * fraction);
+                grants.push(pool.grant(now, at, &need, (level, capacity, rate)));
                 continue;
             }
-            let new = upper.drain(now, need.team);
-            let capacity = pool.deposit(now, need.team, new.tokens);
-            let mut part = pool.grant(now, at, &need, (level, capacity, new.rate));
-            // What a region can't give is asked for at once.
-            let lacks = part.is_exhausted || pool.is_low(need.team, capacity);
-            *urgent |= lacks && now.since(*pressed) >= REGION_REPORT_INTERVAL_MIN;
-            part.is_exhausted &= new.is_exhausted;
-            given.push(part);
+            let drained = region_cache.drain(now, need.team);
+            let capacity = pool.deposit(now, need.team, drained.tokens);
+            let mut grant = pool.grant(now, at, &need, (level, capacity, drained.rate));
+            // A shortage in the region is reported to the fleet's pool at once.
+            let is_short = grant.is_exhausted || pool.is_low(need.team, capacity);
+            *is_report_due |= is_short && now.since(*region_asked_at) >= REGION_REPORT_INTERVAL_MIN;
+            grant.is_exhausted &= drained.is_exhausted;
+            grants.push(grant);
         }
-        given
+        grants
     }
 
-    /// What another instance, or this one, hands out.
+    /// Takes a grant from a pool, which may run on this instance.
     pub fn receive_grant(&mut self, now: Time, grant: &Grant) {
         let quotas = &mut self.quotas;
-        let (link, stock) = match grant.level {
+        let (link, cache) = match grant.level {
             Level::Region => (&mut quotas.region_link, &mut quotas.cache),
             Level::Fleet => (&mut quotas.fleet_link, &mut quotas.region_cache),
         };
@@ -351,16 +354,15 @@
         }
         if grant.session == 0 {
             if link.note_release(&grant.name) {
-                stock.note_release();
+                cache.note_release();
             }
             return;
         }
         if !link.note_answer(now, &grant.name) {
             return;
         }
-        // What was asked for before this incarnation was known has to be asked for
-        // again.
-        quotas.is_report_due |= stock.receive(now, grant);
+        // The pool's incarnation was unknown, so the needs must be reported again.
+        quotas.is_report_due |= cache.receive(now, grant);
         if grant.level == Level::Fleet {
             for given in &grant.grants {
                 quotas.region_pool.trim(now, given.team, given.held_max);
@@ -368,19 +370,21 @@
         }
     }
 
-    /// Finds whom to ask: the first by hash of the region and of the fleet, of
-    /// those that are there and answer.
+    /// Chooses the pools of the region and of the fleet: of the members that respond,
+    /// the one with the highest rank. Members that have just appeared are left out.
     fn choose_pools(&mut self, now: Time) {
         let own = &self.identity.name;
-        let home = &self.identity.registration.region;
+        let own_region = &self.identity.registration.region;
         let others: Vec<(Arc<str>, bool)> = self
             .others(now)
             .filter(|(name, _)| !self.members.is_new(now, name))
-            .map(|(name, row): (_, &Registration)| (Arc::clone(name), row.region == *home))
+            .map(|(name, registration): (_, &Registration)| {
+                (Arc::clone(name), registration.region == *own_region)
+            })
             .chain([(Arc::clone(own), true)])
             .collect();
-        let near = others.iter().filter(|o| o.1).map(|o| &o.0);
-        if self.quotas.region_link.choose(now, own, near) {
+        let in_region = others.iter().filter(|o| o.1).map(|o| &o.0);
+        if self.quotas.region_link.choose(now, own, in_region) {
             self.quotas.cache.change_pool(now);
         }
         if self
@@ -392,7 +396,7 @@
         }
     }
 
-    /// Tokens held of each team with a quota, and its requests a second.
+    /// Tokens held here and requests a second, for each team with a quota.
     pub fn held_tokens(&self) -> impl Iterator<Item = (&Arc<str>, f64, f64)> {
         let teams = self.routes.iter().flat_map(|r| r.teams.all());
         teams.filter_map(|team| {
@@ -403,17 +407,17 @@
     }
 }
 
-/// Why a request doesn't go on.
+/// Reason why a request may not go on now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Blocked {
     /// It waits for a token.
     Waiting,
-    /// Its team is over its quota; a token is there after this time.
+    /// Its team is over its quota; a token may be available after this time.
     Refused(Duration),
 }
 
 impl Blocked {
-    /// What it means for a request, `None` if it stays.
+    /// Converts it into a rejection; `None` if the request keeps waiting.
     pub(super) const fn verdict(self) -> Option<(Rejection, Duration)> {
         match self {
             Self::Waiting => None,
--- a/crates/steer/src/process/direct/quota/link.rs
+++ b/crates/steer/src/process/direct/quota/link.rs
@@ -1,7 +1,8 @@
-//! Whom an instance asks for tokens.
+//! Choice of the pool that an instance gets its tokens from.
 //!
-//! Invariants: one that didn't answer isn't asked again for [`FAILED_POOL_BACKOFF`], unless it is
-//! this instance; one that is no longer asked is told so until it has answered.
+//! Invariants: a pool that did not answer is not used again for
+//! [`FAILED_POOL_BACKOFF`], unless it runs on this instance; a former pool is told so
+//! until it has acknowledged it.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -10,33 +11,33 @@
 use super::pool::REPORT_TIMEOUT;
 use crate::clock::Time;
 
-/// Time without an answer after which another instance is asked.
+/// Time without an answer after which another pool is chosen.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time for which one that didn't answer isn't asked.
+/// Time for which a pool that did not answer is not chosen.
 const FAILED_POOL_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Who is asked, and who failed.
+/// Pool in use, and pools that failed or were replaced.
 #[derive(Debug, Default)]
 pub struct Link {
-    /// Who is asked, and when it last answered.
-    asked: Option<(Arc<str>, Time)>,
+    /// Pool in use, and when it last answered.
+    pool: Option<(Arc<str>, Time)>,
     failed: Vec<(Arc<str>, Time)>,
-    /// Who were asked before and don't know yet that they no longer are, and until
-    /// when they believe so at most.
+    /// Former pools that have not acknowledged that they are no longer used, and the
+    /// time by which they drop this instance anyway.
     previous: Vec<(Arc<str>, Time)>,
 }
 
 impl Link {
-    /// Who is asked.
-    pub fn asked(&self) -> Option<&Arc<str>> {
-        self.asked.as_ref().map(|(name, _)| name)
+    /// Name of the instance whose pool is in use.
+    pub fn pool(&self) -> Option<&Arc<str>> {
+        self.pool.as_ref().map(|(name, _)| name)
     }
 
-    /// An answer has come. Says whether it is of who is asked.
+    /// Records an answer; returns whether it came from the pool in use.
     pub fn note_answer(&mut self, now: Time, name: &Arc<str>) -> bool {
-        match &mut self.asked {
-            Some((asked, at)) if asked == name => {
+        match &mut self.pool {
+            Some((pool, at)) if pool == name => {
                 *at = now;
                 true
             }
@@ -44,20 +45,21 @@
         }
     }
 
-    /// Who have to be told that they are no longer asked.
+    /// Former pools that have not yet acknowledged.
     pub fn previous(&mut self, now: Time) -> Vec<Arc<str>> {
-        self.previous.retain(|(_, end)| *end > now);
+        self.previous.retain(|(_, until)| *until > now);
         let names = self.previous.iter().map(|(name, _)| Arc::clone(name));
         names.collect()
     }
 
-    /// One that was asked before has answered that it knows. Says whether all do.
+    /// Records the acknowledgement of a former pool; returns whether all have
+    /// acknowledged.
     pub fn note_release(&mut self, name: &Arc<str>) -> bool {
         self.previous.retain(|(previous, _)| previous != name);
         self.previous.is_empty()
     }
 
-    /// Finds whom to ask, of these. Says whether it is another than before.
+    /// Chooses a pool among these instances; returns whether it has changed.
     pub fn choose<'a>(
         &mut self,
         now: Time,
@@ -66,32 +68,31 @@
     ) -> bool {
         self.failed
             .retain(|(_, at)| now.since(*at) < FAILED_POOL_BACKOFF);
-        if let Some((name, at)) = &self.asked
+        if let Some((name, at)) = &self.pool
             && now.since(*at) >= ANSWER_TIMEOUT
             && name != own
         {
             self.failed.push((Arc::clone(name), now));
         }
-        let failed = |name: &&Arc<str>| self.failed.iter().any(|(known, _)| known == *name);
+        let is_failed = |name: &&Arc<str>| self.failed.iter().any(|(known, _)| known == *name);
         let best = all
-            .filter(|n| !failed(n))
+            .filter(|n| !is_failed(n))
             .max_by_key(|name| pool_rank(name));
         let best = Arc::clone(best.unwrap_or(own));
-        let same = self.asked() == Some(&best);
-        if !same {
-            let before = self.asked.replace((best, now));
+        let is_same = self.pool() == Some(&best);
+        if !is_same {
+            let replaced = self.pool.replace((best, now));
             self.previous
-                .extend(before.map(|(name, _)| (name, now + REPORT_TIMEOUT)));
-            let asked = self.asked.as_ref().map(|(name, _)| name);
-            self.previous.retain(|(name, _)| Some(name) != asked);
+                .extend(replaced.map(|(name, _)| (name, now + REPORT_TIMEOUT)));
+            let pool = self.pool.as_ref().map(|(name, _)| name);
+            self.previous.retain(|(name, _)| Some(name) != pool);
         }
-        !same
+        !is_same
     }
 }
 
-/// The order in which instances are asked, the greatest first: another than that
-/// in which they read the store, as whoever reads it has its link full while a
-/// large configuration changes.
+/// Rank by which pools are chosen, the highest first. It differs from the rank of
+/// readers of the store, whose links are busy while a large configuration changes.
 fn pool_rank(name: &str) -> u64 {
     hash(format!("quota {name}").as_bytes())
 }
--- a/crates/steer/src/process/direct/quota/local.rs
+++ b/crates/steer/src/process/direct/quota/local.rs
@@ -1,11 +1,11 @@
-//! Tokens that this instance holds, by team.
+//! Tokens that this instance holds for each team.
 //!
-//! Tokens are held for about a second of what was asked lately, so that most
-//! requests are admitted without a word to anyone and go on for a while when the
-//! pool is lost.
+//! It holds tokens for the requests of about a second ahead, so most requests are
+//! admitted without a message, and admission continues for a while when the pool is
+//! lost.
 //!
-//! Invariant: a request is admitted against a token that this instance was given
-//! or, while it hears no pool, has filled itself at its part of the rate.
+//! Invariant: a request is admitted only against a token that a pool granted or, while
+//! no pool answers, that this instance filled at its own fraction of the rate.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -16,75 +16,73 @@
 use super::pool;
 use crate::clock::Time;
 
-/// Seconds of requests that tokens are held for.
+/// Seconds of expected requests that tokens are held for.
 const PREFETCH_SECONDS: f64 = 1.5;
 
-/// Time over which the rate of requests is averaged, in seconds.
+/// Time constant of the average rate of requests, in seconds.
 const RATE_AVERAGE_SECONDS: f64 = 4.0;
 
-/// Requests a second below which no tokens are held.
+/// Requests a second below which a team counts as idle and no tokens are held for it.
 const IDLE_RATE_MAX: f64 = 0.05;
 
-/// Time without a word of a pool after which an instance fills its own part.
+/// Time without a grant after which an instance fills its own fraction.
 const POOL_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time that a request waits for a token: a few times what a question
-/// across regions takes.
+/// Longest wait of a request for a token; a few round trips between regions.
 const WAIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Seconds until the next token up to which a request waits for it though none are
-/// left.
+/// Longest wait until the next token, in seconds, that is worth waiting for while the
+/// pool has none.
 const NEXT_TOKEN_WAIT_SECONDS: f64 = 0.05;
 
-/// Time for which "none left" is believed.
+/// Time for which a pool's report that it has no tokens left is believed.
 const EXHAUSTED_TTL: Duration = Duration::from_millis(300);
 
-/// Age up to which a request that didn't run gives its token back. Later ones
-/// count for another window.
+/// Age up to which a request that did not run returns its token. A later token would
+/// count in another window.
 const REFUND_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// What is held or wanted is told when it has changed by more than one part in so
-/// many.
+/// A change of tokens held or wanted by more than one part in this many is reported.
 const REPORT_CHANGE_DIVISOR: u32 = 3;
 
-/// Every how many reports tell of all teams.
+/// One report in this many names every team with any change.
 const FULL_REPORT_PERIOD: u64 = 8;
 
-/// Teams named in one report: what fits a datagram.
+/// Teams named in one report; limited by the size of a datagram.
 pub const REPORT_TEAMS_MAX: usize = 60;
 
-/// Shortest and longest time after which a caller over its quota may return.
+/// Shortest and longest time after which a caller over its quota may retry, in seconds.
 const RETRY_AFTER_MIN_SECONDS: f64 = 0.2;
 const RETRY_AFTER_MAX_SECONDS: f64 = 2.0;
 
-/// This instance's part of a bucket while it hears no pool.
+/// This instance's fraction of a bucket while no pool answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalShare {
-    /// Tokens.
+    /// Capacity in tokens.
     pub capacity: f64,
-    /// Tokens a second.
+    /// Refill rate in tokens a second.
     pub rate: f64,
 }
 
-/// Whether a request is admitted.
+/// Result of asking for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has taken a token.
+    /// A token was taken.
     Admitted,
-    /// It waits for one.
+    /// The request waits for a token.
     Wait,
-    /// Its team is over its quota; a token may be there after this time.
+    /// The team is over its quota; a token may be available after this time.
     Refused(Duration),
 }
 
-/// What has come of a team's tokens.
+/// Tokens taken out of a cache to be handed on.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainedTokens {
-    /// Tokens.
+    /// Number of whole tokens.
     pub tokens: f64,
-    /// Tokens that come in a second.
+    /// Supply in tokens a second.
     pub rate: f64,
-    /// Whether none are left where they come from.
+    /// Whether the pool that supplies them reported that it has none left.
     pub is_exhausted: bool,
 }
 
@@ -92,47 +90,47 @@
 struct Account {
     team: u64,
     tokens: f64,
-    /// Tokens that came from the present pool in all.
+    /// Tokens received in this session.
     received: u32,
     /// Requests since the last report.
     arrived: u32,
-    /// Requests a second.
+    /// Average rate of requests a second.
     rate: f64,
-    /// Requests refused in a row.
+    /// Requests refused since the last one admitted.
     refusals: u32,
-    /// When the pool last said that it has none left.
+    /// Time at which the pool last reported that it has none left.
     exhausted_at: Option<Time>,
-    /// Tokens a second that come from the pool.
+    /// Supply from the pool, in tokens a second.
     supply_rate: f64,
-    /// When this instance last filled its own part.
+    /// Time at which this instance last filled its own fraction.
     filled_at: Option<Time>,
-    /// Tokens held and wanted as last told in this session.
+    /// Tokens held and wanted as last reported in this session.
     reported: Option<(u32, u32)>,
 }
 
-/// All tokens of an instance.
+/// Tokens of all teams at this instance.
 #[derive(Clone, Debug, Default)]
 pub struct TokenCache {
-    /// Sorted by mark.
+    /// Sorted by team hash.
     accounts: Vec<Account>,
-    /// Incarnation of the pool that tokens come from; 0 while none is known.
+    /// Incarnation of the pool that supplies tokens; 0 until it has answered.
     pool_incarnation: u64,
     session: u64,
-    /// When another pool was last chosen in place of one that was heard.
+    /// Time at which a pool that had answered was last replaced by another.
     switched_at: Option<Time>,
-    /// When a pool was last heard.
+    /// Time of the last grant.
     last_grant: Option<Time>,
-    /// Last report.
+    /// Time of the last report.
     last_report: Option<Time>,
     report_seq: u64,
-    /// Where the next report begins.
+    /// Index of the team at which the next report begins.
     report_cursor: usize,
 }
 
 impl TokenCache {
-    /// Takes a token for a request of this team; `first`: whether it has just
-    /// come. It arrived at `arrived`. Without a pool, tokens come by this instance's
-    /// own `share`.
+    /// Takes a token for a request that arrived at `arrived`; `first` is set the first
+    /// time a request asks. `share` is given while no pool answers: the account is then
+    /// filled from it.
     pub fn take(
         &mut self,
         now: Time,
@@ -152,31 +150,31 @@
             account.refusals = 0;
             return Verdict::Admitted;
         }
-        let dry = account.is_exhausted(now);
+        let is_exhausted = account.is_exhausted(now);
         let rate = share.map_or(account.supply_rate, |share| share.rate);
-        let next = f64::from(account.refusals + 1) / rate.max(f64::EPSILON);
-        let patient = now.since(arrived) < WAIT_TIMEOUT;
-        if patient && share.is_none() && (!dry || next < NEXT_TOKEN_WAIT_SECONDS) {
+        let next_token = f64::from(account.refusals + 1) / rate.max(f64::EPSILON);
+        let may_wait = now.since(arrived) < WAIT_TIMEOUT;
+        if may_wait && share.is_none() && (!is_exhausted || next_token < NEXT_TOKEN_WAIT_SECONDS) {
             return Verdict::Wait;
         }
         account.refusals += 1;
-        let after = next.clamp(RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_MAX_SECONDS);
+        let after = next_token.clamp(RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_MAX_SECONDS);
         Verdict::Refused(Duration::from_secs_f64(after))
     }
 
-    /// A token of a request that arrived `since` ago and hasn't run.
+    /// Returns the token of a request that arrived `since` ago and did not run.
     pub fn put_back(&mut self, team: &str, since: Duration) {
         if since < REFUND_AGE_MAX {
             self.account(team_hash(team)).tokens += 1.0;
         }
     }
 
-    /// Keeps this part of a team's tokens: its quota was lowered.
+    /// Scales a team's tokens to this fraction, because its quota was lowered.
     pub fn scale(&mut self, team: &str, part: f64) {
         self.account(team_hash(team)).tokens *= part;
     }
 
-    /// Keeps accounts of these teams, which are sorted, and no others.
+    /// Keeps the accounts of these teams, given sorted, and drops all others.
     pub fn keep_teams(&mut self, teams: &[u64]) {
         self.accounts
             .retain(|a| teams.binary_search(&a.team).is_ok());
@@ -185,7 +183,7 @@
         }
     }
 
-    /// Another pool is asked from now on.
+    /// Prepares for another pool.
     pub fn change_pool(&mut self, now: Time) {
         if self.last_grant.is_some() {
             self.switched_at = Some(now);
@@ -193,17 +191,17 @@
         self.begin_session(0);
     }
 
-    /// The pool that was asked before no longer counts this instance.
+    /// Records that the former pool no longer counts this instance.
     pub const fn note_release(&mut self) {
         self.switched_at = None;
     }
 
-    /// Tells a pool that it is no longer asked.
-    pub fn final_report(&mut self, name: Arc<str>, life: u64, level: Level) -> Report {
+    /// Report that tells a former pool that it is no longer used.
+    pub fn final_report(&mut self, name: Arc<str>, incarnation: u64, level: Level) -> Report {
         self.report_seq += 1;
         Report {
             name,
-            incarnation: life,
+            incarnation,
             seq: self.report_seq,
             level,
             pool_incarnation: 0,
@@ -213,7 +211,7 @@
         }
     }
 
-    /// Begins to count what comes from this incarnation of a pool.
+    /// Starts a new session with this incarnation of a pool.
     fn begin_session(&mut self, pool: u64) {
         self.pool_incarnation = pool;
         self.session += 1;
@@ -224,28 +222,34 @@
         }
     }
 
-    /// What to tell the pool; `waiting` are the teams of requests that wait for a
+    /// Report of this instance; `waiting` holds the teams of requests that wait for a
     /// token.
-    pub fn report(&mut self, now: Time, name: Arc<str>, life: u64, waiting: &[u64]) -> Report {
+    pub fn report(
+        &mut self,
+        now: Time,
+        name: Arc<str>,
+        incarnation: u64,
+        waiting: &[u64],
+    ) -> Report {
         let span = self
             .last_report
             .map_or(RATE_AVERAGE_SECONDS, |at| now.since(at).as_secs_f64());
         self.last_report = Some(now);
         let need = |account: &mut Account| {
-            let urgent = waiting.iter().filter(|team| **team == account.team).count();
-            account.need(span, u32::try_from(urgent).unwrap_or(u32::MAX))
+            let count = waiting.iter().filter(|team| **team == account.team).count();
+            account.need(span, u32::try_from(count).unwrap_or(u32::MAX))
         };
         let needs: Vec<Need> = self.accounts.iter_mut().map(need).collect();
-        self.report_for(now, name, life, &needs, 1)
+        self.report_for(now, name, incarnation, &needs, 1)
     }
 
-    /// The same for `count` instances that together need this, with what is held
-    /// by all of them.
+    /// Report on behalf of `count` instances, with their tokens and needs summed in
+    /// `all`.
     pub fn report_for(
         &mut self,
         now: Time,
         name: Arc<str>,
-        life: u64,
+        incarnation: u64,
         all: &[Need],
         count: u32,
     ) -> Report {
@@ -254,8 +258,9 @@
             .switched_at
             .is_none_or(|at| now.since(at) >= pool::REPORT_TIMEOUT);
         let counted = !self.is_without_pool(now) && settled;
-        let whole = self.report_seq.is_multiple_of(FULL_REPORT_PERIOD);
-        // In turn, so that all are told where a report can't name them all.
+        let full = self.report_seq.is_multiple_of(FULL_REPORT_PERIOD);
+        // Round robin, so that every team is reported in time if a report can't name
+        // them all.
         let start = self.report_cursor.min(all.len());
         let mut left_out = None;
         let mut needs = Vec::new();
@@ -266,7 +271,7 @@
             .chain(all.iter().enumerate().take(start))
         {
             let account = self.account(need.team);
-            let due = need.waiting > 0 || account.is_changed(need, whole);
+            let due = need.waiting > 0 || account.is_changed(need, full);
             if due && needs.len() < REPORT_TEAMS_MAX {
                 account.reported = Some((need.held, need.wanted));
                 needs.push(Need {
@@ -280,7 +285,7 @@
         self.report_cursor = left_out.unwrap_or_default();
         Report {
             name,
-            incarnation: life,
+            incarnation,
             seq: self.report_seq,
             level: Level::Region,
             pool_incarnation: self.pool_incarnation,
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Takes out a team's whole tokens.
+    /// Takes out the whole tokens of a team.
     pub fn drain(&mut self, now: Time, team: u64) -> DrainedTokens {
         let account = self.account(team);
         let tokens = account.tokens.floor();
@@ -302,8 +307,8 @@
         }
     }
 
-    /// Takes what the pool hands out. Says whether it has to be asked anew: this
-    /// incarnation of it wasn't known.
+    /// Takes a grant; returns whether the needs must be reported again because this
+    /// incarnation of the pool was unknown.
     pub fn receive(&mut self, now: Time, grant: &Grant) -> bool {
         if self.session != grant.session {
             return false;
@@ -325,7 +330,7 @@
         false
     }
 
-    /// A team's tokens, and requests a second.
+    /// Tokens of a team, and its requests a second.
     #[must_use]
     pub fn get(&self, team: u64) -> Option<(f64, f64)> {
         let found = self.accounts.binary_search_by_key(&team, |a| a.team);
@@ -334,7 +339,7 @@
             .map(|at| (self.accounts[at].tokens, self.accounts[at].rate))
     }
 
-    /// Whether no pool has been heard for a while.
+    /// Returns whether no pool has answered for [`POOL_SILENCE_TIMEOUT`].
     pub fn is_without_pool(&self, now: Time) -> bool {
         now.since(self.last_grant.unwrap_or(Time::ZERO)) >= POOL_SILENCE_TIMEOUT
     }
@@ -356,25 +361,25 @@
 }
 
 impl Account {
-    /// Whether the pool has said lately that none are left.
+    /// Returns whether the pool has recently reported that it has no tokens left.
     fn is_exhausted(&self, now: Time) -> bool {
         self.exhausted_at
             .is_some_and(|at| now.since(at) < EXHAUSTED_TTL)
     }
 
-    /// Whether what is held or wanted differs from what was told by enough to tell
-    /// it; `whole`: whether by anything.
-    fn is_changed(&self, need: &Need, whole: bool) -> bool {
-        let Some((held, want)) = self.reported else {
+    /// Returns whether the tokens held or wanted differ enough from the last report;
+    /// with `full`, any difference counts.
+    fn is_changed(&self, need: &Need, full: bool) -> bool {
+        let Some((held, wanted)) = self.reported else {
             return true;
         };
         let drift = |new: u32, old: u32| new.abs_diff(old) * REPORT_CHANGE_DIVISOR > new.max(old);
         let low = f64::from(need.held) * WANTED_UNITS_PER_TOKEN * 2.0 < f64::from(need.wanted);
-        let changed = need.held != held || need.wanted != want;
-        changed && (whole || low || drift(need.held, held) || drift(need.wanted, want))
+        let changed = need.held != held || need.wanted != wanted;
+        changed && (full || low || drift(need.held, held) || drift(need.wanted, wanted))
     }
 
-    /// Fills this instance's own part of the bucket.
+    /// Refills the account from this instance's own fraction of the bucket.
     fn fill(&mut self, now: Time, share: LocalShare) {
         let span = self.filled_at.map_or(Duration::ZERO, |at| now.since(at));
         self.filled_at = Some(now);
@@ -382,9 +387,9 @@
         self.tokens = filled.min(share.capacity);
     }
 
-    /// What is told of it after `span` seconds; tokens beyond what is wanted are
-    /// dropped, so that the pool can hand out others.
-    fn need(&mut self, span: f64, urgent: u32) -> Need {
+    /// Needs of the team, `span` seconds after the last report. Tokens beyond those
+    /// wanted are dropped by the next grant, so that the pool can hand out others.
+    fn need(&mut self, span: f64, waiting: u32) -> Need {
         let weight = (span / RATE_AVERAGE_SECONDS).min(1.0);
         let rate = f64::from(self.arrived) / span.max(0.001);
         self.rate += (rate - self.rate) * weight;
@@ -394,14 +399,15 @@
         } else {
             self.rate * PREFETCH_SECONDS
         };
-        // Requests come by chance, so some more than are expected.
-        let want = expected + expected.sqrt();
+        // Arrivals are random, so one standard deviation above the expected number is
+        // wanted.
+        let wanted = expected + expected.sqrt();
         Need {
             team: self.team,
             held: saturating_u32(self.tokens.ceil()),
             received: 0,
-            wanted: saturating_u32((want * WANTED_UNITS_PER_TOKEN).ceil()),
-            waiting: urgent,
+            wanted: saturating_u32((wanted * WANTED_UNITS_PER_TOKEN).ceil()),
+            waiting,
         }
     }
 }
--- a/crates/steer/src/process/direct/quota/message.rs
+++ b/crates/steer/src/process/direct/quota/message.rs
@@ -1,116 +1,116 @@
-//! What instances tell each other of teams' tokens.
+//! Messages between instances about the tokens of teams.
 
 use core::net::SocketAddr;
 use std::sync::Arc;
 
 use super::super::hash;
 
-/// By which messages name a team.
+/// Hash that messages identify a team by.
 #[must_use]
 pub fn team_hash(team: &str) -> u64 {
     hash(team.as_bytes())
 }
 
-/// Parts of a token that wants are told in.
+/// Units per token in which wanted tokens are reported.
 pub const WANTED_UNITS_PER_TOKEN: f64 = 8.0;
 
-/// Who hands tokens out, and to whom.
+/// Level of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// One instance of each region, to the instances there.
+    /// Pool of a region, run by one instance for the instances there.
     Region,
-    /// One of all, to those.
+    /// Pool of the fleet, run by one instance for the pools of the regions.
     Fleet,
 }
 
-/// What an instance asks for.
+/// Holdings and needs of an instance, or of a region's pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Who asks.
+    /// Name of the reporting instance.
     pub name: Arc<str>,
-    /// Tells its incarnations apart.
+    /// Incarnation of the reporting instance.
     pub incarnation: u64,
-    /// Counts its reports.
+    /// Counts the reports of this incarnation.
     pub seq: u64,
-    /// Whom it asks.
+    /// Level of the pool that the report goes to.
     pub level: Level,
-    /// Incarnation of the pool that it counts from; 0 before it has heard one.
+    /// Incarnation of the pool whose grants are counted; 0 before the first answer.
     pub pool_incarnation: u64,
-    /// Tells its sessions with a pool apart; what was handed out in an earlier one
-    /// and comes late is passed over.
+    /// Distinguishes sessions with pools; late grants of an earlier session are
+    /// ignored.
     pub session: u64,
-    /// Instances whose part of the buckets is to be filled by the pool: they don't
-    /// do so themselves, nor may an earlier pool.
+    /// Instances for which the pool is to fill its bucket. They don't fill their own
+    /// fraction, and no former pool may fill it either.
     pub represented: u32,
     /// Teams whose tokens have changed here, or are needed.
     pub needs: Vec<Need>,
 }
 
-/// One team's tokens at an instance.
+/// Tokens of one team at an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Need {
-    /// The team's mark.
+    /// Team hash.
     pub team: u64,
     /// Tokens held.
     pub held: u32,
-    /// Tokens that it has got in this session.
+    /// Tokens received in this session.
     pub received: u32,
-    /// Eighths of a token that it would hold ahead of need. Many instances that
-    /// would each hold a part of one are worth whole ones to their region.
+    /// Tokens to hold ahead of need, in eighths. Fractions of many instances add up to
+    /// whole tokens at their region's pool.
     pub wanted: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a token.
     pub waiting: u32,
 }
 
-/// What a pool hands out.
+/// Answer of a pool to a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Whose pool it is.
+    /// Name of the instance that runs the pool.
     pub name: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the instance that runs the pool.
     pub incarnation: u64,
-    /// In which role it hands out.
+    /// Level of the pool.
     pub level: Level,
-    /// Incarnation of the instance that it is for.
+    /// Incarnation of the instance that the grant is for.
     pub recipient: u64,
-    /// The session that it belongs to.
+    /// Session that the grant belongs to; 0 acknowledges a final report.
     pub session: u64,
-    /// By team.
+    /// Tokens by team.
     pub grants: Vec<TeamGrant>,
 }
 
-/// One team's tokens from a pool.
+/// Tokens of one team granted by a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TeamGrant {
-    /// The team's mark.
+    /// Team hash.
     pub team: u64,
-    /// Tokens handed out to this instance in this session.
+    /// Tokens granted in this session so far.
     pub total: u32,
-    /// Tokens that it may hold; those beyond are dropped, as others need them.
+    /// Tokens that the instance may hold; it drops the rest, which others need.
     pub held_max: u32,
-    /// Tokens that come to this instance in a thousand seconds.
+    /// Rate at which the instance is supplied, in thousandths of a token a second.
     pub rate_milli: u32,
-    /// Whether there are none left for it.
+    /// Whether requests that wait there got fewer tokens than they need.
     pub is_exhausted: bool,
 }
 
-/// A message that is due, and where to.
+/// Report and the address to send it to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingReport {
-    /// Where the instance takes it.
+    /// Address where the pool's instance receives heartbeats.
     pub addr: SocketAddr,
-    /// The report.
+    /// Report to send.
     pub report: Report,
 }
 
 impl Report {
-    /// The same for another level.
+    /// Returns the report with another level.
     pub(super) fn with_level(self, level: Level) -> Self {
         Self { level, ..self }
     }
 }
 
-/// A number of tokens as messages tell it, the fraction left out.
+/// Converts a number of tokens for a message, without its fraction.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/steer/src/process/direct/quota/pool.rs
+++ b/crates/steer/src/process/direct/quota/pool.rs
@@ -1,12 +1,12 @@
-//! The tokens of all teams, as the instance keeps them that hands them out.
+//! Pool that hands out tokens of all teams to instances, or to the pools of regions.
 //!
-//! Everything is learnt from the reports of those that ask, so a pool that takes
-//! over from another needs nothing from it, and one that restarts loses nothing but
-//! the tokens not yet handed out.
+//! Its state is rebuilt from the reports of its clients, so a pool that takes over
+//! needs nothing from its predecessor, and a restart loses only the tokens not yet
+//! handed out.
 //!
-//! Invariant: a bucket is filled for the part of instances that report here only,
-//! and what they hold, by their last report and with what is on its way to them,
-//! counts against it.
+//! Invariant: a bucket is filled only for the fraction of instances that report here.
+//! Tokens that clients hold by their last report, and those in transit to them, count
+//! against its capacity.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -14,32 +14,32 @@
 use super::message::{Level, Need, Report, TeamGrant, WANTED_UNITS_PER_TOKEN, saturating_u32};
 use crate::clock::Time;
 
-/// Time without a report after which an instance fills its own part, or asks
-/// another pool.
+/// Time without a report after which a client counts as silent, and with it a pool as
+/// unused.
 pub const REPORT_TIMEOUT: Duration = Duration::from_millis(1250);
 
-/// Time for which what was handed out to a silent instance is remembered.
+/// Time for which the tokens granted to a silent client are remembered.
 const CLIENT_RETENTION: Duration = Duration::from_secs(30);
 
-/// Part of what a region holds that stays with the instance that hands it out, for
-/// requests that wait: it is a millisecond away from all of them.
+/// Fraction of a region's tokens that its pool keeps for requests that wait; it is a
+/// millisecond away from all instances there.
 const REGION_RESERVE_RATIO: f64 = 0.4;
 
-/// The same of the fleet's.
+/// Fraction of the fleet's tokens that its pool keeps for requests that wait.
 const FLEET_RESERVE_RATIO: f64 = 0.1;
 
-/// Tokens that a region holds of a team that sends nothing.
+/// Tokens that a region wants for a team that sends nothing.
 const IDLE_TOKENS_WANTED: f64 = 2.0;
 
-/// Tokens that sums of fractions may be short of a whole one.
+/// Shortfall of a sum of fractions that still counts as a whole token.
 const ROUNDING_SLACK: f64 = 1e-6;
 
-/// Terms of a team's bucket.
+/// Rate and capacity of a team's bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Tokens a second.
+    /// Refill rate in tokens a second.
     pub rate: f64,
-    /// Tokens at most.
+    /// Capacity in tokens.
     pub capacity: f64,
 }
 
@@ -51,20 +51,20 @@
     session: u64,
     last_seen: Time,
     represented: u32,
-    /// Sorted by team.
+    /// Sorted by team hash.
     held: Vec<Holding>,
 }
 
-/// One team's tokens at one instance.
+/// Tokens of one team at one client.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holding {
     team: u64,
-    /// Tokens there, and on the way there.
+    /// Tokens held there and in transit to it.
     tokens: f64,
-    /// Handed out in this session.
+    /// Tokens granted in this session.
     granted: u32,
     wanted: f64,
-    /// Tokens that requests wait for.
+    /// Requests that wait for a token.
     waiting: f64,
 }
 
@@ -73,31 +73,32 @@
     team: u64,
     tokens: f64,
     filled_at: Time,
-    /// Part of the instances for which it was filled last.
+    /// Fraction of the instances that it was last filled for.
     fraction: f64,
 }
 
-/// All buckets.
+/// Buckets of all teams, and the clients that draw from them.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Since when instances report here.
+    /// Start of the time in which clients have reported without a gap.
     active_since: Option<Time>,
     last_report: Time,
     /// Sorted by name.
     clients: Vec<Client>,
-    /// Sorted by team.
+    /// Sorted by team hash.
     buckets: Vec<Bucket>,
 }
 
 impl Pool {
-    /// Whether instances report here.
+    /// Returns whether clients report here.
     pub fn is_active(&self, now: Time) -> bool {
         self.active_since.is_some() && now.since(self.last_report) < REPORT_TIMEOUT
     }
 
-    /// Notes a report; `None` if nothing can be given for it: it is older than one
-    /// that was here, or doesn't count from this incarnation, `life`.
-    pub fn note_report(&mut self, now: Time, report: &Report, life: u64) -> Option<usize> {
+    /// Records a report and returns the client's index; `None` if nothing may be
+    /// granted for it, because it is older than the last one or its counts refer to an
+    /// incarnation of the pool other than `incarnation`.
+    pub fn note_report(&mut self, now: Time, report: &Report, incarnation: u64) -> Option<usize> {
         if !self.is_active(now) {
             self.active_since = Some(now);
             self.buckets.clear();
@@ -141,25 +142,25 @@
         for need in &report.needs {
             client.update(need);
         }
-        (report.pool_incarnation == life).then_some(at)
+        (report.pool_incarnation == incarnation).then_some(at)
     }
 
-    /// Instances whose parts are filled here.
+    /// Number of instances for which buckets are filled here.
     pub fn represented(&self, now: Time) -> u32 {
-        let here = self.clients.iter().filter(|c| c.is_live(now));
-        here.map(|c| c.represented).sum()
+        let live = self.clients.iter().filter(|c| c.is_live(now));
+        live.map(|c| c.represented).sum()
     }
 
-    /// The same as a part of all.
+    /// Fraction of all `count` instances for which buckets are filled here.
     #[allow(clippy::cast_precision_loss, reason = "instances are few")]
     pub fn fraction(&self, now: Time, count: usize) -> f64 {
-        let here = f64::from(self.represented(now));
-        here / (count as f64).max(here).max(1.0)
+        let live = f64::from(self.represented(now));
+        live / (count as f64).max(live).max(1.0)
     }
 
-    /// What all that report here hold and need together of these teams' tokens.
-    /// Some are wanted of each, or the first request of an idle team would have to
-    /// wait for one from another region.
+    /// Sums what the clients and this pool hold and need of these teams' tokens. At
+    /// least a few are wanted for each team; otherwise the first request of an idle
+    /// team would wait for another region.
     pub fn needs(&self, now: Time, teams: impl Iterator<Item = u64>) -> Vec<Need> {
         let need = |team: u64| {
             let mut sum = Holding::default();
@@ -168,43 +169,44 @@
                 sum.wanted += held.wanted;
                 sum.waiting += held.waiting;
             }
-            let here = self.tokens(team);
+            let available = self.tokens(team);
             Need {
                 team,
-                held: saturating_u32((sum.tokens + here).ceil()),
+                held: saturating_u32((sum.tokens + available).ceil()),
                 received: 0,
                 wanted: saturating_u32(
                     (sum.wanted.max(IDLE_TOKENS_WANTED) * WANTED_UNITS_PER_TOKEN).ceil(),
                 ),
-                waiting: saturating_u32((sum.waiting - here).max(0.0).ceil()),
+                waiting: saturating_u32((sum.waiting - available).max(0.0).ceil()),
             }
         };
         teams.map(need).collect()
     }
 
-    /// Fills a team's bucket by its rate, for this part of the instances.
-    pub fn refill(&mut self, now: Time, team: u64, part: f64, terms: &Terms) {
-        let out = self.outstanding(now, team);
-        let began = self.active_since.unwrap_or(now);
-        let bucket = self.bucket(team, began, part);
+    /// Refills a team's bucket at its rate, for this fraction of the instances.
+    pub fn refill(&mut self, now: Time, team: u64, fraction: f64, terms: &Terms) {
+        let outstanding = self.outstanding(now, team);
+        let active_since = self.active_since.unwrap_or(now);
+        let bucket = self.bucket(team, active_since, fraction);
         let span = now.since(bucket.filled_at).as_secs_f64();
-        let filled = bucket.tokens + terms.rate * bucket.fraction.min(part) * span;
-        bucket.tokens = filled.min((terms.capacity * part - out).max(0.0));
+        let filled = bucket.tokens + terms.rate * bucket.fraction.min(fraction) * span;
+        bucket.tokens = filled.min((terms.capacity * fraction - outstanding).max(0.0));
         bucket.filled_at = now;
-        bucket.fraction = part;
+        bucket.fraction = fraction;
     }
 
-    /// Adds tokens to a team's bucket. All that are here and at those who report.
+    /// Adds tokens to a team's bucket; returns the tokens here and at the clients
+    /// together.
     pub fn deposit(&mut self, now: Time, team: u64, tokens: f64) -> f64 {
-        let out = self.outstanding(now, team);
+        let outstanding = self.outstanding(now, team);
         let bucket = self.bucket(team, now, 0.0);
         bucket.tokens += tokens;
         bucket.filled_at = now;
-        bucket.tokens + out
+        bucket.tokens + outstanding
     }
 
-    /// Hands out tokens for what is needed, of `capacity` in all; `rate` come in a
-    /// second.
+    /// Grants tokens for `need`. `capacity` is the most that may be held in all, `rate`
+    /// the supply in tokens a second.
     pub fn grant(
         &mut self,
         now: Time,
@@ -215,17 +217,17 @@
         let wanted: f64 = self.holdings(now, need.team).map(|held| held.wanted).sum();
         let want = f64::from(need.wanted) / WANTED_UNITS_PER_TOKEN;
         let reserve = capacity * reserve_ratio(level);
-        // Where less is there than all want, each gets its part of it; what nobody
-        // wants is spread over all, or the first requests of a team that was idle
-        // would have to wait.
+        // If clients want more than there is, each gets a proportional part. Tokens
+        // that no client wants are spread over all; otherwise the first requests of an
+        // idle team would wait.
         let rest = (capacity - reserve - wanted).max(0.0);
         let spread = rest / f64::from(self.represented(now).max(1))
             * f64::from(self.clients[at].represented);
         let fair = want * ((capacity - reserve) / wanted.max(1.0)).min(1.0) + spread;
-        let here = self.tokens(need.team);
+        let available = self.tokens(need.team);
         let held = self.clients[at].ensure(need.team);
-        let ahead = (fair - held.tokens).min(here - reserve);
-        let new = ahead.max(held.waiting.min(here)).max(0.0);
+        let ahead = (fair - held.tokens).min(available - reserve);
+        let new = ahead.max(held.waiting.min(available)).max(0.0);
         let new = (new + ROUNDING_SLACK).floor();
         held.tokens += new;
         held.waiting = (held.waiting - new).max(0.0);
@@ -244,28 +246,28 @@
         }
     }
 
-    /// Drops what is here of a team's tokens beyond what may be held in all.
-    pub fn trim(&mut self, now: Time, team: u64, keep: u32) {
-        let room = (f64::from(keep) - self.outstanding(now, team)).max(0.0);
+    /// Drops tokens of a team here that exceed the total that may be held.
+    pub fn trim(&mut self, now: Time, team: u64, held_max: u32) {
+        let room = (f64::from(held_max) - self.outstanding(now, team)).max(0.0);
         if let Ok(at) = self.find(team) {
             let bucket = &mut self.buckets[at];
             bucket.tokens = bucket.tokens.min(room);
         }
     }
 
-    /// Whether less is left here than is kept for requests that wait.
+    /// Returns whether fewer tokens are left here than are kept for requests that wait.
     pub fn is_low(&self, team: u64, capacity: f64) -> bool {
         self.tokens(team) < capacity * REGION_RESERVE_RATIO
     }
 
-    /// Tokens at those who report, and on the way there.
+    /// Tokens at the clients and in transit to them.
     fn outstanding(&self, now: Time, team: u64) -> f64 {
         self.holdings(now, team).map(|held| held.tokens).sum()
     }
 
     fn holdings(&self, now: Time, team: u64) -> impl Iterator<Item = &Holding> {
-        let here = move |c: &&Client| c.is_live(now);
-        self.clients.iter().filter(here).filter_map(move |c| {
+        let live = move |c: &&Client| c.is_live(now);
+        self.clients.iter().filter(live).filter_map(move |c| {
             let found = c.held.binary_search_by_key(&team, |held| held.team);
             found.ok().map(|at| &c.held[at])
         })
@@ -279,15 +281,15 @@
         self.buckets.binary_search_by_key(&team, |b| b.team)
     }
 
-    fn bucket(&mut self, team: u64, filled: Time, part: f64) -> &mut Bucket {
+    fn bucket(&mut self, team: u64, filled_at: Time, fraction: f64) -> &mut Bucket {
         let at = match self.find(team) {
             Ok(at) => at,
             Err(at) => {
                 let bucket = Bucket {
                     team,
                     tokens: 0.0,
-                    filled_at: filled,
-                    fraction: part,
+                    filled_at,
+                    fraction,
                 };
                 self.buckets.insert(at, bucket);
                 at
@@ -309,7 +311,7 @@
         now.since(self.last_seen) < REPORT_TIMEOUT
     }
 
-    /// Notes what it says it holds.
+    /// Updates the tokens of a team by the client's report.
     fn update(&mut self, need: &Need) {
         let held = self.ensure(need.team);
         let coming = held.granted.saturating_sub(need.received);
