--- a/crates/steer/src/process/direct/members.rs
+++ b/crates/steer/src/process/direct/members.rs
@@ -1,17 +1,18 @@
-//! Which other instances there are, and what they say they have at work.
+//! Membership: the other instances, and the load and health that they report.
 //!
-//! Two sources name an instance: its row in the platform's store, which ends
-//! with its lease, and its own heartbeats. Either alone misleads: rows vanish
-//! when the store lapses or revokes leases, and stay when the store is away and
-//! nothing can end them; heartbeats are lost where two instances are cut off
-//! from each other though callers reach both.
+//! An instance is known from its registration in the platform's store, which ends with
+//! its lease, and from its own heartbeats. Either source alone misleads. Registrations
+//! disappear when the store expires or revokes leases, and stay while the store is
+//! unreachable and can't end them. Heartbeats are lost between two instances that are
+//! partitioned, although callers reach both.
 //!
-//! An instance that nobody hears and the store no longer lists may be cut off
-//! and still send: it keeps its part of what is bounded as a sum for longer than
-//! callers are sent to it.
+//! An instance that is silent and no longer registered may be partitioned and still
+//! send requests. It therefore keeps its allotment of sums for longer than callers are
+//! sent to it.
 //!
-//! Invariant: an instance that was ended counts as there for at most
-//! [`SILENT`] after its row is gone or the store is out of touch.
+//! Invariant: an instance that has ended counts as present for at most
+//! [`HEARTBEAT_TIMEOUT`] after its registration is gone or the store became
+//! unreachable.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -21,69 +22,71 @@
 use super::limit::LimitReport;
 use crate::clock::Time;
 
-/// Time without a heartbeat after which one no longer counts as there, unless
-/// the store, in touch, says so. Several heartbeats may be lost before.
-pub const SILENT: Duration = Duration::from_secs(3);
+/// Time without a heartbeat after which an instance no longer counts as present, unless
+/// the reachable store lists it. Several heartbeats in a row may be lost before.
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for which an instance of which there is no sign keeps its part of sums:
-/// cuts that heal by themselves last seconds.
-const KEPT: Duration = Duration::from_secs(30);
+/// Time for which an instance without any sign of life keeps its allotment of sums;
+/// partitions that heal by themselves last seconds.
+const ALLOTMENT_RETENTION: Duration = Duration::from_secs(30);
 
-/// Time for which an instance that has appeared counts as new: it has to learn first
-/// what the others know.
-const NEW: Duration = Duration::from_secs(5);
+/// Time for which an instance that has appeared counts as new, as it first has to learn
+/// the state of the others.
+const NEWCOMER_SPAN: Duration = Duration::from_secs(5);
 
-/// Age of this process up to which all others seem to have just appeared.
-const ACQUAINTED: Duration = Duration::from_secs(2);
+/// Age of this process up to which no other instance counts as new, since it sees all
+/// of them appear.
+const STARTUP_SPAN: Duration = Duration::from_secs(2);
 
-/// Time for which what an instance has at work is believed.
-const FRESH: Duration = Duration::from_millis(1200);
+/// Time for which an instance's report of its requests in flight is used.
+const IN_FLIGHT_TTL: Duration = Duration::from_millis(1200);
 
-/// Where an instance is reached, and where it stands.
+/// Location and addresses of an instance, as registered in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: Arc<str>,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where peers call.
+    /// Address for calls of peers.
     pub peers: SocketAddr,
-    /// Where heartbeats go.
+    /// Address for heartbeats.
     pub heartbeats: SocketAddr,
 }
 
-/// A heartbeat.
+/// Heartbeat of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// Name of the sender.
     pub name: Arc<str>,
-    /// Tells its incarnations apart.
+    /// Distinguishes processes of the same name.
     pub incarnation: u64,
-    /// Counts its heartbeats.
+    /// Counts the heartbeats of this incarnation.
     pub seq: u64,
-    /// Whether it has been told to stop.
+    /// Whether the sender has been told to stop.
     pub is_leaving: bool,
-    /// Whether callers with keys are better served elsewhere: it doesn't hear
-    /// enough of the store.
+    /// Whether the sender's knowledge of the store is so old that callers with keys are
+    /// better served elsewhere.
     pub is_stale: bool,
-    /// Revision of the store up to which it knows everything.
+    /// Revision of the store up to which the sender knows everything.
     pub revision: u64,
-    /// Version of the configuration that it has in force.
+    /// Version of the configuration in force at the sender.
     pub version: u64,
-    /// Where it is, now and then.
+    /// Registration of the sender; only in some heartbeats.
     pub registration: Option<Registration>,
-    /// Requests that it has at targets: the target's mark, and how many.
+    /// Requests of the sender that are at targets: hash of the target's name, and
+    /// number.
     pub in_flight: Vec<(u32, u8)>,
-    /// Objects that targets of its region hold: the target's mark, and the
-    /// object's.
+    /// Objects that targets of the sender's region hold: hash of the target's name, and
+    /// hash of the object.
     pub warm_objects: Vec<(u32, u32)>,
-    /// Requests under which targets broke lately: fingerprint, and strikes.
+    /// Requests during which targets recently broke off: fingerprint and strikes.
     pub suspects: Vec<(u128, u8)>,
-    /// What it saw of slow and failing targets, sorted by mark.
+    /// Observations of slow and failing targets, sorted by target hash.
     pub observations: Vec<Observation>,
-    /// Limits that targets have named to it, or no longer name.
+    /// Limits that targets reported to the sender, or recently lifted.
     pub limits: Vec<LimitReport>,
 }
 
@@ -92,9 +95,9 @@
     name: Arc<str>,
     registration: Option<Registration>,
     is_listed: bool,
-    /// When its row came, if it wasn't there before.
+    /// Time at which it was registered, if that was after the start of this process.
     appeared_at: Option<Time>,
-    /// When its row went.
+    /// Time at which its registration went.
     unlisted_at: Option<Time>,
     last_seen: Option<Time>,
     incarnation: u64,
@@ -106,33 +109,33 @@
     in_flight: Vec<(u32, u8)>,
 }
 
-/// The other instances, sorted by name.
+/// Other instances, sorted by name.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     members: Vec<Member>,
 }
 
 impl Members {
-    /// A row in the store.
-    pub fn add(&mut self, now: Time, name: &str, row: Registration) {
+    /// Adds an instance that is registered in the store.
+    pub fn add(&mut self, now: Time, name: &str, registration: Registration) {
         let member = self.ensure(name);
-        if !member.is_listed && now >= Time::ZERO + ACQUAINTED {
+        if !member.is_listed && now >= Time::ZERO + STARTUP_SPAN {
             member.appeared_at = Some(now);
         }
-        member.registration = Some(row);
+        member.registration = Some(registration);
         member.is_listed = true;
         member.is_leaving = false;
     }
 
-    /// A row is gone from the store. It counts on for a moment: its instance
-    /// may be there all the same, which its heartbeats tell.
+    /// Records that a registration is gone from the store. The instance may still run
+    /// and count as present by its heartbeats.
     pub fn unlist(&mut self, now: Time, name: &str) {
         if let Ok(at) = self.find(name) {
             self.members[at].unlist(now);
         }
     }
 
-    /// Keeps only these as listed.
+    /// Treats all instances but these as no longer registered.
     pub fn retain_listed(&mut self, now: Time, names: &[&str]) {
         for member in &mut self.members {
             if !names.contains(&&*member.name) {
@@ -141,76 +144,89 @@
         }
     }
 
-    /// Takes a heartbeat; an older one of the same life is passed over. Says
-    /// whether its sender has come to share sums by it, or no longer does.
-    pub fn receive(&mut self, now: Time, beat: Heartbeat) -> bool {
-        let member = self.ensure(&beat.name);
-        if member.incarnation == beat.incarnation
-            && beat.seq <= member.seq
+    /// Takes a heartbeat, unless a later one of the same incarnation was received.
+    /// Returns whether its sender has become a participant in sums, or has ceased to be
+    /// one.
+    pub fn receive(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
+        let member = self.ensure(&heartbeat.name);
+        if member.incarnation == heartbeat.incarnation
+            && heartbeat.seq <= member.seq
             && member.last_seen.is_some()
         {
             return false;
         }
-        let shares = |m: &Member| m.registration.is_some() && m.may_send(now);
-        let before = shares(member);
-        if beat.registration.is_some() {
-            member.registration = beat.registration;
+        let participates = |m: &Member| m.registration.is_some() && m.may_send(now);
+        let before = participates(member);
+        if heartbeat.registration.is_some() {
+            member.registration = heartbeat.registration;
         }
         member.last_seen = Some(now);
-        member.incarnation = beat.incarnation;
-        member.seq = beat.seq;
-        member.is_leaving = beat.is_leaving;
-        member.is_stale = beat.is_stale;
-        member.revision = beat.revision;
-        member.version = beat.version;
-        member.in_flight = beat.in_flight;
-        shares(member) != before
+        member.incarnation = heartbeat.incarnation;
+        member.seq = heartbeat.seq;
+        member.is_leaving = heartbeat.is_leaving;
+        member.is_stale = heartbeat.is_stale;
+        member.revision = heartbeat.revision;
+        member.version = heartbeat.version;
+        member.in_flight = heartbeat.in_flight;
+        participates(member) != before
     }
 
-    /// Names and rows of those that are there; `store`: whether the store is in
-    /// touch, so that its rows are true.
+    /// Instances that are present. The store's list counts only if
+    /// `is_store_reachable`.
     pub fn present(
         &self,
         now: Time,
-        store: bool,
+        is_store_reachable: bool,
     ) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
-        let there = move |m: &&Member| is_there(m, now, store);
-        let members = self.members.iter().filter(there);
-        members.filter_map(|m| m.registration.as_ref().map(|row| (&m.name, row)))
+        let present = move |m: &&Member| is_present(m, now, is_store_reachable);
+        let members = self.members.iter().filter(present);
+        members.filter_map(|m| {
+            m.registration
+                .as_ref()
+                .map(|registration| (&m.name, registration))
+        })
     }
 
-    /// The same without those that have said lately that callers with keys are
+    /// Instances that are present and have not reported that callers with keys are
     /// better served elsewhere.
     pub fn serving(
         &self,
         now: Time,
-        store: bool,
+        is_store_reachable: bool,
     ) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
-        let there = move |m: &&Member| is_there(m, now, store) && !m.is_known_stale(now);
-        let members = self.members.iter().filter(there);
-        members.filter_map(|m| m.registration.as_ref().map(|row| (&m.name, row)))
+        let present =
+            move |m: &&Member| is_present(m, now, is_store_reachable) && !m.is_known_stale(now);
+        let members = self.members.iter().filter(present);
+        members.filter_map(|m| {
+            m.registration
+                .as_ref()
+                .map(|registration| (&m.name, registration))
+        })
     }
 
-    /// Where to ask what the store holds: of those of a region heard lately, one that
-    /// isn't too stale itself.
+    /// Address of an instance to read the store's content from: of those in the region
+    /// that are live and not stale, the one heard from last.
     #[must_use]
     pub fn fresh_peer(&self, now: Time, region: &str) -> Option<SocketAddr> {
-        let near = |m: &Member| {
+        let in_region = |m: &Member| {
             m.registration
                 .as_ref()
-                .is_some_and(|row| *row.region == *region)
+                .is_some_and(|registration| *registration.region == *region)
         };
-        let fit = |m: &&Member| m.is_live(now) && !m.is_stale && !m.is_leaving && near(m);
+        let is_fit = |m: &&Member| m.is_live(now) && !m.is_stale && !m.is_leaving && in_region(m);
         let newest = self
             .members
             .iter()
-            .filter(fit)
+            .filter(is_fit)
             .max_by_key(|m| m.last_seen)?;
-        newest.registration.as_ref().map(|row| row.peers)
+        newest
+            .registration
+            .as_ref()
+            .map(|registration| registration.peers)
     }
 
-    /// The same, with the version of the configuration that each has said lately
-    /// it has in force.
+    /// Instances that may be sending requests, with the version of the configuration in
+    /// force if they were heard from recently.
     pub fn versions(
         &self,
         now: Time,
@@ -218,65 +234,80 @@
         let may_send = move |m: &&Member| m.may_send(now);
         let members = self.members.iter().filter(may_send);
         members.filter_map(move |m| {
-            let heard = m.last_seen.is_some_and(|at| now.since(at) < SILENT);
-            let row = m.registration.as_ref()?;
-            Some((&m.name, row, heard.then_some(m.version)))
+            let is_live = m
+                .last_seen
+                .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT);
+            let registration = m.registration.as_ref()?;
+            Some((&m.name, registration, is_live.then_some(m.version)))
         })
     }
 
-    /// Whether another instance was heard lately.
+    /// Returns whether a heartbeat of any other instance arrived recently.
     #[must_use]
     pub fn has_live_peer(&self, now: Time) -> bool {
-        let heard = |m: &Member| m.last_seen.is_some_and(|at| now.since(at) < SILENT);
-        self.members.iter().any(heard)
+        let is_live = |m: &Member| {
+            m.last_seen
+                .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
+        };
+        self.members.iter().any(is_live)
     }
 
-    /// Whether an instance has just appeared.
+    /// Returns whether an instance has appeared recently.
     #[must_use]
     pub fn is_new(&self, now: Time, name: &str) -> bool {
         let appeared = self.find(name).map(|at| self.members[at].appeared_at);
         let appeared = appeared.ok().flatten();
-        appeared.is_some_and(|at| now.since(at) < NEW)
+        appeared.is_some_and(|at| now.since(at) < NEWCOMER_SPAN)
     }
 
-    /// Where an instance is reached, whether it is there or not.
+    /// Registration of an instance, whether or not it is present.
     #[must_use]
     pub fn registration(&self, name: &str) -> Option<&Registration> {
         let at = self.find(name).ok()?;
         self.members[at].registration.as_ref()
     }
 
-    /// Names and rows of those that may be sending requests, whether callers
-    /// should still be sent to them or not.
+    /// Instances that may be sending requests, including those that get no more
+    /// callers.
     pub fn participants(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, &Registration)> {
         let may_send = move |m: &&Member| m.may_send(now);
         let members = self.members.iter().filter(may_send);
-        members.filter_map(|m| m.registration.as_ref().map(|row| (&m.name, row)))
+        members.filter_map(|m| {
+            m.registration
+                .as_ref()
+                .map(|registration| (&m.name, registration))
+        })
     }
 
-    /// Forgets those that are gone.
+    /// Removes instances that are gone.
     pub fn sweep(&mut self, now: Time) {
-        // One that leaves and is still listed must be known to leave.
+        // One that leaves while it is registered must stay known as leaving.
         self.members.retain(|m| m.is_listed || m.may_send(now));
     }
 
-    /// Requests that others have said lately they have at targets, by mark; a
-    /// target once for each of them.
+    /// Requests that other instances recently reported to have at targets, by target
+    /// hash; a target appears once for each instance.
     pub fn in_flight(&self, now: Time) -> impl Iterator<Item = (u32, u8)> {
-        let fresh = move |m: &&Member| m.last_seen.is_some_and(|at| now.since(at) < FRESH);
-        let members = self.members.iter().filter(fresh);
+        let is_fresh =
+            move |m: &&Member| m.last_seen.is_some_and(|at| now.since(at) < IN_FLIGHT_TTL);
+        let members = self.members.iter().filter(is_fresh);
         members.flat_map(|m| m.in_flight.iter().copied())
     }
 
-    /// Where to ask for what the store says: of those heard lately, one that
-    /// knows a later revision or version than `known`.
+    /// Address of an instance that knows a later revision or version than these; the
+    /// one with the latest version among those heard from recently.
     #[must_use]
     pub fn peer_ahead(&self, now: Time, revision: u64, version: u64) -> Option<SocketAddr> {
-        let fresh = |m: &&Member| m.last_seen.is_some_and(|at| now.since(at) < SILENT);
+        let is_fresh = |m: &&Member| {
+            m.last_seen
+                .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
+        };
         let ahead = |m: &&Member| m.version > version || m.revision > revision;
-        let members = self.members.iter().filter(fresh).filter(ahead);
+        let members = self.members.iter().filter(is_fresh).filter(ahead);
         let best = members.max_by_key(|m| (m.version, m.revision))?;
-        best.registration.as_ref().map(|row| row.peers)
+        best.registration
+            .as_ref()
+            .map(|registration| registration.peers)
     }
 
     fn ensure(&mut self, name: &str) -> &mut Member {
@@ -324,38 +355,43 @@
     }
 
     fn is_live(&self, now: Time) -> bool {
-        self.last_seen.is_some_and(|at| now.since(at) < SILENT)
+        self.last_seen
+            .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT)
     }
 
     fn is_known_stale(&self, now: Time) -> bool {
         self.is_stale && self.is_live(now)
     }
 
-    /// Whether it may be sending requests. One that was told to stop does so
-    /// for as long as it is heard.
+    /// Returns whether it may be sending requests. One that was told to stop does so
+    /// while its heartbeats arrive.
     fn may_send(&self, now: Time) -> bool {
         if self.is_leaving {
-            return self.last_seen.is_some_and(|at| now.since(at) < SILENT);
+            return self
+                .last_seen
+                .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT);
         }
         let last = self.last_seen.max(self.unlisted_at);
-        self.is_listed || last.is_some_and(|at| now.since(at) < KEPT)
+        self.is_listed || last.is_some_and(|at| now.since(at) < ALLOTMENT_RETENTION)
     }
 }
 
-fn is_there(member: &Member, now: Time, store: bool) -> bool {
+fn is_present(member: &Member, now: Time, is_store_reachable: bool) -> bool {
     if member.is_leaving {
         return false;
     }
-    let heard = member.last_seen.is_some_and(|at| now.since(at) < SILENT);
-    heard || (member.is_listed && store)
+    let is_live = member
+        .last_seen
+        .is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT);
+    is_live || (member.is_listed && is_store_reachable)
 }
 
-/// The mark by which heartbeats name a target: a few bytes of its name's hash.
-/// Two targets with one mark only make each look busier.
+/// Hash by which heartbeats identify a target or an instance: the upper half of the
+/// full hash of its name. Targets whose hashes collide each look busier than they are.
 #[must_use]
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "a mark is a part of the hash"
+    reason = "the upper half of the hash"
 )]
 pub fn name_hash(id: &str) -> u32 {
     (super::hash(id.as_bytes()) >> 32) as u32
--- a/crates/steer/src/process/direct/recipients.rs
+++ b/crates/steer/src/process/direct/recipients.rs
@@ -1,83 +1,83 @@
-//! Which instances get this instance's heartbeats.
+//! Recipients of this instance's heartbeats.
 //!
-//! Heartbeats to all would grow with the square of the fleet, and bytes that
-//! leave the failure domain are paid, those that leave the region most. So the
-//! nearest get each one, a few of the rest of the region and a few of other
-//! regions every few: enough for all to learn that someone knows a newer
-//! configuration, and which instances answer while the store is away.
+//! Heartbeats to all instances would grow with the square of the fleet, and bytes that
+//! leave the failure domain are paid for, those between regions most. So the closest
+//! instances get each heartbeat, and a few of the rest of the region and of other
+//! regions get one every few. That is enough for all to learn that some instance knows
+//! a newer configuration, and which instances respond while the store is unreachable.
 //!
-//! Invariant: whom an instance tells depends on names alone, and so is the same
-//! for as long as the members are; who is told by whom is spread evenly.
+//! Invariant: the recipients depend on names alone, so they are stable while the
+//! membership is, and every instance receives from about the same number of others.
 
 use core::net::SocketAddr;
 
 use super::{Direct, members};
 use crate::clock::Time;
 
-/// Instances of the own domain that get each heartbeat; bytes within it cost
-/// nothing but the processor time.
-const DOMAIN_MOST: usize = 12;
+/// Instances of this failure domain that get each heartbeat. Bytes within it cost only
+/// processor time.
+const DOMAIN_RECIPIENTS_MAX: usize = 12;
 
-/// Instances that get each heartbeat at least, if the region has them: those who
-/// share targets need each other's counts.
-const NEAR_LEAST: usize = 8;
+/// Smallest number of instances that get each heartbeat, if the region has them:
+/// instances that share targets need each other's counts.
+const LOCAL_RECIPIENTS_MIN: usize = 8;
 
-/// Further ones of the region, between which the news of one domain spreads to
-/// the others.
-const REGION_MOST: usize = 3;
+/// Further instances of the region; they pass the updates of one domain on to the
+/// others.
+const REGION_RECIPIENTS_MAX: usize = 3;
 
 /// Instances of other regions.
-const FAR_MOST: usize = 8;
+const REMOTE_RECIPIENTS_MAX: usize = 8;
 
-/// Who gets heartbeats, by how often.
+/// Recipients of heartbeats, by how often they get them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recipients {
-    /// Each one.
+    /// Get each heartbeat.
     pub local: Vec<SocketAddr>,
-    /// Every few.
+    /// Get one heartbeat in several.
     pub region: Vec<SocketAddr>,
-    /// Every few, without what concerns the targets of a region.
+    /// Get one heartbeat in several, without what concerns the targets of a region.
     pub remote: Vec<SocketAddr>,
 }
 
 impl Direct {
-    /// Who gets heartbeats now: those too that haven't been heard, or two that
-    /// were cut off from each other while the store is away would never speak
-    /// again, nor would one that has just started and knows the others by the
-    /// word of one of them.
+    /// Recipients of the next heartbeat, including instances not heard from. Otherwise
+    /// two instances that were partitioned while the store was unreachable would never
+    /// exchange heartbeats again, nor would one that has just started and knows the
+    /// others only through one of them.
     #[must_use]
     pub fn recipients(&self, now: Time) -> Recipients {
         let own = &self.identity.registration;
-        let (mut domain, mut region, mut far) = (Vec::new(), Vec::new(), Vec::new());
-        for (name, row) in self.members.participants(now) {
-            let list = if row.domain == own.domain {
+        let (mut domain, mut region, mut remote) = (Vec::new(), Vec::new(), Vec::new());
+        for (name, registration) in self.members.participants(now) {
+            let list = if registration.domain == own.domain {
                 &mut domain
-            } else if row.region == own.region {
+            } else if registration.region == own.region {
                 &mut region
             } else {
-                &mut far
+                &mut remote
             };
-            list.push((distance(&self.identity.name, name), row.heartbeats));
+            list.push((distance(&self.identity.name, name), registration.heartbeats));
         }
-        let mut near = nearest(domain, DOMAIN_MOST);
-        let fill = NEAR_LEAST.saturating_sub(near.len());
-        let mut region = nearest(region, fill + REGION_MOST);
-        near.extend(region.drain(..fill.min(region.len())));
+        let mut local = nearest(domain, DOMAIN_RECIPIENTS_MAX);
+        let fill = LOCAL_RECIPIENTS_MIN.saturating_sub(local.len());
+        let mut region = nearest(region, fill + REGION_RECIPIENTS_MAX);
+        local.extend(region.drain(..fill.min(region.len())));
         Recipients {
-            local: near,
+            local,
             region,
-            remote: nearest(far, FAR_MOST),
+            remote: nearest(remote, REMOTE_RECIPIENTS_MAX),
         }
     }
 }
 
-fn nearest(mut list: Vec<(u32, SocketAddr)>, most: usize) -> Vec<SocketAddr> {
+fn nearest(mut list: Vec<(u32, SocketAddr)>, max: usize) -> Vec<SocketAddr> {
     list.sort_unstable();
-    list.truncate(most);
+    list.truncate(max);
     list.into_iter().map(|(_, addr)| addr).collect()
 }
 
-/// Spreads who tells whom, the same both ways.
+/// Distance by which recipients are chosen. It is symmetric and spreads them evenly.
 fn distance(one: &str, other: &str) -> u32 {
     members::name_hash(one) ^ members::name_hash(other)
 }
--- a/crates/steer/src/process/direct/roster.rs
+++ b/crates/steer/src/process/direct/roster.rs
@@ -1,7 +1,7 @@
-//! All targets as service discovery names them.
+//! Roster of all targets that service discovery lists.
 //!
-//! Invariants: nothing is sent to a target in an evacuated domain; one that
-//! starts anew under its old name begins with nothing learnt.
+//! Invariants: nothing is sent to a target in an evacuated domain; a target that
+//! restarts under its old name starts without learnt state.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     targets: Vec<Target>,
-    /// Places of each service's targets in `targets`, sorted by service: a
-    /// decision looks at those of one service only.
+    /// Indexes into `targets` by service, sorted by service; a decision looks at the
+    /// targets of one service only.
     index: Vec<(Arc<str>, Vec<usize>)>,
-    /// Marks of all targets with their places, sorted.
+    /// Name hashes of all targets with their indexes, sorted.
     hashes: Vec<(u32, usize)>,
     domains: Vec<(Arc<str>, Arc<str>)>,
     evacuated: Vec<Arc<str>>,
 }
 
 impl Roster {
-    /// No targets yet; failure domains with their regions.
+    /// Creates an empty roster; `domains` are pairs of a failure domain and its region.
     #[must_use]
     pub fn new(mut domains: Vec<(Arc<str>, Arc<str>)>) -> Self {
         domains.sort();
@@ -35,25 +35,25 @@
         }
     }
 
-    /// The region of a failure domain; the domain itself if none is named.
+    /// Region of a failure domain; an unknown domain is its own region.
     #[must_use]
     pub fn region(&self, domain: &Arc<str>) -> Arc<str> {
         let found = self.domains.binary_search_by(|d| d.0.cmp(domain));
         Arc::clone(found.map_or(domain, |at| &self.domains[at].1))
     }
 
-    /// Regions of all failure domains; one that has several comes as often.
+    /// Regions of all failure domains; a region is repeated for each of its domains.
     pub fn regions(&self) -> impl Iterator<Item = &str> {
         self.domains.iter().map(|(_, region)| &**region)
     }
 
-    /// Adds a target or takes its newer report. Says whether anything that
-    /// matters for steering has changed.
+    /// Adds a target or applies its newer report. Returns whether anything that matters
+    /// for steering has changed.
     pub fn put(&mut self, now: Time, entry: Entry) -> bool {
         self.put_all(now, vec![entry]) == [true]
     }
 
-    /// The same for many, which costs little more than for one.
+    /// Applies several entries, with one rebuild of the index at most.
     pub fn put_all(&mut self, now: Time, entries: Vec<Entry>) -> Vec<bool> {
         let mut moved = false;
         let put = |entry| self.put_one(now, entry, &mut moved);
@@ -64,7 +64,7 @@
         changed
     }
 
-    /// Puts one; `moved` is set if places or services have changed.
+    /// Applies one entry; sets `moved` if indexes or services have changed.
     fn put_one(&mut self, now: Time, entry: Entry, moved: &mut bool) -> bool {
         let region = self.region(&entry.domain);
         match self.find(&entry.id) {
@@ -81,15 +81,15 @@
                     || entry.addr != known.addr
                     || entry.service != known.service;
                 if restarted {
-                    let flying = target.in_flight;
+                    let in_flight = target.in_flight;
                     *target = Target::new(now, entry, region);
-                    target.in_flight = flying;
+                    target.in_flight = in_flight;
                     *moved = true;
                     return true;
                 }
                 let changed = target.is_gone || target.entry.draining != entry.draining;
-                // Leaving is final for an incarnation: an older report that
-                // comes late must not bring it back.
+                // Draining is final for an incarnation: a late older report must not
+                // undo it.
                 let draining = target.entry.draining || entry.draining;
                 target.is_gone = false;
                 target.drop_at = None;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A target is no longer listed.
+    /// Records that a target is no longer listed. Returns whether it was listed.
     pub fn remove(&mut self, id: &str) -> bool {
         let Ok(at) = self.find(id) else {
             return false;
@@ -114,80 +114,80 @@
         changed
     }
 
-    /// A target is no longer listed, but the store was away: its entry may
-    /// have lapsed and be back in a moment. It is dropped at `until`.
+    /// Records that a target is missing after the store was unreachable: its entry may
+    /// have expired and be renewed soon. It is dropped at `until`.
     pub fn mark_missing(&mut self, id: &str, until: Time) {
         if let Some(target) = self.get_mut(id) {
             target.drop_at.get_or_insert(until);
         }
     }
 
-    /// Renews what other instances say they have at each target.
+    /// Updates each target's requests in flight as reported by other instances.
     pub fn update_peer_load(&mut self, now: Time, members: &Members) {
         for target in &mut self.targets {
             target.peers_in_flight = 0;
         }
-        for (mark, count) in members.in_flight(now) {
-            if let Some(target) = self.by_hash(mark) {
+        for (target_hash, count) in members.in_flight(now) {
+            if let Some(target) = self.target_by_hash(target_hash) {
                 target.peers_in_flight += u32::from(count);
             }
         }
     }
 
-    /// The target of a mark.
-    fn by_hash(&mut self, mark: u32) -> Option<&mut Target> {
-        let found = self.hashes.binary_search_by_key(&mark, |m| m.0);
+    /// Target with this name hash.
+    fn target_by_hash(&mut self, target_hash: u32) -> Option<&mut Target> {
+        let found = self.hashes.binary_search_by_key(&target_hash, |m| m.0);
         found.ok().map(|at| &mut self.targets[self.hashes[at].1])
     }
 
-    /// What this instance has at targets, by mark, sorted.
+    /// Requests of this instance at targets, by target hash, sorted.
     #[must_use]
     pub fn in_flight(&self) -> Vec<(u32, u8)> {
         let busy = self.targets.iter().filter(|t| t.in_flight > 0);
         let count = |t: &Target| u8::try_from(t.in_flight).unwrap_or(u8::MAX);
-        let mut flying: Vec<(u32, u8)> = busy.map(|t| (t.short_hash(), count(t))).collect();
-        flying.sort_unstable();
-        flying
+        let mut in_flight: Vec<(u32, u8)> = busy.map(|t| (t.short_hash(), count(t))).collect();
+        in_flight.sort_unstable();
+        in_flight
     }
 
-    /// Objects that targets of a region hold by what this instance sent them:
-    /// the target's mark, and the object.
+    /// Objects that targets of a region hold because of requests of this instance:
+    /// target hash and object hash.
     #[must_use]
     pub fn warm_objects(&self, now: Time, region: &str) -> Vec<(u32, u32)> {
-        let near = self.targets.iter().filter(|t| *t.region == *region);
-        let open = near.filter(|t| t.is_available());
+        let local = self.targets.iter().filter(|t| *t.region == *region);
+        let open = local.filter(|t| t.is_available());
         open.flat_map(|t| t.own_objects(now).map(|object| (t.short_hash(), object)))
             .collect()
     }
 
-    /// Another instance says that the target of this mark holds an object.
-    pub fn note_warm_object(&mut self, now: Time, mark: u32, object: u32) {
-        if let Some(target) = self.by_hash(mark) {
+    /// Records a report of another instance that a target holds an object.
+    pub fn note_warm_object(&mut self, now: Time, target_hash: u32, object: u32) {
+        if let Some(target) = self.target_by_hash(target_hash) {
             target.record_object(now, object, false);
         }
     }
 
-    /// Another instance was told this by the target of this mark.
-    pub(super) fn note_limit(&mut self, mark: u32, limit: Limit) {
-        if let Some(target) = self.by_hash(mark) {
+    /// Records a limit that a target reported to another instance.
+    pub(super) fn note_limit(&mut self, target_hash: u32, limit: Limit) {
+        if let Some(target) = self.target_by_hash(target_hash) {
             target.merge_limit(limit);
         }
     }
 
-    /// Names of all listed targets, in order.
+    /// Names of all listed targets, sorted.
     #[must_use]
     pub fn listed(&self) -> Vec<Arc<str>> {
         let listed = self.targets.iter().filter(|t| !t.is_gone);
         listed.map(|t| Arc::clone(&t.entry.id)).collect()
     }
 
-    /// The target of this name, listed or still at work.
+    /// Target of this name, listed or still handling requests.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Target> {
         self.find(id).ok().map(|at| &self.targets[at])
     }
 
-    /// The same, to change.
+    /// Mutable access to the target of this name.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Target> {
         self.find(id).ok().map(|at| &mut self.targets[at])
     }
@@ -198,13 +198,13 @@
         &self.targets
     }
 
-    /// All targets, to change.
+    /// Mutable access to all targets.
     pub fn all_mut(&mut self) -> &mut [Target] {
         &mut self.targets
     }
 
-    /// Sets the domains that must get nothing. What comes back is cold for
-    /// `warmup`: its targets have forgotten what they held.
+    /// Sets the evacuated domains, which get no requests. Targets of a domain that
+    /// returns are cold for `warmup`, as they have lost the objects they held.
     pub fn evacuate(&mut self, now: Time, mut domains: Vec<Arc<str>>, warmup: Duration) {
         domains.sort();
         domains.dedup();
@@ -223,7 +223,7 @@
         self.evacuated = domains;
     }
 
-    /// Whether nothing may be sent to a domain.
+    /// Returns whether a domain is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, domain: &str) -> bool {
         if self.evacuated.is_empty() {
@@ -233,14 +233,14 @@
         found.is_ok()
     }
 
-    /// Domains that must get nothing, sorted.
+    /// Evacuated domains, sorted.
     #[must_use]
     pub fn evacuated(&self) -> &[Arc<str>] {
         &self.evacuated
     }
 
-    /// Drops targets that are gone and have nothing at work. Names those that
-    /// were missing and haven't come back.
+    /// Drops targets that are gone and have no requests in flight. Returns the names of
+    /// those that were missing for too long.
     pub fn sweep(&mut self, now: Time) -> Vec<Arc<str>> {
         let mut dropped = Vec::new();
         for target in &mut self.targets {
@@ -261,15 +261,15 @@
         }
     }
 
-    /// Finds the services' targets anew. Targets come and go a few times a
-    /// second at most, and decisions are made a thousand times as often.
+    /// Rebuilds the indexes. Targets come and go a few times a second at most,
+    /// decisions are made a thousand times as often.
     fn reindex(&mut self) {
         self.index.clear();
-        for (place, target) in self.targets.iter().enumerate() {
+        for (index, target) in self.targets.iter().enumerate() {
             let service = &target.entry.service;
             match self.index.binary_search_by(|i| i.0.cmp(service)) {
-                Ok(at) => self.index[at].1.push(place),
-                Err(at) => self.index.insert(at, (Arc::clone(service), vec![place])),
+                Ok(at) => self.index[at].1.push(index),
+                Err(at) => self.index.insert(at, (Arc::clone(service), vec![index])),
             }
         }
         let marks = self
@@ -281,11 +281,11 @@
         self.hashes.sort_unstable();
     }
 
-    /// The targets of a service, with their places among all.
+    /// Targets of a service, with their indexes in the roster.
     pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = (usize, &'a Target)> {
         let found = self.index.binary_search_by(|i| (*i.0).cmp(service));
-        let places = found.map_or(&[][..], |at| &self.index[at].1[..]);
-        places.iter().map(|&place| (place, &self.targets[place]))
+        let indexes = found.map_or(&[][..], |at| &self.index[at].1[..]);
+        indexes.iter().map(|&index| (index, &self.targets[index]))
     }
 
     fn find(&self, id: &str) -> Result<usize, usize> {
