--- a/crates/measure/src/shift/world.rs
+++ b/crates/measure/src/shift/world.rs
@@ -380,12 +380,12 @@
         let view = Arc::clone(&self.setup.view);
         let service = &view.services.as_slice()[job.service];
         let name = |region| Arc::clone(&view.regions[region].name);
-        let (origin, via) = match job.hop {
+        let (origin, peer_region) = match job.hop {
             Some((from, ..)) => (Origin::Peer, Some(name(self.nodes[from].region))),
             None => (Origin::Caller, None),
         };
         // A key as a look-up at this instance would have given it.
-        let key = if service.idempotent || job.hop.is_some() {
+        let key = if service.is_idempotent || job.hop.is_some() {
             None
         } else {
             let prefix = self.nodes[node].traffic.key_prefix(self.now);
@@ -400,8 +400,8 @@
             deadline: left.or(Some(service.deadline)),
             bytes: REQUEST,
             origin,
-            home: Some(name(job.home)),
-            via,
+            caller_region: Some(name(job.home)),
+            peer_region,
         };
         self.tell(node, Event::Arrive(arrival));
     }
--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -178,13 +178,13 @@
             Credential::Missing | Credential::Malformed => None,
         };
         match held {
-            Some((key, team)) if route.open || self.has_current_keys(now) => {
+            Some((key, team)) if route.is_public || self.has_current_keys(now) => {
                 Access::Granted(Authorized {
                     team: Arc::clone(team),
                     key,
                 })
             }
-            None if route.open => Access::Open,
+            None if route.is_public => Access::Open,
             None if self.has_recent_config(now) => Access::Denied,
             _ => Access::KeysStale,
         }
@@ -192,12 +192,15 @@
 
     /// Reason for not sending a request now that was authorized on arrival.
     pub(super) fn withhold_reason(&self, now: Time, request: &Request) -> Option<Rejection> {
-        let pass = request
+        let authorized = request
             .authorized
             .as_ref()
-            .filter(|_| !request.route.open)?;
-        let held = self.routes.as_ref().and_then(|r| r.teams.find(&pass.key));
-        if held.is_none_or(|team| team.name != pass.team.name) {
+            .filter(|_| !request.route.is_public)?;
+        let held = self
+            .routes
+            .as_ref()
+            .and_then(|r| r.teams.find(&authorized.key));
+        if held.is_none_or(|team| team.name != authorized.team.name) {
             return Some(Rejection::Denied);
         }
         (!self.has_current_keys(now)).then_some(Rejection::KeysStale)
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -82,8 +82,8 @@
         let team = self
             .authorized
             .as_ref()
-            .is_none_or(|p| p.team.homes.is_empty());
-        team && self.route.homes.is_empty()
+            .is_none_or(|p| p.team.home_regions.is_empty());
+        team && self.route.home_regions.is_empty()
     }
 
     /// Returns whether `region` may serve it: it must be a home region of both the
