--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -1,4 +1,4 @@
-//! Keys, homes and priorities of teams.
+//! Keys, home regions and priorities of teams.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     }
 }
 
-/// The configuration of this version, with these teams and a key each.
+/// Installs this version of the configuration, with these teams and one key each.
 fn configure(direct: &mut Direct, version: u64, route: Route, teams: Vec<Team>) {
     let keyed = |team: Team| {
         let key = key(&team.name);
@@ -44,7 +44,7 @@
     direct.install(Arc::new(routes(version, route).with_teams(teams)));
 }
 
-/// An instance with a near and a far target, and these teams.
+/// An instance with a local and a remote target, and these teams.
 fn bench(route: Route, teams: Vec<Team>) -> Bench {
     let targets = [entry("t1", "near-a"), entry("t2", "far-a")];
     let mut bench = Bench::bounded(route.clone(), &targets, |bounds| Bounds {
@@ -60,7 +60,7 @@
     bench.direct.access(now, routes, &bench.route, presented)
 }
 
-fn ask(bench: &Bench, now: Time, team: &str) -> Request {
+fn team_request(bench: &Bench, now: Time, team: &str) -> Request {
     let routes = bench.direct.routes().expect("one is in force");
     let team = routes.teams.get(team).expect("it is there");
     Request {
@@ -80,7 +80,7 @@
 #[case::unknown_key(Credential::Key(key("nobody")), "denied")]
 #[case::no_key(Credential::Missing, "denied")]
 #[case::malformed(Credential::Malformed, "denied")]
-fn judge_key(#[case] presented: Credential, #[case] expected: &str) {
+fn authorize_key(#[case] presented: Credential, #[case] expected: &str) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(1_000));
     let name = |access| match access {
@@ -91,8 +91,8 @@
         Access::KeysStale => "unsure",
     };
     assert_eq!(name(access(&bench, at(1_500), presented)), expected);
-    // Too old to say that a key is unknown, but not that one is known: the store
-    // turns this instance away.
+    // Too stale to say that a key is unknown, but not that it is known: the store
+    // rejects this instance.
     bench.direct.upstream_failed(at(4_000), &Upstream::Store);
     let refused = if expected == "granted" {
         "granted"
@@ -125,28 +125,28 @@
     assert!(bench.direct.is_fit_for_callers(at(60_000)));
 }
 
-/// An instance that is cut off while a key is taken away.
+/// A key is revoked while this instance is cut off from the store.
 #[test]
-fn turn_keys_away_before_bound() {
+fn refuse_keys_before_bound() {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(1_000));
     assert!(
         bench.direct.is_fit_for_callers(at(3_900)) && !bench.direct.is_fit_for_callers(at(4_100))
     );
-    // In touch, it would know of any change sooner.
+    // An instance that can read the store is held to the shorter configuration bound.
     assert!(bench.direct.has_current_keys(at(3_700)) && !bench.direct.has_current_keys(at(3_800)));
     bench.direct.upstream_failed(at(3_800), &Upstream::Store);
     assert!(bench.direct.has_current_keys(at(5_700)) && !bench.direct.has_current_keys(at(6_000)));
-    // An older word that comes late changes nothing.
+    // A late, older confirmation changes nothing.
     bench.direct.confirm_up_to(at(500));
     assert!(!bench.direct.has_current_keys(at(6_000)));
     bench.direct.confirm_up_to(at(5_900));
     assert!(bench.direct.is_fit_for_callers(at(6_000)));
 }
 
-/// A configuration that can't be read may take keys away.
+/// A configuration that can't be parsed may revoke keys.
 #[test]
-fn trust_no_keys_while_configuration_is_unread() {
+fn refuse_keys_while_configuration_is_unreadable() {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(1_000));
     bench.direct.config_unreadable();
@@ -161,25 +161,25 @@
     assert!(bench.direct.has_current_keys(at(1_200)));
 }
 
-/// A request waits here while its key is taken away.
+/// A request's key is revoked while it waits for a target.
 #[rstest]
-#[case::taken_away(true, Rejection::Denied)]
-#[case::unsure(false, Rejection::KeysStale)]
-fn withhold_waiting_request(#[case] taken: bool, #[case] expected: Rejection) {
+#[case::revoked(true, Rejection::Denied)]
+#[case::stale(false, Rejection::KeysStale)]
+fn withhold_waiting_request(#[case] is_revoked: bool, #[case] expected: Rejection) {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(0));
     bench.direct.upstream_failed(at(3_900), &Upstream::Store);
     let held: Vec<_> = (0..8)
         .map(|_| {
-            let ask = ask(&bench, at(4_000), "masons");
-            let taken = bench.direct.submit(at(4_000), ask);
-            let ticket = taken.expect("the route has a service");
+            let request = team_request(&bench, at(4_000), "masons");
+            let accepted = bench.direct.submit(at(4_000), request);
+            let ticket = accepted.expect("the route has a service");
             bench.direct.step(at(4_000));
             ticket
         })
         .collect();
     assert!(bench.direct.waiting_count() > 0, "the targets are full");
-    let later = if taken {
+    let later = if is_revoked {
         configure(&mut bench.direct, 3, route(), Vec::new());
         configure(
             &mut bench.direct,
@@ -193,39 +193,42 @@
         at(4_900)
     };
     let waiting = bench.direct.waiting_count();
-    let orders = bench.direct.step(later);
-    let whys: Vec<Rejection> = orders
+    let decisions = bench.direct.step(later);
+    let reasons: Vec<Rejection> = decisions
         .iter()
-        .filter_map(|order| match order {
+        .filter_map(|decision| match decision {
             Decision::Reject { why, .. } => Some(*why),
             Decision::Send(_) => None,
         })
         .collect();
-    assert_eq!(whys, vec![expected; waiting]);
+    assert_eq!(reasons, vec![expected; waiting]);
     assert_eq!(held.len(), 8);
 }
 
-/// A request is due to be sent, or to be sent again, when its key is taken away.
+/// A request's key is revoked just before the request is sent or retried.
 #[test]
 fn withhold_request_before_it_is_sent() {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(0));
-    let asked = ask(&bench, at(10), "masons");
-    bench.direct.submit(at(10), asked).expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
+    let request = team_request(&bench, at(10), "masons");
+    bench
+        .direct
+        .submit(at(10), request)
+        .expect("it is accepted");
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
-    assert!(bench.direct.may_send_request(at(20), &go));
+    assert!(bench.direct.may_send_request(at(20), &assignment));
     configure(
         &mut bench.direct,
         3,
         route(),
         vec![team("other", &[], None)],
     );
-    assert!(!bench.direct.may_send_request(at(20), &go));
+    assert!(!bench.direct.may_send_request(at(20), &assignment));
     let next = bench
         .direct
-        .finish_attempt(at(20), go.ticket, AttemptOutcome::Withdrawn);
+        .finish_attempt(at(20), assignment.ticket, AttemptOutcome::Withdrawn);
     assert_eq!(next, FollowUp::Retry);
     let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
@@ -233,14 +236,17 @@
     assert_eq!(why, Rejection::Denied);
 }
 
-/// It may have run already, so it isn't said to be refused.
+/// A request that may have run is never reported as refused, even if its key is gone.
 #[test]
-fn keep_doubt_of_request_whose_key_is_gone() {
+fn unknown_outcome_after_revoked_key() {
     let mut bench = bench(route(), vec![team("masons", &[], None)]);
     bench.direct.confirm_up_to(at(0));
-    let asked = ask(&bench, at(10), "masons");
-    bench.direct.submit(at(10), asked).expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
+    let request = team_request(&bench, at(10), "masons");
+    bench
+        .direct
+        .submit(at(10), request)
+        .expect("it is accepted");
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
     configure(
@@ -249,9 +255,10 @@
         route(),
         vec![team("other", &[], None)],
     );
-    let next = bench
-        .direct
-        .finish_attempt(at(20), go.ticket, AttemptOutcome::ConnectionLost);
+    let next =
+        bench
+            .direct
+            .finish_attempt(at(20), assignment.ticket, AttemptOutcome::ConnectionLost);
     assert_eq!(next, FollowUp::Retry);
     let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
@@ -259,7 +266,7 @@
     assert_eq!(why, Rejection::OutcomeUnknown);
 }
 
-/// The homes of route and team both bind.
+/// A request runs only in regions that are homes of both its route and its team.
 #[rstest]
 #[case::neither(&[], &[], Some("t1"))]
 #[case::route(&["far"], &[], Some("t2"))]
@@ -267,7 +274,11 @@
 #[case::both(&["far", "near"], &["far"], Some("t2"))]
 #[case::both_near(&["near"], &["far", "near"], Some("t1"))]
 #[case::disjoint(&["near"], &["far"], None)]
-fn keep_homes(#[case] of_route: &[&str], #[case] of_team: &[&str], #[case] expected: Option<&str>) {
+fn place_in_home_regions(
+    #[case] of_route: &[&str],
+    #[case] of_team: &[&str],
+    #[case] expected: Option<&str>,
+) {
     let home_regions: Vec<Arc<str>> = of_route.iter().map(|home| Arc::from(*home)).collect();
     let homed = Route {
         home_regions,
@@ -275,45 +286,45 @@
     };
     let mut bench = bench(homed, vec![team("masons", of_team, None)]);
     bench.direct.confirm_up_to(at(0));
-    let asked = ask(&bench, at(10), "masons");
-    let taken = bench.direct.submit(at(10), asked);
+    let request = team_request(&bench, at(10), "masons");
+    let accepted = bench.direct.submit(at(10), request);
     let Some(expected) = expected else {
-        assert_eq!(taken, Err(Rejection::NoRegion));
+        assert_eq!(accepted, Err(Rejection::NoRegion));
         return;
     };
-    taken.expect("it is taken in");
-    let Some(Decision::Send(go)) = bench.decide(at(10)) else {
+    accepted.expect("it is accepted");
+    let Some(Decision::Send(assignment)) = bench.decide(at(10)) else {
         panic!("a target is free");
     };
-    assert_eq!(&*go.target, expected);
-    // Sent again, it stays where it may be.
+    assert_eq!(&*assignment.target, expected);
+    // A retry stays within the home regions.
     let next = bench
         .direct
-        .finish_attempt(at(20), go.ticket, AttemptOutcome::NotRun);
+        .finish_attempt(at(20), assignment.ticket, AttemptOutcome::NotRun);
     assert_eq!(next, FollowUp::Retry);
     match bench.decide(at(20)) {
-        Some(Decision::Send(go)) => {
-            assert!(of_route.is_empty() && of_team.is_empty(), "{go:?}");
+        Some(Decision::Send(assignment)) => {
+            assert!(of_route.is_empty() && of_team.is_empty(), "{assignment:?}");
         }
         Some(Decision::Reject { .. }) | None => {}
     }
 }
 
-/// A team's priority goes before its route's.
+/// A team's priority outranks its route's.
 #[test]
 fn send_urgent_team_first() {
     let teams = vec![team("masons", &[], Some(0)), team("office", &[], Some(5))];
     let mut bench = bench(route(), teams);
     bench.direct.confirm_up_to(at(0));
-    let first = ask(&bench, at(10), "office");
-    let second = ask(&bench, at(10), "masons");
-    bench.direct.submit(at(10), first).expect("it is taken in");
-    let urgent = bench.direct.submit(at(10), second).expect("it is taken in");
-    let orders = bench.direct.step(at(10));
-    let Some(Decision::Send(go)) = orders.first() else {
+    let first = team_request(&bench, at(10), "office");
+    let second = team_request(&bench, at(10), "masons");
+    bench.direct.submit(at(10), first).expect("it is accepted");
+    let urgent = bench.direct.submit(at(10), second).expect("it is accepted");
+    let decisions = bench.direct.step(at(10));
+    let Some(Decision::Send(assignment)) = decisions.first() else {
         panic!("a target is free");
     };
-    assert_eq!(go.ticket, urgent);
+    assert_eq!(assignment.ticket, urgent);
 }
 
 #[test]
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -1,4 +1,4 @@
-//! Targets that name a limit of requests a second from all instances together.
+//! Targets that report a limit of requests a second from all instances together.
 
 use core::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// One of `count` instances, with the only target.
+/// One of `count` instances, with a single target.
 fn one_of(count: usize) -> Bench {
     let mut bench = Bench::new(route(), &[wide("t1")]);
     for number in 2..=count {
@@ -28,22 +28,22 @@
     bench
 }
 
-fn name(bench: &mut Bench, now: Time, limit: Option<f64>) {
-    let word = Feedback { load: None, limit };
-    bench.direct.apply_feedback(now, "t1", word);
+fn report_limit(bench: &mut Bench, now: Time, limit: Option<f64>) {
+    let feedback = Feedback { load: None, limit };
+    bench.direct.apply_feedback(now, "t1", feedback);
 }
 
-/// Requests sent of one every 100 ms, in this span.
-fn sent(bench: &mut Bench, from: u64, upto: u64) -> usize {
+/// Submits a request every 100 ms in this span and returns the number sent.
+fn sent(bench: &mut Bench, from: u64, until: u64) -> usize {
     let mut sent = 0;
-    for now in (from..upto).step_by(100) {
+    for now in (from..until).step_by(100) {
         bench.submit(at(now), None);
-        for order in bench.direct.step(at(now)) {
-            if let Decision::Send(go) = order {
+        for decision in bench.direct.step(at(now)) {
+            if let Decision::Send(assignment) = decision {
                 sent += 1;
                 bench
                     .direct
-                    .finish_attempt(at(now), go.ticket, AttemptOutcome::Answered);
+                    .finish_attempt(at(now), assignment.ticket, AttemptOutcome::Answered);
             }
         }
     }
@@ -56,20 +56,20 @@
 #[case::quarter(0.25, 2)]
 #[case::one(1.0, 8)]
 #[case::fraction(2.6, 20)]
-fn send_what_limit_allows(#[case] limit: f64, #[case] most: usize) {
+fn send_what_limit_allows(#[case] limit: f64, #[case] expected: usize) {
     let mut bench = one_of(1);
-    name(&mut bench, at(2_000), Some(limit));
-    assert_eq!(sent(&mut bench, 2_100, 10_300), most);
+    report_limit(&mut bench, at(2_000), Some(limit));
+    assert_eq!(sent(&mut bench, 2_100, 10_300), expected);
 }
 
-/// What the operator allows beyond a limit went unused while callers were rejected;
-/// a target gets twice what it names at most.
+/// The allowance beyond a limit went unused while callers were rejected. A target gets
+/// at most twice what it reports.
 #[rstest]
 #[case::none_taken(0.0, 0)]
 #[case::tenth(0.1, 2)]
 #[case::one(1.0, 16)]
 #[case::ten(10.0, 96)]
-fn send_part_of_what_operator_allows(#[case] limit: f64, #[case] most: usize) {
+fn send_part_of_what_operator_allows(#[case] limit: f64, #[case] expected: usize) {
     let rule = Rule {
         window: Duration::from_secs(4),
         factor: 1.5,
@@ -80,64 +80,64 @@
         ..bounds
     };
     let mut bench = Bench::bounded(route(), &[wide("t1")], bounds);
-    name(&mut bench, at(2_000), Some(limit));
+    report_limit(&mut bench, at(2_000), Some(limit));
     let mut all = 0;
     for from in (2_100..10_300).step_by(100) {
         all += sent_at_once(&mut bench, from);
     }
-    assert_eq!(all, most);
+    assert_eq!(all, expected);
 }
 
-/// Requests sent of three that come at once.
+/// Submits three requests at once and returns the number sent.
 fn sent_at_once(bench: &mut Bench, now: u64) -> usize {
     for _ in 0..3 {
         bench.submit(at(now), None);
     }
     let mut sent = 0;
-    for order in bench.direct.step(at(now)) {
-        if let Decision::Send(go) = order {
+    for decision in bench.direct.step(at(now)) {
+        if let Decision::Send(assignment) = decision {
             sent += 1;
             bench
                 .direct
-                .finish_attempt(at(now), go.ticket, AttemptOutcome::Answered);
+                .finish_attempt(at(now), assignment.ticket, AttemptOutcome::Answered);
         }
     }
     sent
 }
 
-/// All targets of a region named a limit, and what they didn't take was rejected
-/// while other regions had room.
+/// All targets of a region reported limits, and the excess was rejected while other
+/// regions had room.
 #[test]
 fn run_elsewhere_while_home_is_limited() {
     let targets = [wide("t1"), entry("t9", "far-a")];
     let mut bench = Bench::new(route(), &targets);
-    name(&mut bench, at(2_000), Some(0.0));
+    report_limit(&mut bench, at(2_000), Some(0.0));
     sent(&mut bench, 2_100, 20_000);
     let served = sent(&mut bench, 20_000, 30_000);
     assert!(served >= 60, "{served} of 100");
 }
 
-/// Each instance took the whole limit for itself.
+/// Each instance used the whole limit instead of its allotment.
 #[test]
-fn keep_to_part_of_limit() {
+fn keep_to_allotment_of_limit() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(2.0));
+    report_limit(&mut bench, at(2_000), Some(2.0));
     let sent = sent(&mut bench, 2_100, 6_100);
-    assert!((1..=2).contains(&sent), "{sent} of 8 by one of seven");
+    assert!((1..=2).contains(&sent), "{sent} of 8 sent by one of seven");
 }
 
-/// A limit that was lifted went on to bind.
+/// A lifted limit was still enforced.
 #[test]
 fn send_freely_once_limit_is_lifted() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(1.0));
+    report_limit(&mut bench, at(2_000), Some(1.0));
     assert!(sent(&mut bench, 2_100, 6_000) <= 1);
     bench.direct.store_answered(at(6_000), 1);
-    name(&mut bench, at(6_000), None);
+    report_limit(&mut bench, at(6_000), None);
     assert!(sent(&mut bench, 6_000, 7_000) >= 10);
 }
 
-fn named(rate: Option<f64>, age: Duration) -> LimitReport {
+fn limit_report(rate: Option<f64>, age: Duration) -> LimitReport {
     let mark = members::name_hash("t1");
     LimitReport {
         target_hash: mark,
@@ -146,81 +146,81 @@
     }
 }
 
-fn told(rate: Option<f64>, age: Duration, seq: u64) -> Heartbeat {
+fn limit_heartbeat(rate: Option<f64>, age: Duration, seq: u64) -> Heartbeat {
     Heartbeat {
-        limits: vec![named(rate, age)],
+        limits: vec![limit_report(rate, age)],
         ..heartbeat("near-2", seq)
     }
 }
 
-/// An instance that got no answer of a target went on as before.
+/// An instance that got no answer from a target ignored its limit.
 #[test]
-fn hear_of_limit_and_its_end_from_others() {
+fn apply_limit_reports_of_others() {
     let mut bench = one_of(7);
     bench
         .direct
-        .receive_heartbeat(at(2_000), told(Some(1.0), MS * 100, 2));
+        .receive_heartbeat(at(2_000), limit_heartbeat(Some(1.0), MS * 100, 2));
     assert!(sent(&mut bench, 2_100, 6_000) <= 1);
     bench
         .direct
-        .receive_heartbeat(at(6_000), told(None, MS * 100, 3));
+        .receive_heartbeat(at(6_000), limit_heartbeat(None, MS * 100, 3));
     assert!(sent(&mut bench, 6_000, 7_000) >= 10);
 }
 
-/// What another instance had heard before the last answer here undid that answer.
+/// An older report of another instance replaced the limit of a later answer.
 #[test]
-fn pass_over_older_word_of_others() {
+fn ignore_older_limit_reports() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(1.0));
+    report_limit(&mut bench, at(2_000), Some(1.0));
     bench
         .direct
-        .receive_heartbeat(at(2_100), told(None, MS * 900, 2));
+        .receive_heartbeat(at(2_100), limit_heartbeat(None, MS * 900, 2));
     assert!(sent(&mut bench, 2_100, 6_000) <= 1);
 }
 
 #[test]
-fn tell_others_what_targets_said() {
+fn report_limits_in_heartbeats() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(1.0));
+    report_limit(&mut bench, at(2_000), Some(1.0));
     let beat = bench.direct.heartbeat(at(2_300), false);
-    assert_eq!(beat.limits, [named(Some(1.0), MS * 300)]);
-    name(&mut bench, at(3_000), None);
+    assert_eq!(beat.limits, [limit_report(Some(1.0), MS * 300)]);
+    report_limit(&mut bench, at(3_000), None);
     let beat = bench.direct.heartbeat(at(4_000), false);
-    assert_eq!(beat.limits, [named(None, MS * 1_000)]);
+    assert_eq!(beat.limits, [limit_report(None, MS * 1_000)]);
     assert!(bench.direct.heartbeat(at(9_000), false).limits.is_empty());
 }
 
-/// Heartbeats told of every target that answered without a limit, and grew by that.
+/// Heartbeats reported every target that answered without a limit, and grew by that.
 #[test]
-fn tell_nothing_where_no_limit_was() {
+fn omit_targets_without_limit() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), None);
-    name(&mut bench, at(2_100), None);
+    report_limit(&mut bench, at(2_000), None);
+    report_limit(&mut bench, at(2_100), None);
     assert!(bench.direct.heartbeat(at(2_300), false).limits.is_empty());
 }
 
-/// What was heard of others went to and fro between instances for ever.
+/// Limits learned from other instances were passed back and forth for ever.
 #[test]
-fn tell_others_own_word_only() {
+fn omit_limits_learned_from_others() {
     let mut bench = one_of(7);
     bench
         .direct
-        .receive_heartbeat(at(2_000), told(Some(1.0), MS * 100, 2));
+        .receive_heartbeat(at(2_000), limit_heartbeat(Some(1.0), MS * 100, 2));
     assert!(bench.direct.heartbeat(at(2_300), false).limits.is_empty());
 }
 
-/// More targets named limits than a heartbeat has room for, and some were never
-/// told.
+/// Some limits were never reported when targets with limits exceeded a heartbeat's
+/// room.
 #[test]
-fn tell_all_limits_in_turn() {
+fn report_all_limits_in_turn() {
     let targets: Vec<Entry> = (0..25).map(|i| wide(&format!("t{i}"))).collect();
     let mut bench = Bench::new(route(), &targets);
     for target in &targets {
-        let word = Feedback {
+        let feedback = Feedback {
             load: None,
             limit: Some(1.0),
         };
-        bench.direct.apply_feedback(at(1_000), &target.id, word);
+        bench.direct.apply_feedback(at(1_000), &target.id, feedback);
     }
     let beats = (0..3).flat_map(|_| bench.direct.heartbeat(at(1_100), false).limits);
     let mut marks: Vec<u32> = beats.map(|n| n.target_hash).collect();
@@ -229,23 +229,23 @@
     assert_eq!(marks.len(), 25);
 }
 
-/// A target named a limit, its few senders went quiet, and nobody ever asked it
-/// again.
+/// Nobody probed a target again after it had reported a limit and its few senders
+/// stopped.
 #[test]
-fn ask_once_whether_limit_holds() {
+fn probe_limit_once() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(0.0));
-    assert_eq!(sent(&mut bench, 2_100, 12_000), 0, "news is fresh");
+    report_limit(&mut bench, at(2_000), Some(0.0));
+    assert_eq!(sent(&mut bench, 2_100, 12_000), 0, "the report is recent");
     let sent = sent(&mut bench, 12_000, 42_000);
     assert!((1..=3).contains(&sent), "{sent} in 30 s");
 }
 
-/// A target that has started anew under its old name was held to the limit of its
-/// last life.
+/// A target that restarted under its old name was held to the limit of its former
+/// incarnation.
 #[test]
 fn forget_limit_with_target() {
     let mut bench = one_of(7);
-    name(&mut bench, at(2_000), Some(0.0));
+    report_limit(&mut bench, at(2_000), Some(0.0));
     let anew = Entry {
         incarnation: 2,
         ..wide("t1")
@@ -255,9 +255,9 @@
 }
 
 #[test]
-fn go_to_other_target_beyond_limit() {
+fn send_to_other_target_beyond_limit() {
     let targets = [wide("t1"), wide("t2")];
     let mut bench = Bench::new(route(), &targets);
-    name(&mut bench, at(2_000), Some(0.0));
+    report_limit(&mut bench, at(2_000), Some(0.0));
     assert_eq!(sent(&mut bench, 2_100, 3_100), 10);
 }
--- a/crates/steer/tests/direct/members.rs
+++ b/crates/steer/tests/direct/members.rs
@@ -1,4 +1,4 @@
-//! Which other instances count as there.
+//! Presence of other instances, and what they learn from each other's heartbeats.
 
 use rstest::rstest;
 use steer::process::direct::StoreContact;
@@ -19,7 +19,7 @@
 #[case::silent_and_unlisted(false, Some(4_000), true, false)]
 #[case::silent_while_store_away(true, Some(4_000), false, false)]
 #[case::silent_but_listed(true, Some(4_000), true, true)]
-fn count_instance(
+fn count_as_present(
     #[case] listed: bool,
     #[case] silent: Option<u64>,
     #[case] store: bool,
@@ -37,8 +37,8 @@
     assert_eq!(!names(&members, now, store).is_empty(), there);
 }
 
-/// One says that it leaves, and an older heartbeat of it arrives after that.
-/// Callers must not be sent to it again.
+/// An older heartbeat arrives after the one that says its sender leaves. Callers must
+/// not be sent to it again.
 #[test]
 fn stay_gone_on_older_heartbeat() {
     let mut members = Members::default();
@@ -59,9 +59,9 @@
     assert_eq!(names(&members, 50, true), ["a"]);
 }
 
-/// One can't read the store; another has said that it knows a later version.
+/// An instance that can't read the store learns that another knows a later version.
 #[test]
-fn ask_who_knows_more() {
+fn read_from_peer_that_is_ahead() {
     let mut bench = Bench::new(route(), &[]);
     bench
         .direct
@@ -85,15 +85,15 @@
     assert_eq!(
         bench.direct.peer_ahead(at(9_000)),
         None,
-        "it was heard long ago"
+        "its last heartbeat is too old"
     );
 }
 
-/// Two instances are cut off from each other while the store is away, or one
-/// starts then and knows the other by a third's word. If each only told those
-/// that it hears, neither would ever hear the other.
+/// Two instances are partitioned while the store is unreachable, or one starts then and
+/// knows the other only through a third. If each sent heartbeats only to those it hears
+/// from, they would never hear from each other again.
 #[test]
-fn tell_who_is_silent() {
+fn send_heartbeats_to_silent_members() {
     let mut bench = Bench::new(route(), &[]);
     bench
         .direct
@@ -101,25 +101,29 @@
     bench
         .direct
         .set_member(at(0), "near-2", Some(registration("near")));
-    let told = |now| {
+    let recipient_count = |now| {
         let to = bench.direct.recipients(at(now));
         to.local.len() + to.region.len() + to.remote.len()
     };
-    assert_eq!(told(0), 1);
-    assert_eq!(told(20_000), 1, "neither heard nor in the store's word");
+    assert_eq!(recipient_count(0), 1);
+    assert_eq!(
+        recipient_count(20_000),
+        1,
+        "neither heard from nor confirmed by the store"
+    );
     assert_eq!(bench.direct.others(at(20_000)).count(), 0, "for callers");
 }
 
-/// One instance of each region reads the store, and calls are paid: a deployment
-/// of more regions lets changes gather for longer, but never for as long as they
-/// are due in. More instances in a region change nothing.
+/// One instance of each region reads the store, and calls are paid for: with more
+/// regions the pause between reads grows, up to a bound, so that changes still come in
+/// time. More instances in a region change nothing.
 #[rstest]
 #[case::alone(0, 1, 300)]
 #[case::three_regions(3, 1, 300)]
 #[case::many_regions(26, 1, 675)]
 #[case::crowded(1_499, 500, 300)]
 #[case::no_end(1_499, 1, 800)]
-fn gather_by_regions(#[case] others: usize, #[case] each: usize, #[case] millis: u32) {
+fn read_pause_by_regions(#[case] others: usize, #[case] each: usize, #[case] millis: u32) {
     let mut bench = Bench::new(route(), &[]);
     for i in 0..others {
         let registration = registration(&format!("region-{}", i / each));
@@ -131,7 +135,7 @@
     assert_eq!(bench.direct.read_pause(at(0)), MS * millis);
 }
 
-/// Three instances share a target. What others have there counts as taken.
+/// Requests that other instances have at a shared target count as its load.
 #[test]
 fn count_requests_of_others() {
     let targets = [entry("t1", "near-a"), entry("t2", "near-a")];
@@ -146,9 +150,9 @@
     }
 }
 
-/// One instance has sent an object to a target; another of the region gets a
-/// request for it. It goes where the object is, and not to begin anew. What was
-/// only heard is not told on, or it would be believed for ever.
+/// An object is sent again to the target that another instance of the region sent it
+/// to, instead of starting cold. Reports learned from others are not passed on, or they
+/// would never expire.
 #[test]
 fn learn_where_objects_are() {
     let targets = ["t1", "t2", "t3", "t4"].map(|id| entry(id, "near-a"));
@@ -156,12 +160,12 @@
     let mut other = Bench::new(route(), &targets);
     let object = 0x1234_5678_0000_0001;
     let target = one.serve(at(0), object, MS * 900).target;
-    let told = one.direct.heartbeat(at(1_000), false);
-    assert_eq!(told.warm_objects.len(), 1);
+    let report = one.direct.heartbeat(at(1_000), false);
+    assert_eq!(report.warm_objects.len(), 1);
     other.direct.receive_heartbeat(
         at(1_000),
         Heartbeat {
-            warm_objects: told.warm_objects,
+            warm_objects: report.warm_objects,
             ..heartbeat("near-2", 1)
         },
     );
@@ -174,6 +178,6 @@
             .warm_objects
             .is_empty()
     );
-    // In turn, for who has just started.
+    // Known objects are reported in turn, for instances that have just started.
     assert_eq!(one.direct.heartbeat(at(2_000), false).warm_objects.len(), 1);
 }
--- a/crates/steer/tests/direct/quota.rs
+++ b/crates/steer/tests/direct/quota.rs
@@ -1,11 +1,11 @@
-//! Quotas over all instances: the sum holds, and a team below its quota feels
-//! nothing.
+//! Quotas over all instances: the sum stays within the quota, and a team below its
+//! quota is not affected.
 
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 use rstest::rstest;
 use steer::version::teams::Quota;
 
-use super::quota_fleet::{Faults, Fleet, RULE, STEP};
+use super::quota_fleet::{Faults, Fleet, RULE, STEP_MS};
 
 #[allow(
     clippy::cast_possible_truncation,
@@ -20,8 +20,8 @@
     Quota { rate, burst: rate }
 }
 
-/// A flood at all instances, or at two of them, while messages are lost and
-/// instances are cut off and killed.
+/// Floods all instances, then two of them, while messages are lost and instances are
+/// partitioned and killed.
 fn flood(faults: Faults, count: usize, rate: f64, seed: u64) -> Fleet {
     let all: Vec<usize> = (0..count).collect();
     let mut fleet = Fleet::new(count, quota(rate), faults, seed);
@@ -47,32 +47,32 @@
         restart in proptest::option::of(1_000_u64..5_000),
     ) {
         let faults = Faults {
-            lost,
-            doubled,
-            near: delay,
-            delay,
-            cut: cut.map(|(start, span, both)| (start, start + span, both)),
-            restart: restart.map(|every| every / STEP * STEP),
-            rolled: false,
-            lowered: None,
+            loss_ratio: lost,
+            duplicate_ratio: doubled,
+            region_delay: delay,
+            cross_delay: delay,
+            partition: cut.map(|(start, span, both)| (start, start + span, both)),
+            restart_interval: restart.map(|every| every / STEP_MS * STEP_MS),
+            is_rolling: false,
+            lowered_at: None,
         };
         let fleet = flood(faults, count, f64::from(rate), seed);
-        let (most, bound) = (fleet.most(0, 18_000), bound(&fleet.quota));
-        prop_assert!(most <= bound, "{most} of {bound}");
+        let (max, bound) = (fleet.max_in_window(0, 18_000), bound(&fleet.quota));
+        prop_assert!(max <= bound, "{max} of {bound}");
     }
 }
 
-/// Instances that hear no pool each took their region for the one that gets most of a
-/// team's bucket.
+/// Without a pool, each instance took its own region for the one that gets most of a
+/// team's bucket, and the sum exceeded the quota.
 #[rstest]
 #[case::few(7, 30.0)]
 #[case::many(34, 4.0)]
 #[case::hundred(119, 30.0)]
 fn sum_stays_within_quota_without_pool(#[case] count: usize, #[case] rate: f64) {
     let faults = Faults {
-        lost: 1.0,
-        near: 3,
-        delay: 70,
+        loss_ratio: 1.0,
+        region_delay: 3,
+        cross_delay: 70,
         ..Faults::default()
     };
     let mut fleet = Fleet::new(count, quota(rate), faults, 1);
@@ -80,27 +80,27 @@
     fleet.run(10_000, &all, rate * 20.0);
     fleet.run(40_000, &all, 0.0);
     fleet.run(50_000, &all, rate * 20.0);
-    let (most, bound) = (fleet.most(0, 50_000), bound(&fleet.quota));
-    assert!(most <= bound, "{most} of {bound}");
+    let (max, bound) = (fleet.max_in_window(0, 50_000), bound(&fleet.quota));
+    assert!(max <= bound, "{max} of {bound}");
 }
 
-/// A quota that is lowered binds one window later.
+/// A lowered quota is enforced one window later.
 #[rstest]
 fn lowered_quota_binds_after_window(#[values(1, 2, 3, 4)] seed: u64) {
     let faults = Faults {
-        lowered: Some(8_000),
-        near: 3,
-        delay: 70,
+        lowered_at: Some(8_000),
+        region_delay: 3,
+        cross_delay: 70,
         ..Faults::default()
     };
     let fleet = flood(faults, 8, 60.0, seed);
     let lower = quota(12.0);
-    let most = fleet.most(8_000, 18_000);
-    assert!(most <= bound(&lower), "{most} of {}", bound(&lower));
+    let max = fleet.max_in_window(8_000, 18_000);
+    assert!(max <= bound(&lower), "{max} of {}", bound(&lower));
 }
 
-/// A team below its quota feels nothing, whether it comes by all instances or by
-/// two of them.
+/// A team below its quota is neither refused nor delayed, whether its requests come
+/// through all instances or through two.
 #[rstest]
 #[case::all_instances(34, 34, 60.0)]
 #[case::two_instances(34, 2, 60.0)]
@@ -115,27 +115,27 @@
     #[values(1, 2)] seed: u64,
 ) {
     let faults = Faults {
-        near: 3,
-        delay: 70,
+        region_delay: 3,
+        cross_delay: 70,
         ..Faults::default()
     };
     let mut fleet = Fleet::new(count, quota(rate), faults, seed);
     let all: Vec<usize> = (0..by).collect();
     fleet.run(5_000, &all, 0.0);
     fleet.run(15_000, &all, rate * 0.62);
-    let (refused, asked) = (fleet.refused.len(), fleet.asked);
-    assert!(refused * 100 <= asked, "{refused} refused of {asked}");
-    fleet.held.sort_unstable();
-    let held = fleet.held[fleet.held.len() * 9 / 10];
-    assert!(held <= 30, "one in ten was held for {held} ms");
+    let (refused, requests) = (fleet.refused.len(), fleet.request_count);
+    assert!(refused * 100 <= requests, "{refused} refused of {requests}");
+    fleet.waits.sort_unstable();
+    let wait = fleet.waits[fleet.waits.len() * 9 / 10];
+    assert!(wait <= 30, "one in ten waited {wait} ms");
 }
 
-/// A team that floods is still served at its quota.
+/// A team that floods is still served up to its quota.
 #[rstest]
 fn serve_flood_up_to_quota(#[values(1, 2)] seed: u64) {
     let faults = Faults {
-        near: 3,
-        delay: 70,
+        region_delay: 3,
+        cross_delay: 70,
         ..Faults::default()
     };
     let mut fleet = Fleet::new(34, quota(60.0), faults, seed);
@@ -146,40 +146,41 @@
     assert!(served >= 630, "{served} of the 700 that windows allow");
 }
 
-/// The instance that hands out tokens is killed, and the team goes on.
+/// The instance that runs the pool is killed, and the team's requests are still
+/// admitted.
 #[rstest]
-fn outlive_pool(#[values(1, 2, 3)] seed: u64) {
+fn survive_pool_restarts(#[values(1, 2, 3)] seed: u64) {
     let faults = Faults {
-        near: 3,
-        delay: 40,
-        restart: Some(1_500),
+        region_delay: 3,
+        cross_delay: 40,
+        restart_interval: Some(1_500),
         ..Faults::default()
     };
     let mut fleet = Fleet::new(6, quota(60.0), faults, seed);
     let all: Vec<usize> = (0..6).collect();
     fleet.run(3_000, &all, 0.0);
     fleet.run(23_000, &all, 60.0 * 0.62);
-    let (refused, asked) = (fleet.refused.len(), fleet.asked);
-    assert!(refused * 20 <= asked, "{refused} refused of {asked}");
+    let (refused, requests) = (fleet.refused.len(), fleet.request_count);
+    assert!(refused * 20 <= requests, "{refused} refused of {requests}");
     assert!(fleet.restarts >= 12, "{} restarts", fleet.restarts);
 }
 
-/// Instances are stopped and started in turn, whoever hands out tokens among them.
+/// Instances are restarted in turn, including those that run the pools.
 #[rstest]
-fn outlive_rolling_restart(#[values(1, 2)] seed: u64, #[values(30.0, 400.0)] rate: f64) {
+fn survive_rolling_restart(#[values(1, 2)] seed: u64, #[values(30.0, 400.0)] rate: f64) {
     let faults = Faults {
-        near: 3,
-        delay: 70,
-        rolled: true,
+        region_delay: 3,
+        cross_delay: 70,
+        is_rolling: true,
         ..Faults::default()
     };
     let mut fleet = Fleet::new(34, quota(rate), faults, seed);
     let all: Vec<usize> = (0..34).collect();
     fleet.run(2_000, &all, 0.0);
     fleet.run(32_000, &all, rate * 0.62);
-    let (refused, asked) = (fleet.refused.len(), fleet.asked);
-    assert!(refused * 20 <= asked, "{refused} refused of {asked}");
-    let long = fleet.held.iter().filter(|held| **held > 40).count();
-    let all = fleet.held.len();
-    assert!(long * 10 <= all, "{long} of {all} were held for long");
+    let (refused, requests) = (fleet.refused.len(), fleet.request_count);
+    assert!(refused * 20 <= requests, "{refused} refused of {requests}");
+    let long = fleet.waits.iter().filter(|wait| **wait > 40).count();
+    let all = fleet.waits.len();
+    assert!(long * 10 <= all, "{long} of {all} waited for long");
 }
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet that shares quotas, in virtual time: over a network that loses, delays,
-//! doubles and reorders messages, with cuts and restarts.
+//! Model of a fleet that shares quotas, in virtual time. Its network loses, delays,
+//! duplicates and reorders messages; instances are partitioned and restarted.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -22,71 +22,72 @@
     slack: 20.0,
 };
 
-pub const STEP: u64 = 10;
+pub const STEP_MS: u64 = 10;
 
-/// Time between two instances that are stopped in turn.
-const ROLL: u64 = 2_000;
+/// Time between the stops of two instances in a rolling restart, in milliseconds.
+const ROLLING_RESTART_INTERVAL_MS: u64 = 2_000;
 
-/// Instances that get each heartbeat of one, and it; the store lists the others.
-const AUDIENCE: usize = 40;
+/// Instances that get each heartbeat of one, counting that one; the store lists the
+/// others.
+const HEARTBEAT_RECIPIENTS: usize = 40;
 
-/// Time for which one that was told to stop goes on.
-const GRACE: u64 = 500;
+/// Time for which an instance that was told to stop continues, in milliseconds.
+const STOP_GRACE_MS: u64 = 500;
 
-/// What the network and the instances suffer.
+/// Faults of the network and the instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Part of the messages that is lost, and that comes twice.
-    pub lost: f64,
-    pub doubled: f64,
-    /// Longest delay in milliseconds, within a region and between two.
-    pub near: u64,
-    pub delay: u64,
-    /// From when to when the instances of odd numbers hear nothing of the others,
-    /// in one way or both.
-    pub cut: Option<(u64, u64, bool)>,
-    /// When an instance restarts; which, and every how many milliseconds.
-    pub restart: Option<u64>,
-    /// Whether instances are stopped in turn, each for three seconds.
-    pub rolled: bool,
-    /// When the quota is cut to a fifth.
-    pub lowered: Option<u64>,
+    /// Fractions of the messages that are lost, and that arrive twice.
+    pub loss_ratio: f64,
+    pub duplicate_ratio: f64,
+    /// Longest delays in milliseconds, within a region and between regions.
+    pub region_delay: u64,
+    pub cross_delay: u64,
+    /// Start and end of a partition between odd and even instances, and whether it cuts
+    /// both directions; otherwise only messages from odd to even ones are lost.
+    pub partition: Option<(u64, u64, bool)>,
+    /// Interval in milliseconds at which a random instance restarts.
+    pub restart_interval: Option<u64>,
+    /// Whether instances are stopped and started in turn.
+    pub is_rolling: bool,
+    /// Time at which the quota is cut to a fifth.
+    pub lowered_at: Option<u64>,
 }
 
 enum Message {
-    Beat(Box<Heartbeat>),
+    Heartbeat(Box<Heartbeat>),
     Report(usize, quota::Report),
     Grant(quota::Grant),
 }
 
 struct Node {
     direct: Direct,
-    /// When this process started.
-    start: u64,
-    /// Requests that came, and when.
-    came: Vec<(Ticket, u64)>,
-    /// When it reports next.
-    due: u64,
-    /// Until when it is down, once it has ended.
-    down: u64,
-    last: u64,
+    /// Start of the process.
+    started_at: u64,
+    /// Requests with their arrival times.
+    arrivals: Vec<(Ticket, u64)>,
+    /// Time of the next report.
+    next_report: u64,
+    /// End of the time in which it is down, once its process has ended.
+    down_until: u64,
+    stops_at: u64,
 }
 
 pub struct Fleet {
     nodes: Vec<Node>,
-    pass: Authorized,
+    authorized: Authorized,
     pub quota: Quota,
     faults: Faults,
-    mail: Vec<(u64, usize, Message)>,
+    in_transit: Vec<(u64, usize, Message)>,
     rng: fastrand::Rng,
     now: u64,
     version: u64,
     pub admitted: Vec<u64>,
-    /// Milliseconds for which those were held.
-    pub held: Vec<u64>,
+    /// Milliseconds for which admitted requests waited.
+    pub waits: Vec<u64>,
     pub refused: Vec<u64>,
-    pub asked: usize,
-    /// Instances that were restarted.
+    pub request_count: usize,
+    /// Number of restarts.
     pub restarts: usize,
 }
 
@@ -96,7 +97,7 @@
 
 const REGIONS: [&str; 3] = ["near", "far", "west"];
 
-/// Each instance takes heartbeats on a port of its number.
+/// Registration whose port for heartbeats identifies the instance.
 fn place(at: usize) -> Registration {
     let port = u16::try_from(at).expect("few") + 1;
     Registration {
@@ -115,20 +116,20 @@
         };
         let mut fleet = Self {
             nodes: Vec::new(),
-            pass: Authorized {
+            authorized: Authorized {
                 team: Arc::new(team),
                 key: KeyDigest::of(b"k"),
             },
             quota,
             faults,
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
             version: 1,
             admitted: Vec::new(),
-            held: Vec::new(),
+            waits: Vec::new(),
             refused: Vec::new(),
-            asked: 0,
+            request_count: 0,
             restarts: 0,
         };
         for at in 0..count {
@@ -139,11 +140,11 @@
     }
 
     fn node(&mut self, at: usize, count: usize) -> Node {
-        let life = self.rng.u64(1..);
+        let incarnation = self.rng.u64(1..);
         let home = Identity {
             name: name(at).into(),
             region: REGIONS[at % REGIONS.len()].into(),
-            incarnation: life,
+            incarnation,
             registration: place(at),
         };
         let bounds = Bounds {
@@ -161,92 +162,92 @@
         };
         let domains = vec![("near-a".into(), "near".into())];
         let mut direct = Direct::new(home, bounds, domains);
-        let wide = target::Entry {
+        let target = target::Entry {
             slots: 10_000,
             ..entry("t", "near-a")
         };
-        direct.roster.put(Time::ZERO, wide);
+        direct.roster.put(Time::ZERO, target);
         for other in (0..count).filter(|other| *other != at) {
             direct.set_member(Time::ZERO, &name(other), Some(place(other)));
         }
         direct.install(self.configuration());
         Node {
             direct,
-            start: self.now,
-            came: Vec::new(),
-            due: self.now + self.rng.u64(0..250),
-            down: 0,
-            last: 0,
+            started_at: self.now,
+            arrivals: Vec::new(),
+            next_report: self.now + self.rng.u64(0..250),
+            down_until: 0,
+            stops_at: 0,
         }
     }
 
     fn configuration(&self) -> Arc<steer::version::routes::Routes> {
-        let team = Team::clone(&self.pass.team);
-        let teams = Teams::new(vec![(team, vec![self.pass.key])]).expect("one team");
+        let team = Team::clone(&self.authorized.team);
+        let teams = Teams::new(vec![(team, vec![self.authorized.key])]).expect("one team");
         Arc::new(routes(self.version, route()).with_teams(teams))
     }
 
     fn clock(&self, at: usize) -> Time {
-        Time::ZERO + Duration::from_millis(self.now - self.nodes[at].start)
+        Time::ZERO + Duration::from_millis(self.now - self.nodes[at].started_at)
     }
 
-    fn post(&mut self, from: usize, to: usize, message: impl Fn() -> Message) {
-        let cut = self.faults.cut.is_some_and(|(start, end, both)| {
+    fn send(&mut self, from: usize, to: usize, message: impl Fn() -> Message) {
+        let is_cut = self.faults.partition.is_some_and(|(start, end, both)| {
             let apart = from % 2 != to % 2;
             let way = both || from % 2 == 1;
             (start..end).contains(&self.now) && apart && way
         });
-        if cut || self.rng.f64() < self.faults.lost {
+        if is_cut || self.rng.f64() < self.faults.loss_ratio {
             return;
         }
-        let copies = if self.rng.f64() < self.faults.doubled {
+        let copies = if self.rng.f64() < self.faults.duplicate_ratio {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let near = from % REGIONS.len() == to % REGIONS.len();
-            let delay = if near {
-                self.faults.near
+            let is_same_region = from % REGIONS.len() == to % REGIONS.len();
+            let delay = if is_same_region {
+                self.faults.region_delay
             } else {
-                self.faults.delay
+                self.faults.cross_delay
             };
             let after = 1 + self.rng.u64(0..=delay);
-            self.mail.push((self.now + after, to, message()));
+            self.in_transit.push((self.now + after, to, message()));
         }
     }
 
-    /// Runs until `end`, with requests at the given instances at this rate.
+    /// Runs until `end`, with `rate` requests a second at the given instances.
     pub fn run(&mut self, end: u64, at: &[usize], rate: f64) {
         while self.now < end {
-            self.fail();
+            self.inject_faults();
             self.deliver();
             for node in 0..self.nodes.len() {
                 if !self.is_down(node) {
-                    self.tell(node);
+                    self.send_messages(node);
                 }
             }
             #[allow(clippy::cast_precision_loss, reason = "small")]
-            let expected = rate * STEP as f64 / 1000.0;
+            let expected = rate * STEP_MS as f64 / 1000.0;
             let mut count = expected.floor();
             count += f64::from(u8::from(self.rng.f64() < expected - count));
             while count >= 1.0 {
                 count -= 1.0;
                 let node = at[self.rng.usize(0..at.len())];
-                if self.nodes[node].down <= self.now {
-                    self.ask(node);
+                if self.nodes[node].down_until <= self.now {
+                    self.submit(node);
                 }
             }
             for node in 0..self.nodes.len() {
-                self.settle(node);
+                self.step(node);
             }
-            self.now += STEP;
+            self.now += STEP_MS;
         }
     }
 
-    fn fail(&mut self) {
+    fn inject_faults(&mut self) {
         let count = self.nodes.len();
-        if let Some(every) = self.faults.restart
+        if let Some(every) = self.faults.restart_interval
             && self.now > 0
             && self.now.is_multiple_of(every)
         {
@@ -254,18 +255,18 @@
             self.nodes[at] = self.node(at, count);
             self.restarts += 1;
         }
-        if self.faults.rolled && self.now.is_multiple_of(ROLL) {
-            self.roll();
+        if self.faults.is_rolling && self.now.is_multiple_of(ROLLING_RESTART_INTERVAL_MS) {
+            self.restart_next();
         }
-        if self.faults.lowered == Some(self.now) {
+        if self.faults.lowered_at == Some(self.now) {
             self.version += 1;
             let lower = Quota {
                 rate: self.quota.rate / 5.0,
                 burst: self.quota.burst / 5.0,
             };
-            self.pass.team = Arc::new(Team {
+            self.authorized.team = Arc::new(Team {
                 quota: Some(lower),
-                ..Team::clone(&self.pass.team)
+                ..Team::clone(&self.authorized.team)
             });
             let new = self.configuration();
             for node in &mut self.nodes {
@@ -274,25 +275,25 @@
         }
     }
 
-    /// Stops one instance, and starts the one that was stopped before.
-    fn roll(&mut self) {
+    /// Stops one instance and starts the one stopped before.
+    fn restart_next(&mut self) {
         let count = self.nodes.len();
-        let turn = usize::try_from(self.now / ROLL).expect("few");
+        let turn = usize::try_from(self.now / ROLLING_RESTART_INTERVAL_MS).expect("few");
         let (stopped, started) = (turn % count, (turn + count - 1) % count);
-        if self.nodes[started].down > 0 {
+        if self.nodes[started].down_until > 0 {
             self.nodes[started] = self.node(started, count);
         }
         let clock = self.clock(stopped);
         let end = clock + Duration::from_secs(10);
         self.nodes[stopped].direct.stop(end);
-        let farewell = self.nodes[stopped].direct.heartbeat(clock, true);
-        self.nodes[stopped].down = self.now + ROLL;
-        self.nodes[stopped].last = self.now + GRACE;
+        let last_heartbeat = self.nodes[stopped].direct.heartbeat(clock, true);
+        self.nodes[stopped].down_until = self.now + ROLLING_RESTART_INTERVAL_MS;
+        self.nodes[stopped].stops_at = self.now + STOP_GRACE_MS;
         for at in 0..count {
             let clock = self.clock(at);
             let direct = &mut self.nodes[at].direct;
             if at != stopped {
-                direct.receive_heartbeat(clock, farewell.clone());
+                direct.receive_heartbeat(clock, last_heartbeat.clone());
                 direct.set_member(clock, &name(stopped), None);
             }
             if at != started {
@@ -302,15 +303,15 @@
     }
 
     fn is_down(&self, at: usize) -> bool {
-        self.nodes[at].down > self.now && self.nodes[at].last <= self.now
+        self.nodes[at].down_until > self.now && self.nodes[at].stops_at <= self.now
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest) = core::mem::take(&mut self.mail)
+        let (due, rest) = core::mem::take(&mut self.in_transit)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.mail = rest;
+        self.in_transit = rest;
         for (_, to, message) in due {
             if self.is_down(to) {
                 continue;
@@ -318,71 +319,74 @@
             let clock = self.clock(to);
             let direct = &mut self.nodes[to].direct;
             match message {
-                Message::Beat(beat) => direct.receive_heartbeat(clock, *beat),
+                Message::Heartbeat(heartbeat) => direct.receive_heartbeat(clock, *heartbeat),
                 Message::Grant(grant) => direct.receive_grant(clock, &grant),
                 Message::Report(from, report) => {
                     let grant = direct.receive_report(clock, report);
-                    self.post(to, from, || Message::Grant(grant.clone()));
+                    self.send(to, from, || Message::Grant(grant.clone()));
                 }
             }
         }
     }
 
-    fn tell(&mut self, at: usize) {
+    fn send_messages(&mut self, at: usize) {
         let clock = self.clock(at);
-        let urgent = self.nodes[at].direct.take_report_due();
-        let phase = u64::try_from(at).expect("few") * STEP;
+        let is_due = self.nodes[at].direct.take_report_due();
+        let phase = u64::try_from(at).expect("few") * STEP_MS;
         if (self.now + phase).is_multiple_of(250) {
-            let beat = self.nodes[at].direct.heartbeat(clock, true);
+            let heartbeat = self.nodes[at].direct.heartbeat(clock, true);
             let count = self.nodes.len();
-            for step in 1..count.min(AUDIENCE) {
+            for step in 1..count.min(HEARTBEAT_RECIPIENTS) {
                 let to = (at + step) % count;
-                self.post(at, to, || Message::Beat(Box::new(beat.clone())));
+                self.send(at, to, || Message::Heartbeat(Box::new(heartbeat.clone())));
             }
         }
         let node = &mut self.nodes[at];
-        if !urgent && self.now < node.due {
+        if !is_due && self.now < node.next_report {
             return;
         }
-        let pace = node.direct.report_interval().as_millis();
-        node.due = self.now + u64::try_from(pace).expect("short");
+        let interval = node.direct.report_interval().as_millis();
+        node.next_report = self.now + u64::try_from(interval).expect("short");
         for due in self.nodes[at].direct.quota_reports(clock) {
             let to = usize::from(due.addr.port()) - 1;
-            self.post(at, to, || Message::Report(at, due.report.clone()));
+            self.send(at, to, || Message::Report(at, due.report.clone()));
         }
     }
 
-    fn ask(&mut self, at: usize) {
+    fn submit(&mut self, at: usize) {
         let now = self.clock(at);
-        let came = self.now;
-        let ask = Request {
+        let arrived_at = self.now;
+        let request = Request {
             route: Arc::new(route()),
-            authorized: Some(self.pass.clone()),
+            authorized: Some(self.authorized.clone()),
             object: None,
             deadline: now + Duration::from_secs(2),
             fingerprint: Fingerprint(self.rng.u128(..)),
         };
-        self.asked += 1;
-        let taken = self.nodes[at].direct.submit(now, ask);
-        let ticket = taken.expect("its route has a service");
-        self.nodes[at].came.push((ticket, came));
+        self.request_count += 1;
+        let accepted = self.nodes[at].direct.submit(now, request);
+        let ticket = accepted.expect("its route has a service");
+        self.nodes[at].arrivals.push((ticket, arrived_at));
     }
 
-    fn settle(&mut self, at: usize) {
+    fn step(&mut self, at: usize) {
         let now = self.clock(at);
-        // The store answers also who hears no other instance.
+        // The store also answers instances that hear from no other.
         self.nodes[at].direct.store_answered(now, 1);
-        for order in self.nodes[at].direct.step(now) {
-            match order {
-                Decision::Send(go) => {
+        for decision in self.nodes[at].direct.step(now) {
+            match decision {
+                Decision::Send(assignment) => {
                     self.admitted.push(self.now);
-                    let came = &self.nodes[at].came;
-                    let came = came.iter().find(|(ticket, _)| *ticket == go.ticket);
-                    self.held.extend(came.map(|(_, came)| self.now - came));
+                    let arrivals = &self.nodes[at].arrivals;
+                    let arrival = arrivals
+                        .iter()
+                        .find(|(ticket, _)| *ticket == assignment.ticket);
+                    self.waits
+                        .extend(arrival.map(|(_, arrived_at)| self.now - arrived_at));
                     let direct = &mut self.nodes[at].direct;
                     direct.finish_attempt(
                         now + Duration::from_millis(1),
-                        go.ticket,
+                        assignment.ticket,
                         AttemptOutcome::Answered,
                     );
                 }
@@ -394,8 +398,8 @@
         }
     }
 
-    /// Most requests admitted in any window that begins in this span.
-    pub fn most(&self, from: u64, to: u64) -> usize {
+    /// Largest number of requests admitted in any window that begins in this span.
+    pub fn max_in_window(&self, from: u64, to: u64) -> usize {
         let window = 5_000;
         let starts = self.admitted.iter().filter(|t| (from..to).contains(t));
         let count = |start: u64| {
--- a/crates/steer/tests/direct/recipients.rs
+++ b/crates/steer/tests/direct/recipients.rs
@@ -1,5 +1,4 @@
-//! Who gets heartbeats: enough for news to reach all, and no more as the fleet
-//! grows.
+//! Recipients of heartbeats: updates reach all instances, at a bounded cost for each.
 
 use std::net::SocketAddr;
 
@@ -9,22 +8,22 @@
 
 use super::bench::{Bench, at, route};
 
-/// Where an instance stands.
-struct Stand {
+/// Address and location of an instance.
+struct Location {
     port: u16,
     region: &'static str,
     domain: String,
 }
 
-/// Instances of three regions of three domains each, listed at this one, which
-/// is one of the first domain. Ports tell them apart; sorted by them.
-fn fleet(each: u16) -> (Bench, Vec<Stand>) {
+/// Instances of three regions with three domains each, registered at this one, which is
+/// in the first domain. Sorted by their ports, which identify them.
+fn fleet(per_domain: u16) -> (Bench, Vec<Location>) {
     let mut bench = Bench::new(route(), &[]);
-    let mut stands = Vec::new();
+    let mut locations = Vec::new();
     let mut port = 1000;
     for region in ["near", "far", "third"] {
         for domain in ["a", "b", "c"] {
-            for i in 0..each {
+            for i in 0..per_domain {
                 if (region, domain, i) == ("near", "a", 0) {
                     continue;
                 }
@@ -41,7 +40,7 @@
                 bench
                     .direct
                     .set_member(at(0), &format!("{domain}-{i}"), Some(row));
-                stands.push(Stand {
+                locations.push(Location {
                     port,
                     region,
                     domain,
@@ -49,42 +48,42 @@
             }
         }
     }
-    (bench, stands)
+    (bench, locations)
 }
 
-/// A fleet of any size: each tells a bounded number, its own domain first, and
-/// somebody of the rest of its region and of each other region.
+/// In a fleet of any size, the number of recipients is bounded and includes the own
+/// domain first, then some of the rest of the region and of every other region.
 #[rstest]
 #[case::small(1)]
 #[case::grown(3)]
 #[case::large(13)]
 #[case::target(166)]
-fn tell_bounded_number(#[case] each: u16) {
-    const MOST: usize = 24;
-    let (bench, stands) = fleet(each);
+fn bounded_recipients(#[case] per_domain: u16) {
+    const RECIPIENTS_MAX: usize = 24;
+    let (bench, locations) = fleet(per_domain);
     let Recipients {
         local: near,
         region,
         remote: far,
     } = bench.direct.recipients(at(10));
     let all: Vec<&SocketAddr> = near.iter().chain(&region).chain(&far).collect();
-    let told = all.len();
-    assert!(told <= MOST, "{told} are told each time");
-    let count = |fits: &dyn Fn(&Stand) -> bool| {
-        let stand = |addr: &&SocketAddr| {
-            let at = stands.binary_search_by_key(&addr.port(), |s| s.port);
-            &stands[at.expect("only instances of the fleet are told")]
+    let total = all.len();
+    assert!(total <= RECIPIENTS_MAX, "{total} recipients");
+    let count = |fits: &dyn Fn(&Location) -> bool| {
+        let location = |addr: &&SocketAddr| {
+            let at = locations.binary_search_by_key(&addr.port(), |s| s.port);
+            &locations[at.expect("only instances of the fleet are recipients")]
         };
-        all.iter().map(stand).filter(|s| fits(s)).count()
+        all.iter().map(location).filter(|s| fits(s)).count()
     };
-    let others = usize::from(each) - 1;
+    let others = usize::from(per_domain) - 1;
     let domain = count(&|s| s.domain == "near-a");
-    assert_eq!(domain, others.min(12), "of the own domain");
+    assert_eq!(domain, others.min(12), "in the own domain");
     assert!(count(&|s| s.region == "near" && s.domain != "near-a") >= 2);
     assert!(count(&|s| s.region == "far") >= 1);
     assert!(count(&|s| s.region == "third") >= 1);
     let mut unique = all.clone();
     unique.sort();
     unique.dedup();
-    assert_eq!(unique.len(), told, "nobody is told twice");
+    assert_eq!(unique.len(), total, "a recipient is listed twice");
 }
--- a/crates/steer/tests/direct/replica.rs
+++ b/crates/steer/tests/direct/replica.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the platform's store.
+//! Updates of the store's content between instances.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
     }
 }
 
-fn update(whole: bool, revision: u64, items: &[Item]) -> Update {
+fn update(full: bool, revision: u64, items: &[Item]) -> Update {
     Update {
         revision,
-        full: whole,
+        full,
         items: items.to_vec(),
     }
 }
@@ -26,8 +26,8 @@
     items.iter().map(|i| &*i.key).collect()
 }
 
-/// A list may be older than a change that came by another way: what is newer
-/// stays, and what the list doesn't name is gone.
+/// A list may be older than a change that arrived by another way: newer items stay, and
+/// items that the list does not name are gone.
 #[test]
 fn keep_newer_over_list() {
     let mut replica = Replica::default();
@@ -42,21 +42,21 @@
     assert_eq!(all.items[0].revision, 5);
 }
 
-/// An answer that was long on its way arrives after a later one.
+/// A delayed answer arrives after a later one.
 #[rstest]
 #[case::changes(false)]
 #[case::everything(true)]
-fn pass_over_older_update(#[case] whole: bool) {
+fn ignore_older_update(#[case] full: bool) {
     let mut replica = Replica::default();
     replica.apply(update(true, 9, &[item("a", 9, Some("new"))]));
-    let late = update(whole, 8, &[item("a", 3, Some("old")), item("b", 8, None)]);
+    let late = update(full, 8, &[item("a", 3, Some("old")), item("b", 8, None)]);
     assert_eq!(replica.apply(late), []);
     assert_eq!(replica.revision(), 9);
     assert_eq!(replica.changes_since(0).items.len(), 1);
 }
 
-/// One update writes a key, deletes it and writes it again: only how it ends
-/// matters, or a target that left would be used for a moment.
+/// An update writes a key, deletes it and writes it again. Only the last change counts;
+/// otherwise a target that left would be used for a moment.
 #[test]
 fn apply_last_change_of_key() {
     let mut replica = Replica::default();
@@ -70,9 +70,9 @@
     assert_eq!(changed, [item("a", 5, None), item("b", 6, Some("2"))]);
 }
 
-/// Who knows less than deletions are remembered is told everything.
+/// A reader that is behind the remembered deletions gets a full snapshot.
 #[test]
-fn tell_everything_beyond_memory() {
+fn full_snapshot_beyond_remembered_deletions() {
     let mut replica = Replica::default();
     replica.apply(update(true, 1, &[item("kept", 1, Some("1"))]));
     for i in 0..10_000 {
@@ -89,9 +89,9 @@
     assert_eq!(near.items.len(), 5);
 }
 
-/// A store, readers of it, and readers of those. Lists are old, answers are lost
-/// or late, readers restart and forget everything. No reader ever goes back to an
-/// earlier value of a key, and once all goes well each knows what the store does.
+/// A store, readers of it and readers of those. Lists are old, answers are lost or
+/// late, and readers restart without state. No reader ever returns to an earlier value
+/// of a key, and in the end each knows what the store holds.
 #[rstest]
 fn catch_up_in_any_order(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     println!("seed {seed}");
@@ -107,11 +107,11 @@
 struct World {
     rng: Rng,
     store: Replica,
-    /// What the store held at earlier times, for lists that are old.
-    past: Vec<Update>,
+    /// Snapshots of the store at earlier times, for lists that are old.
+    snapshots: Vec<Update>,
     readers: Vec<Replica>,
-    /// Updates on their way, each to a reader.
-    flying: Vec<(usize, Update)>,
+    /// Updates in transit, each with its reader.
+    in_transit: Vec<(usize, Update)>,
 }
 
 impl World {
@@ -119,9 +119,9 @@
         Self {
             rng: Rng::with_seed(seed),
             store: Replica::default(),
-            past: vec![Update::default()],
+            snapshots: vec![Update::default()],
             readers: vec![Replica::default(); READERS],
-            flying: Vec::new(),
+            in_transit: Vec::new(),
         }
     }
 
@@ -132,16 +132,16 @@
             5 => self.list_old(),
             6 => self.ask_reader(),
             7 => {
-                let lost = self.rng.usize(..=self.flying.len());
-                if lost < self.flying.len() {
-                    self.flying.swap_remove(lost);
+                let lost = self.rng.usize(..=self.in_transit.len());
+                if lost < self.in_transit.len() {
+                    self.in_transit.swap_remove(lost);
                 }
             }
             8 if self.rng.u8(..20) == 0 => {
                 let at = self.rng.usize(..READERS);
                 self.readers[at] = Replica::default();
                 // Its connections end with it.
-                self.flying.retain(|(to, _)| *to != at);
+                self.in_transit.retain(|(to, _)| *to != at);
             }
             _ => self.deliver(),
         }
@@ -154,11 +154,11 @@
         let change = item(&key, revision, value.as_deref());
         self.store.apply(update(false, revision, &[change]));
         let all = self.store.changes_since(0);
-        let there = all.items.into_iter().filter(|i| i.value.is_some());
-        self.past.push(Update {
+        let present = all.items.into_iter().filter(|i| i.value.is_some());
+        self.snapshots.push(Update {
             revision,
             full: true,
-            items: there.collect(),
+            items: present.collect(),
         });
     }
 
@@ -166,15 +166,15 @@
         let at = self.rng.usize(..READERS);
         let known = self.readers[at].revision();
         if known > 0 {
-            self.flying.push((at, self.store.changes_since(known)));
+            self.in_transit.push((at, self.store.changes_since(known)));
         }
     }
 
     fn list_old(&mut self) {
         let at = self.rng.usize(..READERS);
-        let back = self.rng.usize(..self.past.len().min(8));
-        let old = self.past[self.past.len() - 1 - back].clone();
-        self.flying.push((at, old));
+        let back = self.rng.usize(..self.snapshots.len().min(8));
+        let old = self.snapshots[self.snapshots.len() - 1 - back].clone();
+        self.in_transit.push((at, old));
     }
 
     fn ask_reader(&mut self) {
@@ -182,20 +182,20 @@
         let known = self.readers[to].revision();
         let answer = self.readers[from].changes_since(known);
         if answer.revision > 0 {
-            self.flying.push((to, answer));
+            self.in_transit.push((to, answer));
         }
     }
 
     fn deliver(&mut self) {
-        if self.flying.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let next = self.rng.usize(..self.flying.len());
-        let (to, update) = self.flying.swap_remove(next);
-        self.take(to, update);
+        let next = self.rng.usize(..self.in_transit.len());
+        let (to, update) = self.in_transit.swap_remove(next);
+        self.apply(to, update);
     }
 
-    fn take(&mut self, to: usize, update: Update) {
+    fn apply(&mut self, to: usize, update: Update) {
         let before = self.readers[to].clone();
         let known: Vec<Item> = before.changes_since(0).items;
         self.readers[to].apply(update);
@@ -209,20 +209,25 @@
     }
 
     fn settle(&mut self) {
-        while !self.flying.is_empty() {
+        while !self.in_transit.is_empty() {
             self.deliver();
         }
-        let wanted = self.past.last().expect("it began with one").items.clone();
+        let wanted = self
+            .snapshots
+            .last()
+            .expect("it began with one")
+            .items
+            .clone();
         for to in 0..READERS {
             let known = self.readers[to].revision();
             let missed = match known {
-                0 => self.past.last().expect("it began with one").clone(),
+                0 => self.snapshots.last().expect("it began with one").clone(),
                 known => self.store.changes_since(known),
             };
-            self.take(to, missed);
+            self.apply(to, missed);
             let all = self.readers[to].changes_since(0).items;
-            let there: Vec<Item> = all.into_iter().filter(|i| i.value.is_some()).collect();
-            assert_eq!(there, wanted, "reader {to}");
+            let present: Vec<Item> = all.into_iter().filter(|i| i.value.is_some()).collect();
+            assert_eq!(present, wanted, "reader {to}");
         }
     }
 }
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -1,4 +1,4 @@
-//! Targets as discovery names them, with what the store's outages do to it.
+//! Targets listed by service discovery, and the effects of the store's outages on them.
 
 use core::time::Duration;
 
@@ -8,9 +8,9 @@
 
 use super::bench::{Bench, MS, at, entry, route};
 
-/// The store was away for five seconds and entries lapsed meanwhile. Targets
-/// that live write them again within two seconds; dropped at once, the whole
-/// service would have none. One that stays missing is dropped.
+/// Entries expired while the store was unreachable for five seconds. Live targets renew
+/// theirs within two seconds; dropped at once, the whole service would have none. A
+/// target that stays missing is dropped.
 #[test]
 fn keep_lapsed_targets_for_a_moment() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a"), entry("t2", "near-a")]);
@@ -31,8 +31,8 @@
     );
 }
 
-/// An instance whose upstream was cut off took that for an outage of the store and kept
-/// sending to targets that had left.
+/// An instance whose upstream was partitioned took that for an outage of the store and
+/// kept sending to targets that had left.
 #[rstest]
 #[case::store_answered_all_the_while(10_000, true)]
 #[case::store_was_away(800, false)]
@@ -47,9 +47,9 @@
     assert_eq!(bench.direct.unlist(at(5_010), "t1"), dropped);
 }
 
-/// What an instance tells of its own contact holds through a gap that was its own.
+/// A gap of this instance alone does not shorten the span that other instances report.
 #[test]
-fn tell_of_contact_through_own_gap() {
+fn keep_contact_span_through_own_gap() {
     let mut bench = Bench::new(route(), &[]);
     bench.direct.store_answered(at(1_000), 10);
     let contact = StoreContact {
@@ -73,8 +73,8 @@
     assert!(bench.direct.unlist(at(2_010), "t1"));
 }
 
-/// A report from before "leaving" arrives after it. Taken for news, it would
-/// bring a target back that ends in a moment, and its requests with it.
+/// A report from before a target began to drain arrives late. Applied, it would send
+/// requests to a target that is about to end.
 #[test]
 fn stay_leaving_on_older_report() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
@@ -98,21 +98,21 @@
     );
 }
 
-/// A target starts anew under its old name: it holds nothing of before.
+/// A target that restarts under its old name holds none of its former objects.
 #[test]
 fn forget_what_old_incarnation_held() {
     let mut bench = Bench::new(route(), &[entry("t1", "near-a")]);
     bench.serve(at(0), 5, super::bench::MS * 100);
-    let anew = Entry {
+    let restarted = Entry {
         incarnation: 2,
         ..entry("t1", "near-a")
     };
-    assert!(bench.direct.roster.put(at(500), anew));
+    assert!(bench.direct.roster.put(at(500), restarted));
     assert!(!bench.send(at(600), Some(5)).warm);
 }
 
-/// Targets come, change their service under an old name, and go; each service
-/// finds its own at every step.
+/// Targets appear, change their service under the same name, and leave; at each step
+/// the lookup by service returns the right ones.
 #[test]
 fn find_targets_of_service() {
     let mut bench = Bench::new(route(), &[]);
--- a/crates/steer/tests/direct/upstream.rs
+++ b/crates/steer/tests/direct/upstream.rs
@@ -1,4 +1,5 @@
-//! Which instance reads the platform's store, and who reads from whom.
+//! Choice of the instances that read the platform's store, and of the upstreams of the
+//! others.
 
 use core::cmp::Reverse;
 use core::time::Duration;
@@ -10,15 +11,14 @@
 
 use super::bench::{Bench, at, heartbeat, registration, route};
 
-/// This instance and others of its region, in the order in which they read the
-/// store. It stands in `near-a`.
+/// This instance, which is in `near-a`, and others of its region, by descending rank.
 struct Region {
     bench: Bench,
-    /// Names with their failure domains, the first reader first.
-    order: Vec<(String, &'static str)>,
+    /// Names with failure domains, the first reader of the store first.
+    by_rank: Vec<(String, &'static str)>,
 }
 
-/// A region of three domains with so many others each, all listed.
+/// A region of three domains with `each` other instances in each, all registered.
 fn region(each: usize) -> Region {
     let mut bench = Bench::new(route(), &[]);
     let mut order = vec![("near-1".to_owned(), "near-a")];
@@ -35,7 +35,10 @@
     }
     order.sort_by_key(|(name, _)| Reverse(reader_rank(name)));
     bench.direct.store_answered(at(0), 1);
-    Region { bench, order }
+    Region {
+        bench,
+        by_rank: order,
+    }
 }
 
 impl Region {
@@ -46,58 +49,58 @@
         }
     }
 
-    /// The upstream of this moment fails.
-    fn fail(&mut self, millis: u64) {
+    /// Fails the present upstream.
+    fn fail_upstream(&mut self, millis: u64) {
         let upstream = self.bench.direct.upstream(at(millis));
         self.bench.direct.upstream_failed(at(millis), &upstream);
     }
 
-    /// Removes all that come before this instance but the given number.
-    fn keep_before(&mut self, kept: usize) {
-        let own = self.order.iter().position(|o| o.0 == "near-1");
-        let before: Vec<_> = self.order.drain(..own.expect("it is there")).collect();
+    /// Removes the instances that rank above this one, except for `kept` of them.
+    fn keep_ranked_above(&mut self, kept: usize) {
+        let own = self.by_rank.iter().position(|o| o.0 == "near-1");
+        let before: Vec<_> = self.by_rank.drain(..own.expect("it is there")).collect();
         let (kept, gone) = before.split_at(before.len().min(kept));
         for (name, _) in gone {
             self.bench.direct.set_member(at(1), name, None);
         }
-        self.order.splice(0..0, kept.iter().cloned());
+        self.by_rank.splice(0..0, kept.iter().cloned());
     }
 }
 
-/// Nobody comes before it in its region: it reads the store, and so does one
+/// An instance that no other of its region ranks above reads the store, as does one
 /// that is alone.
 #[rstest]
 #[case::alone(0)]
 #[case::first_of_many(6)]
 fn read_store_as_first(#[case] each: usize) {
     let mut region = region(each);
-    region.keep_before(0);
+    region.keep_ranked_above(0);
     assert_eq!(region.upstream(10), "store");
     assert!(region.bench.direct.is_reader(at(10)));
 }
 
-/// Others of its domain come before it: it reads from the first of them, though
-/// a domain beside it has an earlier one, as bytes between domains are paid.
+/// It reads from the first of its own domain that ranks above it, even if another
+/// domain has one that ranks higher, as bytes between domains are paid for.
 #[test]
 fn read_from_own_domain() {
     let region = region(12);
-    let own = region.order.iter().position(|o| o.0 == "near-1");
-    let before = &region.order[..own.expect("it is there")];
+    let own = region.by_rank.iter().position(|o| o.0 == "near-1");
+    let before = &region.by_rank[..own.expect("it is there")];
     let first = before.iter().find(|o| o.1 == "near-a");
     let (name, _) = first.expect("one of twelve comes before");
     assert_eq!(region.upstream(10), *name);
     assert!(!region.bench.direct.is_reader(at(10)));
 }
 
-/// The instance it reads from is killed and nobody has said so yet. It goes on
-/// to another at once, then to the store, and comes back later.
+/// The upstream was killed, unnoticed by the others. The instance moves on to another
+/// one at once, then to the store, and returns later.
 #[test]
-fn pass_over_failed_upstreams() {
+fn skip_failed_upstreams() {
     let mut region = region(12);
     let first = region.upstream(10);
     let mut seen = vec![first.clone()];
     while seen.last().is_some_and(|last| last != "store") {
-        region.fail(10);
+        region.fail_upstream(10);
         seen.push(region.upstream(10));
         assert!(seen.len() <= 4, "too long without the store: {seen:?}");
     }
@@ -107,34 +110,34 @@
     assert_eq!(region.upstream(4_020), first, "it may be back");
 }
 
-/// The store turns this instance away and serves others. It reads from another
-/// instance, and tries the store again from time to time.
+/// The store rejects this instance but serves others. The instance reads from another
+/// one and retries the store from time to time.
 #[test]
-fn read_from_others_if_turned_away() {
+fn read_from_peer_if_store_rejects() {
     let mut region = region(3);
-    region.keep_before(0);
-    region.fail(10);
+    region.keep_ranked_above(0);
+    region.fail_upstream(10);
     let other = region.upstream(20);
     assert_ne!(other, "store");
-    region.fail(20);
+    region.fail_upstream(20);
     assert_ne!(region.upstream(30), other, "it knows no more");
     assert_eq!(region.upstream(1_020), "store");
 }
 
-/// The store is away and nobody knows more: all are tried once, then the store
-/// is, which is where news will come from.
+/// The store is unreachable and no instance knows more. Each is tried once, then the
+/// store again, where updates will come from.
 #[test]
-fn come_back_to_store_from_all() {
+fn return_to_store_after_all_failed() {
     let mut region = region(3);
-    region.keep_before(0);
+    region.keep_ranked_above(0);
     for _ in 0..20 {
-        region.fail(10);
+        region.fail_upstream(10);
     }
     assert_eq!(region.upstream(20), "store");
 }
 
-/// An instance in another region is no upstream: what it tells crosses regions
-/// and the store's own answer comes as soon.
+/// Instances of other regions are no upstreams: their answers cross regions, and the
+/// store answers as soon.
 #[test]
 fn stay_in_region() {
     let mut bench = Bench::new(route(), &[]);
@@ -146,11 +149,11 @@
     assert_eq!(bench.direct.upstream(at(10)), Upstream::Store);
 }
 
-/// What is told at second hand is as old as the store's own word: it neither
-/// makes an instance look in touch for longer, nor hides that the store was
-/// away and entries may have lapsed.
+/// An answer passed on by another instance is as old as the store's original one: it
+/// neither extends the time for which the store counts as reachable, nor hides an
+/// outage in which entries may have expired.
 #[test]
-fn count_age_of_what_is_told() {
+fn age_of_peer_answers() {
     let mut bench = Bench::new(route(), &[]);
     bench.direct.store_answered(at(1_000), 5);
     let told = |bench: &mut Bench, millis, age| {
@@ -167,9 +170,9 @@
     assert!(!bench.direct.is_store_reachable(at(6_800)));
 }
 
-/// An instance that leaves is nobody's upstream.
+/// An instance that is leaving is no upstream.
 #[test]
-fn pass_over_who_leaves() {
+fn skip_leaving_upstream() {
     let mut region = region(12);
     let first = region.upstream(10);
     let mut last = heartbeat(&first, 1);
