--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -188,7 +188,7 @@
     }
 
     /// Records for the service's spillover whether an answer met its latency
-    /// objective. Answers for cold objects are left out: they are as late at home as
+    /// objective. Answers for cold objects are left out: they are as late locally as
     /// in other regions.
     fn record_punctuality(&mut self, now: Time, at: usize, target: &str, warm: bool) {
         let job = &self.jobs[at];
--- a/crates/steer/src/process/direct/place.rs
+++ b/crates/steer/src/process/direct/place.rs
@@ -40,8 +40,8 @@
 /// regions is also paid for by the byte.
 const CROSS_REGION_SECONDS: f64 = 0.15;
 
-/// Factor by which the cost at home must exceed that in another region for a
-/// request that would be late in both: at home it causes no traffic between regions.
+/// Factor by which the cost in the local region must exceed that in another one for
+/// a request that would be late in both: a local one causes no traffic between regions.
 const REMOTE_GAIN_RATIO_MIN: f64 = 1.5;
 
 /// Part of a region's slot deficit at which the spillover share starts.
@@ -94,7 +94,7 @@
             return Some(place);
         }
         if is_local && self.has_local_target(job) {
-            // The own region has targets that can't be used for a moment only.
+            // The local region has targets that can't be used for a moment only.
             return None;
         }
         self.best(now, job, !is_local)
@@ -154,19 +154,19 @@
         (1.0 - local / mean).clamp(0.0, 1.0) * SLOT_DEFICIT_USED_RATIO
     }
 
-    /// Load of a service's targets in the own region over their slots; 1 if there
+    /// Load of a service's targets in the local region over their slots; 1 if there
     /// are none.
     pub(super) fn local_utilization(&self, now: Time, service: &str) -> f64 {
         self.utilization_where(now, service, |target| target.region == self.identity.region)
     }
 
-    /// Utilization of the targets in the regions where a request is to run: the own
-    /// region or, if `is_remote` or the own one is not allowed, the others.
+    /// Utilization of the targets in the regions where a request is to run: the local
+    /// region or, if `is_remote` or the local one is not allowed, the others.
     pub(super) fn utilization_for(&self, now: Time, job: &Job, is_remote: bool) -> f64 {
-        let home = &self.identity.region;
-        let is_remote = is_remote || !job.request.allows(home);
+        let local_region = &self.identity.region;
+        let is_remote = is_remote || !job.request.allows(local_region);
         self.utilization_where(now, &job.service, |target| {
-            (target.region != *home) == is_remote && job.request.allows(&target.region)
+            (target.region != *local_region) == is_remote && job.request.allows(&target.region)
         })
     }
 
@@ -183,7 +183,7 @@
         if slots > 0.0 { load / slots } else { 1.0 }
     }
 
-    /// Whether the own region has a target for a request that may be usable soon.
+    /// Whether the local region has a target for a request that may be usable soon.
     fn has_local_target(&self, job: &Job) -> bool {
         let is_candidate = |t: &Target| {
             t.region == self.identity.region
@@ -197,14 +197,14 @@
             .any(|(_, t)| is_candidate(t))
     }
 
-    /// Whether a target of the own region would be usable but for the rate limit that
+    /// Whether a target of the local region would be usable but for the rate limit that
     /// it reports.
     fn is_local_limited(&self, now: Time, job: &Job) -> bool {
         let mut all = self.roster.of_service(&job.service);
         all.any(|(_, t)| self.is_eligible(now, job, t, true) && !self.is_within_limit(now, t))
     }
 
-    /// The usable target of lowest rank, in the own region if `is_local` or else in
+    /// The usable target of lowest rank, in the local region if `is_local` or else in
     /// the others.
     fn best(&self, now: Time, job: &Job, is_local: bool) -> Option<Place> {
         let route = &job.request.route;
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -207,7 +207,7 @@
         Duration::from_secs_f64(seconds).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
-    /// Decides whether a request is to run in the own region or in another one.
+    /// Decides whether a request is to run in the local region or in another one.
     fn choose_region(&mut self, now: Time, at: usize) {
         let (pressure, position) = self.spillover_pressure(now, &self.jobs[at]);
         let service = Arc::clone(&self.jobs[at].service);
--- a/crates/steer/src/process/direct/spillover.rs
+++ b/crates/steer/src/process/direct/spillover.rs
@@ -6,7 +6,7 @@
 //! rates by chance alone, and overflow that follows the load breaks it whenever a
 //! burst begins or ends. So the share is a state of its own. It rises while more
 //! than a few requests would be better off in another region; it falls while
-//! hardly any would and the own region has room for all of its requests. Requests
+//! hardly any would and the local region has room for all of its requests. Requests
 //! are assigned by it one by one, whether or not the single request would be
 //! better off.
 //!
@@ -38,12 +38,12 @@
 /// stays as it is.
 ///
 /// The share is an integral of the excess over this part. A share proportional to
-/// the part itself would settle where as many requests are late at home as run
+/// the part itself would settle where as many requests are late locally as run
 /// elsewhere, far below what a region with few targets lacks.
 const PRESSURE_SETPOINT: f64 = 0.05;
 
-/// Largest difference between the parts of warm answers that are late at home and
-/// elsewhere before every request counts as pressure. Beyond it the own region is
+/// Largest difference between the parts of warm answers that are late locally and
+/// elsewhere before every request counts as pressure. Beyond it the local region is
 /// fuller than it looks: instances of other regions also send there, for teams
 /// that may run nowhere else.
 const LATE_RATIO_GAP_MAX: f64 = 0.4;
@@ -55,21 +55,21 @@
 /// Single requests move the share little that way.
 const PRESSURE_RANGE: f64 = 0.10;
 
-/// Utilization of the own region, with all its requests at home, up to which the
-/// share falls at its full rate. If they only just fitted they would have to leave
+/// Utilization of the local region, if all its requests ran there, up to which the
+/// share falls at its full rate. If they only just fitted, they would have to leave
 /// again a moment later, and objects are cold after each move. A slow fixed rate
-/// would keep requests away long after there is room at home, where the way alone
-/// uses up short latency objectives.
+/// would keep requests away long after there is room locally, and the way to
+/// another region alone uses up short latency objectives.
 const FULL_FALL_UTILIZATION_MAX: f64 = 0.4;
 
 /// The same utilization from which the share doesn't fall at all, although no
 /// request is late: they are in time only because others run elsewhere.
 const FALL_UTILIZATION_MAX: f64 = 0.7;
 
-/// Largest share. The remaining requests show whether home has room again.
+/// Largest share. The remaining requests show whether the local region has room again.
 const SHARE_MAX: f64 = 0.9;
 
-/// Largest share while answers at home are late, which takes few requests to see.
+/// Largest share while local answers are late, which takes few requests to see.
 const SHARE_LATE_MAX: f64 = 0.98;
 
 /// Controller of the share of one service's requests that runs in other regions.
@@ -80,12 +80,12 @@
     share: f64,
     /// Smoothed part of requests that would be better off elsewhere.
     pressure: f64,
-    /// Smoothed part of the own region's slots in use.
+    /// Smoothed part of the local region's slots in use.
     utilization: f64,
     /// Requests that are due elsewhere by the share and have not been sent there.
     credit: f64,
     updated_at: Option<Time>,
-    /// Averaged parts of answers that are late, at home and elsewhere.
+    /// Averaged parts of answers that are late, locally and elsewhere.
     late_ratios: [f64; 2],
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Utilization of the own region if all its requests ran there.
+    /// Utilization of the local region if all its requests ran there.
     fn demand(&self) -> f64 {
         self.utilization / (1.0 - self.share).max(1.0 - SHARE_MAX)
     }
@@ -124,7 +124,7 @@
     }
 
     /// Decides whether the next request runs in another region. `pressure` says
-    /// whether it would be better off there; `utilization` is the part of the own
+    /// whether it would be better off there; `utilization` is the part of the local
     /// region's slots in use. `position`, from 0 to 1, is the same for all requests
     /// of an object: objects at low positions go first.
     pub fn choose_remote(
@@ -151,10 +151,10 @@
             .updated_at
             .map_or(0.0, |at| now.since(at).as_secs_f64());
         self.updated_at = Some(now);
-        let [home, remote] = self.late_ratios;
-        let is_home_late = home - remote > LATE_RATIO_GAP_MAX;
-        let pressure = pressure || is_home_late;
-        let share_max = if is_home_late {
+        let [local, remote] = self.late_ratios;
+        let is_local_late = local - remote > LATE_RATIO_GAP_MAX;
+        let pressure = pressure || is_local_late;
+        let share_max = if is_local_late {
             SHARE_LATE_MAX
         } else {
             SHARE_MAX.max(self.share)
--- a/crates/steer/tests/direct/bench.rs
+++ b/crates/steer/tests/direct/bench.rs
@@ -136,7 +136,7 @@
         targets: &[Entry],
         change: impl FnOnce(Bounds) -> Bounds,
     ) -> Self {
-        let home = Identity {
+        let identity = Identity {
             name: name.into(),
             region: "near".into(),
             incarnation: 1,
@@ -158,7 +158,7 @@
         let domains = ["near-a", "near-b", "far-a", "far-b"];
         let region = |d: &str| d.split('-').next().unwrap_or_default().into();
         let domains = domains.map(|d| (d.into(), region(d))).to_vec();
-        let mut direct = Direct::new(home, change(bounds), domains);
+        let mut direct = Direct::new(identity, change(bounds), domains);
         direct.install(Arc::new(routes(1, route.clone())));
         for target in targets {
             direct.roster.put(at(0), target.clone());
--- a/crates/steer/tests/direct/spillover.rs
+++ b/crates/steer/tests/direct/spillover.rs
@@ -50,9 +50,9 @@
     assert!(end <= 5, "still {end} of 100 23 s after them");
 }
 
-/// No request is late at home because half of them run elsewhere; all together would
+/// No request is late locally because half of them run elsewhere; all together would
 /// fill the region. A share that fell would soon rise again, and objects would be cold
-/// after each move. It must fall only if home has room for all requests.
+/// after each move. It must fall only if the local region has room for all requests.
 #[rstest]
 #[case::no_room(0.5, 0.45)]
 #[case::room(0.25, 0.0)]
@@ -60,7 +60,7 @@
     let mut spillover = Spillover::new(BOUND, 0.5);
     for i in 0..1_000_u64 {
         let position = f64::from(u32::try_from(i * 7 % 24).unwrap_or_default()) / 24.0;
-        // Requests that run at home again take slots there.
+        // Requests that run locally again take slots there.
         let utilization = utilization * (1.0 - spillover.share()) / 0.5;
         spillover.choose_remote(at(i * 20), false, utilization, position);
     }
@@ -72,7 +72,7 @@
 }
 
 /// A region with a third of the callers and a sixth of the targets: half of its requests
-/// fit at home, and the excess there is late. A share proportional to the late part would settle where as many requests are late as run
+/// fit locally, and the excess there is late. A share proportional to the late part would settle where as many requests are late as run
 /// elsewhere. It must rise until only a few are late.
 #[test]
 fn rise_until_few_are_late() {
@@ -80,16 +80,16 @@
     let mut spillover = Spillover::new(BOUND, 0.0);
     let mut late = 0;
     for i in 0..2_000_u64 {
-        // The excess of the requests at home is late, evenly spread.
-        let home = 1.0 - spillover.share();
-        let late_ratio = ((home - fits) / home).max(0.0);
+        // The excess of the requests locally is late, evenly spread.
+        let local = 1.0 - spillover.share();
+        let late_ratio = ((local - fits) / local).max(0.0);
         let pressure =
             (f64::from(u32::try_from(i * 61 % 100).unwrap_or_default()) / 100.0) < late_ratio;
         let position = f64::from(u32::try_from(i * 7 % 24).unwrap_or_default()) / 24.0;
-        let is_remote = spillover.choose_remote(at(i * 20), pressure, home, position);
+        let is_remote = spillover.choose_remote(at(i * 20), pressure, local, position);
         late += usize::from(i >= 1_500 && pressure && !is_remote);
     }
-    assert!(late <= 50, "{late} of the last 500 are late at home");
+    assert!(late <= 50, "{late} of the last 500 are late locally");
     let share = spillover.share();
     assert!((0.4..0.6).contains(&share), "the share is {share:.2}");
 }
