--- a/crates/steer/src/process/direct/job.rs
+++ b/crates/steer/src/process/direct/job.rs
@@ -41,7 +41,7 @@
     /// Strikes against it when it was last sent; see
     /// [`Suspects::strike`](crate::request::poison::Suspects::strike).
     pub(super) strikes: u8,
-    /// Whether it is to run in another region; `None` until that is decided.
+    /// Whether the request is to run in another region; `None` until that is decided.
     pub(super) is_remote: Option<bool>,
     /// State of its admission by its team's quota.
     pub(super) admission: Admission,
--- a/crates/steer/src/process/direct/spillover.rs
+++ b/crates/steer/src/process/direct/spillover.rs
@@ -62,8 +62,8 @@
 /// another region alone uses up short latency objectives.
 const FULL_FALL_UTILIZATION_MAX: f64 = 0.4;
 
-/// The same utilization from which the share doesn't fall at all, although no
-/// request is late: they are in time only because others run elsewhere.
+/// Utilization, taken likewise, from which the share doesn't fall at all, although
+/// no request is late: they are in time only because others run elsewhere.
 const FALL_UTILIZATION_MAX: f64 = 0.7;
 
 /// Largest share. The remaining requests show whether the local region has room again.
--- a/crates/steer/src/process/direct/target.rs
+++ b/crates/steer/src/process/direct/target.rs
@@ -28,7 +28,7 @@
     pub domain: Arc<str>,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has announced that it is about to stop.
+    /// Whether the target has announced that it is about to stop.
     pub draining: bool,
     /// Sequence number of its entry since its start.
     pub seq: u64,
@@ -86,7 +86,7 @@
     pub entry: Entry,
     /// Region of its failure domain.
     pub region: Arc<str>,
-    /// Whether it is no longer listed in service discovery.
+    /// Whether the target is no longer listed in service discovery.
     pub is_gone: bool,
     /// Requests of this instance that are in flight to it.
     pub in_flight: u32,
@@ -154,30 +154,30 @@
         self.hash
     }
 
-    /// Whether it is listed and not draining.
+    /// Whether the target is listed and not draining.
     #[must_use]
     pub fn is_available(&self) -> bool {
         !self.is_gone && !self.entry.draining
     }
 
-    /// Whether it is ejected after failures to reach it.
+    /// Whether the target is ejected after failures to reach it.
     #[must_use]
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it is cold after its start or an evacuation.
+    /// Whether the target is cold after its start or an evacuation.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
-    /// Marks it as cold until a time, as after an evacuation of its domain.
+    /// Marks the target as cold until a time, as after an evacuation of its domain.
     pub fn mark_cold(&mut self, until: Time) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Estimated number of requests at it or reserved for it. The load of other
+    /// Estimated number of requests at the target or reserved for it. The load of other
     /// instances by the target's last report decays with the time constant
     /// `decay_time`, and counts if it exceeds that by their heartbeats.
     #[must_use]
@@ -308,7 +308,7 @@
         self.health.record_answer(now, ratio);
     }
 
-    /// Ejects it for a while because it couldn't be reached or the connection was lost;
+    /// Ejects the target for a while because it couldn't be reached or the connection was lost;
     /// otherwise each request would have to find out by itself.
     pub fn eject(&mut self, now: Time) {
         self.health.record_failure(now);
