--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use steer::process::config;
 use steer::process::control::apply::{Apply, Base, Expect, Outcome, Step, Verdict};
-use steer::process::control::store::Stored;
+use steer::process::control::store::StoredHead;
 use steer::version::view;
 use store::error;
 use wire::kv;
@@ -272,7 +272,7 @@
     Answer::new(result, version, told)
 }
 
-async fn read(store: &dyn store::Store) -> std::result::Result<Option<Stored>, error::Error> {
+async fn read(store: &dyn store::Store) -> std::result::Result<Option<StoredHead>, error::Error> {
     match store.get(keys::HEAD).await? {
         None => Ok(None),
         Some(entry) => match shelf::parse(&entry) {
--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -166,7 +166,7 @@
         self.parts.metrics.store_calls.inc();
         let work = async move {
             let reply = shelf::answer(&*parts.store, &call).await;
-            if reply == store::Reply::Away {
+            if reply == store::Reply::Unavailable {
                 parts.metrics.store_failures.inc();
             }
             let _ = inputs.try_send(Input::Stored(id, reply));
@@ -185,8 +185,8 @@
         self.parts
             .metrics
             .store_up
-            .set(i64::from(reply != store::Reply::Away));
-        self.handle(control::Event::Stored { id, reply });
+            .set(i64::from(reply != store::Reply::Unavailable));
+        self.handle(control::Event::StoreReply { id, reply });
     }
 
     fn listed(&mut self, list: Option<Vec<instance::Instance>>) {
--- a/crates/auburnrouter/src/daemon/control/shelf.rs
+++ b/crates/auburnrouter/src/daemon/control/shelf.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use intent::document;
 use steer::process::config;
-use steer::process::control::store::{Call, Reply, Stored};
+use steer::process::control::store::{Call, Reply, StoredHead};
 use steer::process::member;
 use wire::{instance, kv};
 
@@ -25,7 +25,7 @@
     };
     let late = async {
         smol::Timer::after(wait + CALL_TIME).await;
-        Reply::Away
+        Reply::Unavailable
     };
     let work = async {
         match call {
@@ -40,8 +40,8 @@
 
 /// Reads a head document.
 #[must_use]
-pub fn parse(entry: &kv::Entry) -> Option<Stored> {
-    Some(Stored {
+pub fn parse(entry: &kv::Entry) -> Option<StoredHead> {
+    Some(StoredHead {
         head: document::wire::from_json(&entry.value).ok()?,
         revision: entry.revision,
     })
@@ -51,7 +51,7 @@
     match store.get(keys::HEAD).await {
         Ok(None) => Reply::Head(None),
         Ok(Some(entry)) => parse(&entry).map_or(Reply::Malformed, |s| Reply::Head(Some(s))),
-        Err(_) => Reply::Away,
+        Err(_) => Reply::Unavailable,
     }
 }
 
@@ -59,7 +59,7 @@
     match store.watch(keys::HEAD, after, wait).await {
         Ok(None) => Reply::Watched(None),
         Ok(Some(entry)) => parse(&entry).map_or(Reply::Malformed, |s| Reply::Watched(Some(s))),
-        Err(_) => Reply::Away,
+        Err(_) => Reply::Unavailable,
     }
 }
 
@@ -70,13 +70,13 @@
             Reply::Body(wanted, Some(entry.value.into_bytes().into()))
         }
         Ok(Some(_)) => Reply::Malformed,
-        Err(_) => Reply::Away,
+        Err(_) => Reply::Unavailable,
     }
 }
 
 async fn list(store: &dyn store::Store) -> Reply {
     let Ok(list) = store.instances(&instance::Part::Entries).await else {
-        return Reply::Away;
+        return Reply::Unavailable;
     };
     let hints = list.instances.into_iter().filter_map(|i| match i.role {
         instance::Role::Entry { peer } => Some(member::Hint {
--- a/crates/steer/examples/fleet.rs
+++ b/crates/steer/examples/fleet.rs
@@ -113,11 +113,11 @@
 fn measure_events(nodes: usize) {
     let (mut fleet, files) = settled(nodes);
     let domains = (nodes * TARGET_DOMAINS).div_ceil(TARGET).max(6);
-    fleet.store_away(true);
+    fleet.set_store_down(true);
     let away = fleet.now;
     fleet.run(Duration::from_mins(2));
     let during = load(calls(&fleet, away));
-    fleet.store_away(false);
+    fleet.set_store_down(false);
     let back = fleet.now;
     fleet.run(Duration::from_mins(1));
     let after = load(calls(&fleet, back));
--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -181,7 +181,7 @@
         match event {
             Event::Tick => self.tick(now, out),
             Event::Received(message) => self.receive(now, &message, out),
-            Event::Stored { id, reply } => self.stored(now, id, reply, out),
+            Event::StoreReply { id, reply } => self.stored(now, id, reply, out),
             Event::Hints(hints) => self.hints.replace(hints),
             Event::Load(load) => self.load = load,
             Event::Installed { version, slots } => self.installed(now, version, slots, out),
@@ -273,7 +273,7 @@
         HealthSummary {
             version: self.tracker.version(),
             load: self.load,
-            store: !self.store.is_away(),
+            store: !self.store.is_unavailable(),
         }
     }
 
--- a/crates/steer/src/process/control/apply.rs
+++ b/crates/steer/src/process/control/apply.rs
@@ -13,7 +13,7 @@
 
 use std::sync::Arc;
 
-use super::store::Stored;
+use super::store::StoredHead;
 use crate::process::config::{Body, Change, File, Hash, Head, RECENT};
 use crate::version::view::Version;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Base {
     /// The head as read from the store; `None` if there is none yet.
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredHead>,
     /// Highest version in force at any instance asked. A store below it has
     /// lost data.
     pub force: Version,
@@ -62,9 +62,9 @@
     /// The write took effect.
     Written,
     /// The head was at another revision; what is there.
-    Conflict(Option<Stored>),
+    Conflict(Option<StoredHead>),
     /// The head as read.
-    Read(Option<Stored>),
+    Read(Option<StoredHead>),
     /// No answer: a write may have taken effect, or still may.
     Lost,
 }
@@ -266,7 +266,7 @@
 
     /// A conflict may be with this very write, if the client's library sent it
     /// twice.
-    fn conflict(&mut self, stored: Option<&Stored>) -> Step {
+    fn conflict(&mut self, stored: Option<&StoredHead>) -> Step {
         let version = stored.map_or(Version(0), |s| s.head.version);
         match self.accepted(stored) {
             Some(true) => self.done(Verdict::InForce(self.head.version)),
@@ -275,7 +275,7 @@
         }
     }
 
-    fn accepted(&self, stored: Option<&Stored>) -> Option<bool> {
+    fn accepted(&self, stored: Option<&StoredHead>) -> Option<bool> {
         let Some(stored) = stored else {
             return Some(false);
         };
@@ -291,7 +291,7 @@
     }
 
     /// Judges by the head that is there now.
-    fn judge(&mut self, stored: Option<Stored>) -> Step {
+    fn judge(&mut self, stored: Option<StoredHead>) -> Step {
         let moved =
             stored.as_ref().map(|s| s.revision) != self.base.stored.as_ref().map(|s| s.revision);
         let accepted = self.accepted(stored.as_ref());
@@ -312,7 +312,7 @@
         }
     }
 
-    fn write_fence(&mut self, stored: &Stored) -> Step {
+    fn write_fence(&mut self, stored: &StoredHead) -> Step {
         let tries = match self.stage {
             Stage::ReadBack { tries } | Stage::Fence { tries } => tries,
             Stage::Bodies | Stage::Head | Stage::Done => 0,
--- a/crates/steer/src/process/control/rollout.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::message::{Content, Message};
-use super::store::{Asked, Call, CallId, Need, Reply, Request, Stored, Turn};
+use super::store::{BodyRead, Call, CallId, Demand, Reply, Request, StoredHead, Transition};
 use super::{
     Action, Control, MemberStatus, Notice, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN,
 };
@@ -175,9 +175,9 @@
         if !peer {
             let mut calls = Vec::new();
             match self.store.body(now, hash, &mut calls) {
-                Asked::Now => push_calls(calls, out),
-                Asked::Busy => return false,
-                Asked::Away => peer = self.guards.pull,
+                BodyRead::Started => push_calls(calls, out),
+                BodyRead::Busy => return false,
+                BodyRead::Unavailable => peer = self.guards.pull,
             }
         }
         let fetch = &mut self.fetches[at];
@@ -240,7 +240,7 @@
     pub(super) fn store_step(&mut self, now: Time, out: &mut Vec<Action>) {
         let turn = self.store.expire(now, &mut self.rng);
         turned(turn, out);
-        let need = Need {
+        let need = Demand {
             watcher: self.is_watcher(),
             alone: self.peers.is_empty() && self.fars.iter().all(|f| f.silent),
         };
@@ -258,7 +258,7 @@
             let order = hash::mix(&[name.as_bytes(), &turn.to_le_bytes()]);
             (!store, order)
         };
-        let mine = weight(&self.me.identity.name, !self.store.is_away());
+        let mine = weight(&self.me.identity.name, !self.store.is_unavailable());
         let before = self
             .peers
             .iter()
@@ -284,7 +284,7 @@
                 self.tracker.put(Body { hash, bytes });
             }
             Reply::Listed(hints) => self.hints.replace(hints),
-            Reply::Away | Reply::Malformed => self.counters.failed += 1,
+            Reply::Unavailable | Reply::Malformed => self.counters.failed += 1,
             Reply::Watched(None) | Reply::Body(..) => {}
         }
         if self.status != MemberStatus::Superseded {
@@ -293,7 +293,7 @@
         }
     }
 
-    fn head_read(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    fn head_read(&mut self, stored: Option<StoredHead>, out: &mut Vec<Action>) {
         let force = self.tracker.version();
         let version = stored.as_ref().map_or(Version(0), |s| s.head.version);
         let behind = version < force;
@@ -313,11 +313,11 @@
     }
 }
 
-fn turned(turn: Turn, out: &mut Vec<Action>) {
+fn turned(turn: Transition, out: &mut Vec<Action>) {
     match turn {
-        Turn::None => {}
-        Turn::Away => out.push(Action::Notice(Notice::StoreAway)),
-        Turn::Back => out.push(Action::Notice(Notice::StoreBack)),
+        Transition::None => {}
+        Transition::Lost => out.push(Action::Notice(Notice::StoreAway)),
+        Transition::Restored => out.push(Action::Notice(Notice::StoreBack)),
     }
 }
 
--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -33,7 +33,7 @@
 
 /// The head document as the store holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredHead {
     /// The document.
     pub head: Arc<Head>,
     /// The store's revision of it.
@@ -44,15 +44,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// To [`Call::Head`]; `None` if there is no head yet.
-    Head(Option<Stored>),
+    Head(Option<StoredHead>),
     /// To [`Call::Watch`]; `None` if the wait ran out.
-    Watched(Option<Stored>),
+    Watched(Option<StoredHead>),
     /// To [`Call::Body`]; `None` if there is no such body.
     Body(Hash, Option<Arc<[u8]>>),
     /// To [`Call::List`]: the entry instances in it.
     Listed(Vec<Hint>),
     /// No answer within the driver's bound, or an error.
-    Away,
+    Unavailable,
     /// An answer that can't be read.
     Malformed,
 }
@@ -103,40 +103,40 @@
 
 /// How the store does, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum Transition {
     /// No change.
     None,
     /// It stopped answering.
-    Away,
+    Lost,
     /// It answers again.
-    Back,
+    Restored,
 }
 
 /// Whether a body was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum BodyRead {
     /// It was.
-    Now,
+    Started,
     /// Not yet: enough bodies are being read.
     Busy,
     /// No: the store is away.
-    Away,
+    Unavailable,
 }
 
 /// An answer with the call it is for.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct Completed {
     /// The call.
     pub call: Call,
     /// When it was made.
     pub since: Time,
     /// Change of the store's state that the answer brought.
-    pub turn: Turn,
+    pub turn: Transition,
 }
 
 /// What the process wants of the store just now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct Demand {
     /// Whether this process watches for its domain.
     pub watcher: bool,
     /// Whether no peer is heard, so that the list is wanted often.
@@ -181,7 +181,7 @@
 
     /// Whether the store is believed to answer.
     #[must_use]
-    pub const fn is_away(&self) -> bool {
+    pub const fn is_unavailable(&self) -> bool {
         self.away
     }
 
@@ -192,7 +192,13 @@
     }
 
     /// Makes the calls that are due.
-    pub fn step(&mut self, now: Time, need: Need, rng: &mut fastrand::Rng, out: &mut Vec<Request>) {
+    pub fn step(
+        &mut self,
+        now: Time,
+        need: Demand,
+        rng: &mut fastrand::Rng,
+        out: &mut Vec<Request>,
+    ) {
         if !need.watcher {
             self.fresh = false;
         }
@@ -217,19 +223,19 @@
     }
 
     /// Reads a body, if that can be done now.
-    pub fn body(&mut self, now: Time, hash: Hash, out: &mut Vec<Request>) -> Asked {
+    pub fn body(&mut self, now: Time, hash: Hash, out: &mut Vec<Request>) -> BodyRead {
         if self.away {
-            return Asked::Away;
+            return BodyRead::Unavailable;
         }
         let bodies = self
             .waiting
             .iter()
             .filter(|w| matches!(w.call, Call::Body(_)));
         if bodies.count() >= BODY_READS_MAX || self.waits(|c| *c == Call::Body(hash)) {
-            return Asked::Busy;
+            return BodyRead::Busy;
         }
         self.call(now, Call::Body(hash), out);
-        Asked::Now
+        BodyRead::Started
     }
 
     /// Matches an answer to its call; `None` if the call was given up.
@@ -239,14 +245,14 @@
         id: CallId,
         reply: &Reply,
         rng: &mut fastrand::Rng,
-    ) -> Option<Answered> {
+    ) -> Option<Completed> {
         let at = self.waiting.binary_search_by_key(&id, |w| w.id).ok()?;
         let Waiting { call, since, .. } = self.waiting.remove(at);
         let turn = match reply {
-            Reply::Away | Reply::Malformed => self.failed(now, &call, rng),
+            Reply::Unavailable | Reply::Malformed => self.failed(now, &call, rng),
             Reply::Listed(_) => {
                 self.unlisted = 0;
-                Turn::None
+                Transition::None
             }
             Reply::Head(_) | Reply::Watched(_) | Reply::Body(..) => self.worked(now, rng),
         };
@@ -256,12 +262,12 @@
         if matches!(reply, Reply::Head(_)) {
             self.fresh = true;
         }
-        Some(Answered { call, since, turn })
+        Some(Completed { call, since, turn })
     }
 
     /// Gives up calls without an answer. A driver that keeps its bound never
     /// lets this happen; a process frozen with calls open does.
-    pub fn expire(&mut self, now: Time, rng: &mut fastrand::Rng) -> Turn {
+    pub fn expire(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
         let lost = |w: &Waiting| {
             let wait = match w.call {
                 Call::Watch { wait, .. } => wait,
@@ -269,11 +275,11 @@
             };
             now.since(w.since) > wait + CALL_TIMEOUT
         };
-        let mut turn = Turn::None;
+        let mut turn = Transition::None;
         while let Some(at) = self.waiting.iter().position(lost) {
             let call = self.waiting.remove(at).call;
-            if self.failed(now, &call, rng) == Turn::Away {
-                turn = Turn::Away;
+            if self.failed(now, &call, rng) == Transition::Lost {
+                turn = Transition::Lost;
             }
         }
         turn
@@ -298,7 +304,7 @@
     fn read_list(
         &mut self,
         now: Time,
-        need: Need,
+        need: Demand,
         rng: &mut fastrand::Rng,
         out: &mut Vec<Request>,
     ) {
@@ -306,9 +312,9 @@
             return;
         }
         let mean = match need {
-            Need { alone: true, .. } => LIST_INTERVAL / 6,
-            Need { watcher: true, .. } => LIST_INTERVAL,
-            Need { .. } => LIST_INTERVAL * 20,
+            Demand { alone: true, .. } => LIST_INTERVAL / 6,
+            Demand { watcher: true, .. } => LIST_INTERVAL,
+            Demand { .. } => LIST_INTERVAL * 20,
         };
         self.list = now + jitter(mean, rng);
         self.call(now, Call::List, out);
@@ -347,33 +353,33 @@
         self.waiting.iter().any(|w| fits(&w.call))
     }
 
-    fn failed(&mut self, now: Time, call: &Call, rng: &mut fastrand::Rng) -> Turn {
+    fn failed(&mut self, now: Time, call: &Call, rng: &mut fastrand::Rng) -> Transition {
         if *call == Call::List {
             self.list = now + backoff(self.unlisted, rng);
             self.unlisted = self.unlisted.saturating_add(1);
-            return Turn::None;
+            return Transition::None;
         }
         self.retry = now + backoff(self.fails, rng);
         self.fails = self.fails.saturating_add(1);
         self.fresh = false;
         if core::mem::replace(&mut self.away, true) {
-            Turn::None
+            Transition::None
         } else {
-            Turn::Away
+            Transition::Lost
         }
     }
 
     /// After an outage the next slow read is drawn anew, so that processes that
     /// noticed the return together don't read together again.
-    fn worked(&mut self, now: Time, rng: &mut fastrand::Rng) -> Turn {
+    fn worked(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
         self.fails = 0;
         if !core::mem::replace(&mut self.away, false) {
-            return Turn::None;
+            return Transition::None;
         }
         if self.slow {
             self.reread = now + jitter(REREAD_INTERVAL, rng);
         }
-        Turn::Back
+        Transition::Restored
     }
 }
 
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -105,7 +105,7 @@
     /// hash of each body.
     Received(Message),
     /// The store answered a call, or didn't in time. Due once for each call.
-    Stored {
+    StoreReply {
         /// The call.
         id: CallId,
         /// Its answer.
@@ -140,7 +140,7 @@
         /// The message.
         message: Message,
     },
-    /// Call the store; [`Event::Stored`] is due once, within
+    /// Call the store; [`Event::StoreReply`] is due once, within
     /// [`CALL_TIMEOUT`](super::store::CALL_TIMEOUT) beyond the call's own wait.
     Store {
         /// Names the call.
--- a/crates/steer/tests/control_apply.rs
+++ b/crates/steer/tests/control_apply.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use steer::process::config::{Body, Change, File, Hash, Head, RECENT};
 use steer::process::control::apply::{Apply, Base, Expect, Outcome, Step, Verdict};
-use steer::process::control::store::Stored;
+use steer::process::control::store::StoredHead;
 use steer::version::view::Version;
 
 fn head(version: u64, id: &str) -> Head {
@@ -24,9 +24,9 @@
     }
 }
 
-fn stored(version: u64, id: &str, revision: u64) -> Stored {
+fn stored(version: u64, id: &str, revision: u64) -> StoredHead {
     let head = Arc::new(head(version, id));
-    Stored { head, revision }
+    StoredHead { head, revision }
 }
 
 /// A change `mine` of version 3 at revision 7, without bodies, to version 4.
@@ -124,7 +124,7 @@
 #[case::landed_and_followed(stored(9, "theirs", 13), Verdict::Conflict(Version(9)))]
 #[case::overtaken(stored(4, "theirs", 8), Verdict::Conflict(Version(4)))]
 #[case::fenced_by_another(stored(3, "old", 8), Verdict::NotAccepted)]
-fn lost_answer(#[case] found: Stored, #[case] verdict: Verdict) {
+fn lost_answer(#[case] found: StoredHead, #[case] verdict: Verdict) {
     let mut apply = change();
     apply.start();
     assert_eq!(apply.next(Outcome::Lost), Step::ReadHead);
--- a/crates/steer/tests/control_random.rs
+++ b/crates/steer/tests/control_random.rs
@@ -64,7 +64,7 @@
 
     /// A change is accepted, if the store answers.
     fn change(&mut self) {
-        if self.fleet.store.away {
+        if self.fleet.store.is_down {
             return;
         }
         self.accepted += 1;
@@ -101,8 +101,8 @@
             6 => self.cut(),
             7 => self.fleet.cuts.clear(),
             8 => {
-                let away = !self.fleet.store.away;
-                self.fleet.store_away(away);
+                let is_down = !self.fleet.store.is_down;
+                self.fleet.set_store_down(is_down);
             }
             _ => self.change(),
         }
@@ -131,7 +131,7 @@
     fn heal(&mut self) {
         self.fleet.cuts.clear();
         self.thaw_all();
-        self.fleet.store_away(false);
+        self.fleet.set_store_down(false);
         self.pass(60_000);
         for slot in 0..NODES {
             let node = &self.fleet.nodes[self.fleet.slots[slot]];
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -347,7 +347,7 @@
             }
             Due::Deliver { to, bytes } => self.deliver(to, &bytes),
             Due::Ask { from, id, call } => self.asked(from, id, &call),
-            Due::Answer { to, id, reply } => self.feed(to, Event::Stored { id, reply }),
+            Due::Answer { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
             Due::Expire { from, id } => self.expire(from, id),
             Due::Write { head, expect } => {
                 // A write that comes too late meets another revision.
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -6,7 +6,7 @@
 use datadriven::TestCase;
 use steer::process::config::{File, Head};
 use steer::process::control::apply::{self, Apply, Base, Expect, Outcome, Step};
-use steer::process::control::store::Stored;
+use steer::process::control::store::StoredHead;
 use steer::process::control::{Event, MemberStatus, Safeguards};
 use steer::version::view::Version;
 
@@ -174,7 +174,7 @@
         let mut step = plan.apply.start();
         loop {
             let fleet = self.fleet();
-            let reached = !fleet.store.away && fleet.joined(place, Place::Store);
+            let reached = !fleet.store.is_down && fleet.joined(place, Place::Store);
             let outcome = match step {
                 Step::Done(verdict) => return format!("{verdict}\n"),
                 _ if !reached => {
@@ -217,8 +217,8 @@
         let past = fleet.store.past.iter().find(|s| s.head.version == version);
         let past = past.cloned();
         match text(case, "do").as_str() {
-            "away" => fleet.store_away(true),
-            "up" => fleet.store_away(false),
+            "away" => fleet.set_store_down(true),
+            "up" => fleet.set_store_down(false),
             "reset" => fleet.store.stored = past,
             "stale" => fleet.stale_event(&past.expect("a past version")),
             "restore" => {
@@ -400,13 +400,13 @@
             return Outcome::Lost;
         }
         Fault::Vanish => {
-            let _lost: Result<(), Option<Stored>> = fleet.write(head, expect);
-            fleet.store_away(true);
+            let _lost: Result<(), Option<StoredHead>> = fleet.write(head, expect);
+            fleet.set_store_down(true);
             return Outcome::Lost;
         }
         Fault::None | Fault::After => {}
     }
-    let written: Result<(), Option<Stored>> = fleet.write(head, expect);
+    let written: Result<(), Option<StoredHead>> = fleet.write(head, expect);
     match written {
         _ if fault == Fault::After => Outcome::Lost,
         Ok(()) => Outcome::Written,
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -5,7 +5,7 @@
 
 use steer::clock::Time;
 use steer::process::config::{Body, Hash, Head};
-use steer::process::control::store::{Call, CallId, Reply, Stored};
+use steer::process::control::store::{Call, CallId, Reply, StoredHead};
 use steer::process::member::Hint;
 
 use super::{CALL_TIMEOUT, Due, Fleet, Place};
@@ -31,13 +31,13 @@
 #[derive(Default)]
 pub struct Store {
     /// The head document.
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredHead>,
     /// Heads that were there, newest last.
-    pub past: Vec<Stored>,
+    pub past: Vec<StoredHead>,
     pub(super) bodies: Vec<Body>,
     pub(super) watches: Vec<Watch>,
     /// Whether it answers nobody; the platform's list goes on.
-    pub away: bool,
+    pub is_down: bool,
     /// Calls that reached it, by second of virtual time.
     pub calls: Vec<u32>,
     pub(super) list: Vec<Listed>,
@@ -46,12 +46,16 @@
 impl Fleet {
     /// Writes a head if the store is at the revision expected; 0 is none, and
     /// `None` anything. Answers the head that is there if it isn't.
-    pub fn write(&mut self, head: &Arc<Head>, expect: Option<u64>) -> Result<(), Option<Stored>> {
+    pub fn write(
+        &mut self,
+        head: &Arc<Head>,
+        expect: Option<u64>,
+    ) -> Result<(), Option<StoredHead>> {
         let revision = self.store.stored.as_ref().map_or(0, |s| s.revision);
         if expect.is_some_and(|expect| expect != revision) {
             return Err(self.store.stored.clone());
         }
-        let stored = Stored {
+        let stored = StoredHead {
             head: Arc::clone(head),
             revision: revision + 1,
         };
@@ -84,16 +88,16 @@
     }
 
     /// The store stops or starts to answer; its waiting watches are lost.
-    pub fn store_away(&mut self, away: bool) {
-        self.store.away = away;
+    pub fn set_store_down(&mut self, is_down: bool) {
+        self.store.is_down = is_down;
         let watches = core::mem::take(&mut self.store.watches);
         for watch in watches {
-            self.answer(watch.from, watch.id, Reply::Away);
+            self.answer(watch.from, watch.id, Reply::Unavailable);
         }
     }
 
     /// Sends every waiting watch an event of this head, whatever it is.
-    pub fn stale_event(&mut self, stored: &Stored) {
+    pub fn stale_event(&mut self, stored: &StoredHead) {
         let watches = core::mem::take(&mut self.store.watches);
         for watch in watches {
             let reply = Reply::Watched(Some(stored.clone()));
@@ -121,7 +125,7 @@
             let near = self.latency(self.nodes[to].domain, STORE_DOMAIN);
             (near + STORE_WORK, reply)
         } else {
-            (CALL_TIMEOUT, Reply::Away)
+            (CALL_TIMEOUT, Reply::Unavailable)
         };
         self.push(after, Due::Answer { to, id, reply });
     }
@@ -132,7 +136,7 @@
             let after = self.latency(self.nodes[from].domain, STORE_DOMAIN);
             self.push(after, Due::Ask { from, id, call });
         } else {
-            self.answer(from, id, Reply::Away);
+            self.answer(from, id, Reply::Unavailable);
         }
     }
 
@@ -142,8 +146,8 @@
             self.store.calls.resize(second + 1, 0);
         }
         self.store.calls[second] += 1;
-        if self.store.away && *call != Call::List {
-            let reply = Reply::Away;
+        if self.store.is_down && *call != Call::List {
+            let reply = Reply::Unavailable;
             return self.push(
                 CALL_TIMEOUT,
                 Due::Answer {
--- a/crates/steer/tests/control_store.rs
+++ b/crates/steer/tests/control_store.rs
@@ -3,10 +3,10 @@
 use core::time::Duration;
 
 use steer::clock::Time;
-use steer::process::control::store::{Answered, Call, Need, Policy, Reply, Request, Turn};
+use steer::process::control::store::{Call, Completed, Demand, Policy, Reply, Request, Transition};
 
 const STEP: Duration = Duration::from_millis(100);
-const WATCHING: Need = Need {
+const WATCHING: Demand = Demand {
     watcher: true,
     alone: false,
 };
@@ -17,7 +17,7 @@
     rng: fastrand::Rng,
     now: Time,
     open: Vec<Request>,
-    turns: Vec<Turn>,
+    turns: Vec<Transition>,
 }
 
 impl Process {
@@ -38,15 +38,15 @@
         self.now = self.now + STEP;
         for Request { id, call } in core::mem::take(&mut self.open) {
             let reply = match call {
-                _ if away => Reply::Away,
+                _ if away => Reply::Unavailable,
                 Call::Head => Reply::Head(None),
                 Call::Watch { .. } => Reply::Watched(None),
                 Call::Body(hash) => Reply::Body(hash, None),
                 Call::List => Reply::Listed(Vec::new()),
             };
             let answered = self.policy.answered(self.now, id, &reply, &mut self.rng);
-            let Answered { turn, .. } = answered.expect("an open call");
-            if turn != Turn::None {
+            let Completed { turn, .. } = answered.expect("an open call");
+            if turn != Transition::None {
                 self.turns.push(turn);
             }
         }
@@ -72,7 +72,7 @@
     for _ in 0..500 {
         process.step(false);
     }
-    assert_eq!(process.turns, [Turn::Away, Turn::Back]);
+    assert_eq!(process.turns, [Transition::Lost, Transition::Restored]);
 }
 
 /// 300 processes meet the store's return after ten minutes. They notice it one by
@@ -91,7 +91,7 @@
         for _ in 0..10 {
             for (at, process) in fleet.iter_mut().enumerate() {
                 process.step(false);
-                if !process.policy.is_away() && first[at].is_none() {
+                if !process.policy.is_unavailable() && first[at].is_none() {
                     first[at] = Some(second);
                 }
             }
@@ -118,6 +118,6 @@
     }
     let heads = calls.iter().filter(|r| r.call == Call::Head);
     assert!((10..80).contains(&heads.count()), "{} calls", calls.len());
-    let late = policy.answered(now, calls[0].id, &Reply::Away, &mut rng);
+    let late = policy.answered(now, calls[0].id, &Reply::Unavailable, &mut rng);
     assert!(late.is_none(), "the first call was given up");
 }
