--- a/crates/steer/src/process/outbox.rs
+++ b/crates/steer/src/process/outbox.rs
@@ -21,53 +21,53 @@
 use crate::request::outcome::Refusal;
 
 /// Bytes that a message between regions has besides its answer.
-const OVERHEAD: u64 = 512;
+const MESSAGE_OVERHEAD_BYTES: u64 = 512;
 
 /// Size of an answer that is assumed before one was seen, in bytes.
-const TYPICAL: u64 = 8 << 10;
+const INITIAL_ANSWER_BYTES: u64 = 8 << 10;
 
 /// Part of what a link takes in a second that may be promised to answers to
 /// come: one in this many. They then leave within that part of a second.
-const PROMISED: u64 = 4;
+const COMMITTED_DIVISOR: u64 = 4;
 
 /// What a requester is told in the end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Last {
+pub enum FinalResponse {
     /// A whole answer.
     Reply(Arc<Answer>),
     /// A refusal.
     Refuse(Refusal),
 }
 
-impl Last {
+impl FinalResponse {
     fn bytes(&self) -> u64 {
         match self {
-            Self::Reply(answer) => answer.bytes() + OVERHEAD,
-            Self::Refuse(_) => OVERHEAD,
+            Self::Reply(answer) => answer.bytes() + MESSAGE_OVERHEAD_BYTES,
+            Self::Refuse(_) => MESSAGE_OVERHEAD_BYTES,
         }
     }
 }
 
 /// A request that came over a link, until its answer has left.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenRequest {
     id: RequestId,
     link: Route,
 }
 
 /// An answer that waits for room.
 #[derive(Clone, Debug)]
-struct Held {
+struct QueuedResponse {
     id: RequestId,
     link: Route,
-    last: Last,
+    response: FinalResponse,
     /// Bytes taken of the link in advance.
-    paid: u64,
+    reserved: u64,
 }
 
-impl Held {
-    fn due(&self) -> u64 {
-        self.last.bytes().saturating_sub(self.paid)
+impl QueuedResponse {
+    fn remaining(&self) -> u64 {
+        self.response.bytes().saturating_sub(self.reserved)
     }
 }
 
@@ -75,21 +75,21 @@
 #[derive(Clone, Debug)]
 pub struct Outbox {
     /// Sorted by request.
-    open: Vec<Open>,
-    held: VecDeque<Held>,
+    open: Vec<OpenRequest>,
+    queued: VecDeque<QueuedResponse>,
     /// Typical size of an answer.
-    typical: u64,
+    mean_bytes: u64,
     /// A link that was full, and what its next answer needs.
-    lacking: Option<(Route, u64)>,
+    blocked: Option<(Route, u64)>,
 }
 
 impl Default for Outbox {
     fn default() -> Self {
         Self {
             open: Vec::new(),
-            held: VecDeque::new(),
-            typical: TYPICAL,
-            lacking: None,
+            queued: VecDeque::new(),
+            mean_bytes: INITIAL_ANSWER_BYTES,
+            blocked: None,
         }
     }
 }
@@ -100,35 +100,35 @@
     pub fn admit(&mut self, now: Time, id: RequestId, link: Route, shares: &mut Shares) -> bool {
         let limit = shares.limit(now, &link);
         let open = self.open.iter().filter(|o| o.link == link).count() as u64;
-        let held = self.held.iter().filter(|h| h.link == link);
-        let waiting: u64 = held.map(|h| h.last.bytes()).sum();
+        let queued = self.queued.iter().filter(|h| h.link == link);
+        let waiting: u64 = queued.map(|h| h.response.bytes()).sum();
         // One at a time is let in however large answers are: with none, no
         // smaller one would ever be seen.
         let idle = open == 0 && waiting == 0 && limit > 0;
-        if !idle && (open + 1) * self.typical + waiting > limit / PROMISED {
+        if !idle && (open + 1) * self.mean_bytes + waiting > limit / COMMITTED_DIVISOR {
             return false;
         }
         let at = self.open.partition_point(|o| o.id < id);
-        self.open.insert(at, Open { id, link });
+        self.open.insert(at, OpenRequest { id, link });
         true
     }
 
     /// Whether a request came over a link.
     #[must_use]
-    pub fn holds(&self, id: RequestId) -> bool {
+    pub fn contains(&self, id: RequestId) -> bool {
         self.open.binary_search_by_key(&id, |o| o.id).is_ok()
     }
 
     /// Answers of finished requests that wait for room.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 
     /// A link over which an answer waits, and the bytes that it needs.
     #[must_use]
-    pub const fn lacking(&self) -> Option<&(Route, u64)> {
-        self.lacking.as_ref()
+    pub const fn blocked(&self) -> Option<&(Route, u64)> {
+        self.blocked.as_ref()
     }
 
     /// The requester has left.
@@ -136,49 +136,49 @@
         if let Ok(at) = self.open.binary_search_by_key(&id, |o| o.id) {
             self.open.remove(at);
         }
-        self.held.retain(|h| h.id != id);
+        self.queued.retain(|h| h.id != id);
     }
 
     /// Takes the final answer of a request that came over a link.
-    pub fn put(&mut self, id: RequestId, last: Last) {
+    pub fn put(&mut self, id: RequestId, response: FinalResponse) {
         let Ok(at) = self.open.binary_search_by_key(&id, |o| o.id) else {
             return;
         };
         let link = self.open.remove(at).link;
-        if let Last::Reply(answer) = &last {
-            let bytes = answer.bytes() + OVERHEAD;
-            self.typical = (self.typical * 7 + bytes).div_ceil(8);
+        if let FinalResponse::Reply(answer) = &response {
+            let bytes = answer.bytes() + MESSAGE_OVERHEAD_BYTES;
+            self.mean_bytes = (self.mean_bytes * 7 + bytes).div_ceil(8);
         }
-        let paid = 0;
-        self.held.push_back(Held {
+        let reserved = 0;
+        self.queued.push_back(QueuedResponse {
             id,
             link,
-            last,
-            paid,
+            response,
+            reserved,
         });
     }
 
     /// The answers that have room now, in order. One link that is full doesn't
     /// hold up the answers over another.
-    pub fn release(&mut self, now: Time, shares: &mut Shares) -> Vec<(RequestId, Last)> {
-        self.lacking = None;
+    pub fn release(&mut self, now: Time, shares: &mut Shares) -> Vec<(RequestId, FinalResponse)> {
+        self.blocked = None;
         let mut free = Vec::new();
         let mut full: Vec<Route> = Vec::new();
-        let mut kept = VecDeque::with_capacity(self.held.len());
-        for mut held in core::mem::take(&mut self.held) {
-            let blocked = full.contains(&held.link);
-            if !blocked && fits(now, &mut held, shares) {
-                free.push((held.id, held.last));
+        let mut kept = VecDeque::with_capacity(self.queued.len());
+        for mut queued in core::mem::take(&mut self.queued) {
+            let blocked = full.contains(&queued.link);
+            if !blocked && fits(now, &mut queued, shares) {
+                free.push((queued.id, queued.response));
                 continue;
             }
             if !blocked {
-                full.push(held.link.clone());
-                self.lacking
-                    .get_or_insert_with(|| (held.link.clone(), held.due()));
+                full.push(queued.link.clone());
+                self.blocked
+                    .get_or_insert_with(|| (queued.link.clone(), queued.remaining()));
             }
-            kept.push_back(held);
+            kept.push_back(queued);
         }
-        self.held = kept;
+        self.queued = kept;
         free
     }
 }
@@ -187,11 +187,11 @@
 /// paid for as room comes free, and nothing else leaves over the link
 /// meanwhile: sent for the price of one second, it would crowd out other
 /// instances' answers.
-fn fits(now: Time, held: &mut Held, shares: &mut Shares) -> bool {
-    let due = held.due();
-    if held.paid == 0 && due <= shares.limit(now, &held.link) {
-        return shares.take(now, &[(&held.link, due)]).is_ok();
+fn fits(now: Time, queued: &mut QueuedResponse, shares: &mut Shares) -> bool {
+    let remaining = queued.remaining();
+    if queued.reserved == 0 && remaining <= shares.limit(now, &queued.link) {
+        return shares.take(now, &[(&queued.link, remaining)]).is_ok();
     }
-    held.paid += shares.take_some(now, &held.link, due);
-    held.due() == 0
+    queued.reserved += shares.take_some(now, &queued.link, remaining);
+    queued.remaining() == 0
 }
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -252,22 +252,22 @@
     fn apply_link_limits(&mut self, now: clock::Time, start: usize, out: &mut Vec<Action>) {
         for action in out.split_off(start) {
             match action {
-                Action::Reply { id, answer } if self.outbox.holds(id) => {
-                    self.outbox.put(id, outbox::Last::Reply(answer));
+                Action::Reply { id, answer } if self.outbox.contains(id) => {
+                    self.outbox.put(id, outbox::FinalResponse::Reply(answer));
                 }
-                Action::Refuse { id, refusal } if self.outbox.holds(id) => {
-                    self.outbox.put(id, outbox::Last::Refuse(refusal));
+                Action::Refuse { id, refusal } if self.outbox.contains(id) => {
+                    self.outbox.put(id, outbox::FinalResponse::Refuse(refusal));
                 }
                 other => out.push(other),
             }
         }
         let released = self.outbox.release(now, self.dispatch.shares());
-        if let Some((link, bytes)) = self.outbox.lacking() {
+        if let Some((link, bytes)) = self.outbox.blocked() {
             self.dispatch.request_link_loan(now, link, *bytes);
         }
         out.extend(released.into_iter().map(|(id, last)| match last {
-            outbox::Last::Reply(answer) => Action::Reply { id, answer },
-            outbox::Last::Refuse(refusal) => Action::Refuse { id, refusal },
+            outbox::FinalResponse::Reply(answer) => Action::Reply { id, answer },
+            outbox::FinalResponse::Refuse(refusal) => Action::Refuse { id, refusal },
         }));
     }
 
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use steer::clock::Time;
-use steer::process::outbox::{Last, Outbox};
+use steer::process::outbox::{FinalResponse, Outbox};
 use steer::process::share::window::{SPAN, Window};
 use steer::process::share::{Guards, Route, SETTLE, Shares, loan};
 use steer::request::answer::Answer;
@@ -308,8 +308,8 @@
     assert_eq!(whole, Some(seconds));
 }
 
-fn reply(bytes: usize) -> Last {
-    Last::Reply(Arc::new(Answer {
+fn reply(bytes: usize) -> FinalResponse {
+    FinalResponse::Reply(Arc::new(Answer {
         status: 200,
         headers: Vec::new(),
         body: vec![0; bytes].into(),
@@ -324,7 +324,7 @@
     (plan, shares, Outbox::default())
 }
 
-fn ids(free: &[(RequestId, Last)]) -> Vec<u64> {
+fn ids(free: &[(RequestId, FinalResponse)]) -> Vec<u64> {
     free.iter().map(|f| f.0.0).collect()
 }
 
