--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -41,7 +41,7 @@
 
 impl Direct {
     /// Decides on all waiting requests and returns those to send or reject. Must
-    /// be called after each event, and at least every [`STEP_INTERVAL_MAX`] while
+    /// be called after each event, and at least every [`STEP_INTERVAL_MAX`](super::STEP_INTERVAL_MAX) while
     /// requests wait.
     pub fn step(&mut self, now: Time) -> Vec<Decision> {
         let mut queue: Vec<((u32, u32), bool, Time, Ticket)> = Vec::new();
@@ -150,7 +150,7 @@
         after: Option<Duration>,
     ) -> Decision {
         let job = self.jobs.remove(at);
-        self.give_back(now, &job);
+        self.refund_token(now, &job);
         Decision::Reject {
             ticket: job.ticket,
             why: job.rejection(reason),
