--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -355,7 +355,7 @@
     }
     assert_eq!(ids(&outbox.release(START, &mut shares)), [2]);
     assert_eq!(
-        outbox.lacking().map(|l| l.0.clone()),
+        outbox.blocked().map(|l| l.0.clone()),
         Some(plan.link_route(0, 2))
     );
 }
