--- a/crates/steer/src/process/outbox.rs
+++ b/crates/steer/src/process/outbox.rs
@@ -1,15 +1,15 @@
-//! Answers that go back over a link between regions.
+//! Queue of the answers that this process returns over a link between regions.
 //!
-//! A request is refused before it runs if answers under way would fill the
-//! link; an answer that has no room in this second waits for the next. Without
-//! it a region that fails over would have its answers, which are much larger
-//! than its requests, pass the link's limit however few requests the cap lets
-//! through.
+//! Both ends of the exchange are bounded. [`Outbox::admit`] turns a request
+//! away before it runs if the answers under way would fill the link, and an
+//! answer without room waits. Capping requests alone isn't enough: answers are
+//! much larger than requests, so a region that fails over would exceed the
+//! link's limit however few requests the cap lets through.
 //!
-//! Invariant: an answer leaves when this process's part of the link has room
-//! for it, in the order the answers came, or not at all. One larger than the
-//! part of a whole second is paid for in advance, second by second, so that
-//! what is taken in any second stays within the limit.
+//! Invariant: answers over one link leave in the order in which they came, each
+//! once this process's part of the link has room for it. An answer larger than
+//! the limit for a whole second reserves its bytes in advance, second by
+//! second, so that no second exceeds the limit.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::request::arrival::RequestId;
 use crate::request::outcome::Refusal;
 
-/// Bytes that a message between regions has besides its answer.
+/// Bytes of a message between regions besides the answer that it carries.
 const MESSAGE_OVERHEAD_BYTES: u64 = 512;
 
-/// Size of an answer that is assumed before one was seen, in bytes.
+/// Estimated size of an answer before the first one was seen, in bytes.
 const INITIAL_ANSWER_BYTES: u64 = 8 << 10;
 
-/// Part of what a link takes in a second that may be promised to answers to
-/// come: one in this many. They then leave within that part of a second.
+/// Divisor of a link's limit for one second: answers to admitted requests may
+/// claim one part in this many. They then leave within that part of a second.
 const COMMITTED_DIVISOR: u64 = 4;
 
-/// What a requester is told in the end.
+/// The final response to a request that came over a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// A whole answer.
+    /// A complete answer.
     Reply(Arc<Answer>),
-    /// A refusal.
+    /// A refusal with its reason.
     Refuse(Refusal),
 }
 
@@ -48,20 +48,20 @@
     }
 }
 
-/// A request that came over a link, until its answer has left.
+/// An admitted request whose final response isn't queued yet.
 #[derive(Clone, Debug)]
 struct OpenRequest {
     id: RequestId,
     link: Route,
 }
 
-/// An answer that waits for room.
+/// A final response that waits for room on its link.
 #[derive(Clone, Debug)]
 struct QueuedResponse {
     id: RequestId,
     link: Route,
     response: FinalResponse,
-    /// Bytes taken of the link in advance.
+    /// Bytes already taken from the link in advance.
     reserved: u64,
 }
 
@@ -71,15 +71,16 @@
     }
 }
 
-/// Requests that came over links, and answers that wait.
+/// Admitted requests and the responses that wait for their links.
 #[derive(Clone, Debug)]
 pub struct Outbox {
-    /// Sorted by request.
+    /// Requests without a final response, sorted by id.
     open: Vec<OpenRequest>,
     queued: VecDeque<QueuedResponse>,
-    /// Typical size of an answer.
+    /// Moving average of the size of answers, in bytes.
     mean_bytes: u64,
-    /// A link that was full, and what its next answer needs.
+    /// The first link found full by the last release, and the bytes its next
+    /// response lacks.
     blocked: Option<(Route, u64)>,
 }
 
@@ -95,17 +96,17 @@
 }
 
 impl Outbox {
-    /// Takes note of a request that came over a link, whose answer goes back
-    /// over `link`; false if its answer may find no room.
+    /// Admits a request whose answer will go back over `link`. Returns false if
+    /// the link may have no room for that answer.
     pub fn admit(&mut self, now: Time, id: RequestId, link: Route, shares: &mut Shares) -> bool {
         let limit = shares.limit(now, &link);
         let open = self.open.iter().filter(|o| o.link == link).count() as u64;
-        let queued = self.queued.iter().filter(|h| h.link == link);
-        let waiting: u64 = queued.map(|h| h.response.bytes()).sum();
-        // One at a time is let in however large answers are: with none, no
-        // smaller one would ever be seen.
-        let idle = open == 0 && waiting == 0 && limit > 0;
-        if !idle && (open + 1) * self.mean_bytes + waiting > limit / COMMITTED_DIVISOR {
+        let queued = self.queued.iter().filter(|q| q.link == link);
+        let waiting: u64 = queued.map(|q| q.response.bytes()).sum();
+        // An idle link admits one request whatever the expected size; otherwise
+        // no smaller answer would ever be seen and the average could not fall.
+        let is_idle = open == 0 && waiting == 0 && limit > 0;
+        if !is_idle && (open + 1) * self.mean_bytes + waiting > limit / COMMITTED_DIVISOR {
             return false;
         }
         let at = self.open.partition_point(|o| o.id < id);
@@ -113,33 +114,34 @@
         true
     }
 
-    /// Whether a request came over a link.
+    /// Whether an admitted request still lacks its final response.
     #[must_use]
     pub fn contains(&self, id: RequestId) -> bool {
         self.open.binary_search_by_key(&id, |o| o.id).is_ok()
     }
 
-    /// Answers of finished requests that wait for room.
+    /// Number of queued responses.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queued.len()
     }
 
-    /// A link over which an answer waits, and the bytes that it needs.
+    /// A link whose next response is blocked, and the number of bytes it lacks.
     #[must_use]
     pub const fn blocked(&self) -> Option<&(Route, u64)> {
         self.blocked.as_ref()
     }
 
-    /// The requester has left.
+    /// Drops a request whose requester has left, and its queued response.
     pub fn forget(&mut self, id: RequestId) {
         if let Ok(at) = self.open.binary_search_by_key(&id, |o| o.id) {
             self.open.remove(at);
         }
-        self.queued.retain(|h| h.id != id);
+        self.queued.retain(|q| q.id != id);
     }
 
-    /// Takes the final answer of a request that came over a link.
+    /// Queues the final response of an admitted request; ignores other
+    /// requests.
     pub fn put(&mut self, id: RequestId, response: FinalResponse) {
         let Ok(at) = self.open.binary_search_by_key(&id, |o| o.id) else {
             return;
@@ -158,36 +160,37 @@
         });
     }
 
-    /// The answers that have room now, in order. One link that is full doesn't
-    /// hold up the answers over another.
+    /// Removes and returns the responses that have room now, in order. A full
+    /// link doesn't delay responses over other links.
     pub fn release(&mut self, now: Time, shares: &mut Shares) -> Vec<(RequestId, FinalResponse)> {
         self.blocked = None;
-        let mut free = Vec::new();
-        let mut full: Vec<Route> = Vec::new();
+        let mut released = Vec::new();
+        let mut blocked_links: Vec<Route> = Vec::new();
         let mut kept = VecDeque::with_capacity(self.queued.len());
         for mut queued in core::mem::take(&mut self.queued) {
-            let blocked = full.contains(&queued.link);
-            if !blocked && fits(now, &mut queued, shares) {
-                free.push((queued.id, queued.response));
+            let is_blocked = blocked_links.contains(&queued.link);
+            if !is_blocked && take_room(now, &mut queued, shares) {
+                released.push((queued.id, queued.response));
                 continue;
             }
-            if !blocked {
-                full.push(queued.link.clone());
+            if !is_blocked {
+                blocked_links.push(queued.link.clone());
                 self.blocked
                     .get_or_insert_with(|| (queued.link.clone(), queued.remaining()));
             }
             kept.push_back(queued);
         }
         self.queued = kept;
-        free
+        released
     }
 }
 
-/// Whether an answer may leave. One larger than the part of a whole second is
-/// paid for as room comes free, and nothing else leaves over the link
-/// meanwhile: sent for the price of one second, it would crowd out other
-/// instances' answers.
-fn fits(now: Time, queued: &mut QueuedResponse, shares: &mut Shares) -> bool {
+/// Takes room on the link for a response and returns whether all of it was got.
+/// A response larger than the limit for a whole second reserves bytes as room
+/// comes free, and nothing else leaves over that link meanwhile. If it were
+/// sent for one second's worth of room, it would displace the answers of other
+/// instances.
+fn take_room(now: Time, queued: &mut QueuedResponse, shares: &mut Shares) -> bool {
     let remaining = queued.remaining();
     if queued.reserved == 0 && remaining <= shares.limit(now, &queued.link) {
         return shares.take(now, &[(&queued.link, remaining)]).is_ok();
--- a/crates/steer/src/process/safeguard.rs
+++ b/crates/steer/src/process/safeguard.rs
@@ -1,55 +1,59 @@
-//! Switches that take single safeguards out.
+//! Switches that disable single safeguards in tests and measurements.
 //!
-//! Invariant: by default every safeguard is on; switches exist so that each
-//! scenario can be shown to fail without its safeguard.
+//! Invariant: every safeguard is enabled by default. The switches exist to show
+//! that a scenario fails without the safeguard it is about.
 
 use core::fmt;
 use core::str::FromStr;
 
-/// A safeguard that can be switched off.
+/// A safeguard that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// The own in-flight count outranks reports and bounds each target.
+    /// Bounds the load of each target by this instance's own in-flight count,
+    /// which outranks what the target reports.
     OwnCount,
-    /// Instances that share targets prefer different ones.
+    /// Gives instances that share targets different preferred subsets of them.
     Subset,
-    /// Reports are bounded in size and age, and lose trust.
+    /// Bounds the size and age of targets' reports, and lowers the trust in
+    /// reports that prove wrong.
     ReportBound,
-    /// Failing places are ejected.
+    /// Ejects targets and remote instances that fail.
     Ejection,
-    /// Soft evidence never ejects all targets of a service.
+    /// Keeps failed attempts from ejecting a target if fewer than half of its
+    /// service would stay usable.
     LastTarget,
-    /// A target so slow that waiting for another is faster gets nothing.
+    /// Skips a target that is so slow that waiting for another one is faster.
     SlowTarget,
-    /// Cold targets ramp.
+    /// Raises the load of a cold target step by step.
     Ramp,
-    /// Reports and refusals say that a target is leaving.
+    /// Treats a target as leaving once its reports or refusals say so.
     Leaving,
-    /// What can't be answered in time is refused at once.
+    /// Rejects requests at once that can't be answered before their deadline.
     Admission,
-    /// A queue that never empties is kept short.
+    /// Keeps a queue short that doesn't empty.
     ShortQueue,
-    /// A class fills no more than its share of the queue.
+    /// Bounds the part of the queue that one priority class may fill.
     ClassShare,
-    /// The lowest class keeps a small share of what is picked.
+    /// Guarantees the lowest priority class a small share of the dequeued
+    /// requests.
     Guarantee,
-    /// A caller's share of the instance is bounded.
+    /// Bounds the part of the instance that one caller may use.
     CallerLimit,
-    /// A service's share of the instance is bounded.
+    /// Bounds the part of the instance that one service may use.
     ServiceLimit,
-    /// Work from peers is taken only while there is room.
+    /// Accepts work from peers only while there is room.
     PeerGate,
-    /// Repeats are bounded.
+    /// Bounds retries by a retry budget.
     Budget,
-    /// A repeat goes to another place.
+    /// Sends a retry to another target or instance than the attempts before.
     OtherPlace,
-    /// An attempt gives up early enough for another.
+    /// Bounds the time of an attempt so that another one is still possible.
     AttemptBound,
-    /// Requests that crash targets are recognised.
+    /// Recognises requests that crash their targets.
     Poison,
-    /// Suspects run alone.
+    /// Runs a request suspected of crashing targets on an otherwise empty target.
     Quarantine,
-    /// Traffic between regions is capped.
+    /// Caps the traffic between regions.
     Caps,
 }
 
@@ -81,12 +85,12 @@
 
 impl fmt::Display for Safeguard {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = Self::NAMES.iter().find(|n| n.0 == *self);
-        f.write_str(named.map_or("", |n| n.1))
+        let entry = Self::NAMES.iter().find(|n| n.0 == *self);
+        f.write_str(entry.map_or("", |n| n.1))
     }
 }
 
-/// The name is not a safeguard's.
+/// Error for a name that is none of the safeguards' names.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no safeguard is called {0:?}; use one of the names in process/safeguard.rs")]
 pub struct UnknownSafeguard(String);
@@ -95,35 +99,35 @@
     type Err = UnknownSafeguard;
 
     fn from_str(name: &str) -> Result<Self, UnknownSafeguard> {
-        let named = Self::NAMES.iter().find(|n| n.1 == name);
-        named
+        let entry = Self::NAMES.iter().find(|n| n.1 == name);
+        entry
             .map(|n| n.0)
             .ok_or_else(|| UnknownSafeguard(name.to_owned()))
     }
 }
 
-/// The safeguards that are on.
+/// The set of enabled safeguards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    off: u32,
+    disabled: u32,
 }
 
 impl Safeguards {
-    /// All of them.
-    pub const ALL: Self = Self { off: 0 };
+    /// Every safeguard.
+    pub const ALL: Self = Self { disabled: 0 };
 
-    /// These without one.
+    /// Disables one more safeguard.
     #[must_use]
     pub const fn without(self, safeguard: Safeguard) -> Self {
         Self {
-            off: self.off | 1 << safeguard as u32,
+            disabled: self.disabled | 1 << safeguard as u32,
         }
     }
 
-    /// Whether one is on.
+    /// Whether a safeguard is enabled.
     #[must_use]
     pub const fn has(self, safeguard: Safeguard) -> bool {
-        self.off & (1 << safeguard as u32) == 0
+        self.disabled & (1 << safeguard as u32) == 0
     }
 }
 
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -265,7 +265,7 @@
         if let Some((link, bytes)) = self.outbox.blocked() {
             self.dispatch.request_link_loan(now, link, *bytes);
         }
-        out.extend(released.into_iter().map(|(id, last)| match last {
+        out.extend(released.into_iter().map(|(id, response)| match response {
             outbox::FinalResponse::Reply(answer) => Action::Reply { id, answer },
             outbox::FinalResponse::Refuse(refusal) => Action::Refuse { id, refusal },
         }));
