--- a/crates/steer/src/process/control/hints.rs
+++ b/crates/steer/src/process/control/hints.rs
@@ -1,22 +1,22 @@
 //! Addresses to try, from the settings and the platform's list.
 //!
-//! Invariant: hints are sorted by domain. They are never members: who doesn't
-//! speak for itself isn't there.
+//! Invariant: hints are sorted by domain. A hint is never a member: only a
+//! process that speaks for itself is.
 
 use std::sync::Arc;
 
 use crate::process::member::Hint;
 
-/// The hints.
+/// Hints by domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Hints {
     seeds: Vec<Hint>,
     all: Vec<Hint>,
-    fresh: bool,
+    is_new: bool,
 }
 
 impl Hints {
-    /// Those of the settings.
+    /// Hints from the settings alone.
     pub(super) fn new(seeds: Vec<Hint>) -> Self {
         let mut hints = Self {
             seeds,
@@ -26,25 +26,25 @@
         hints
     }
 
-    /// Takes a new list in place of the last one.
+    /// Replaces the platform's list; hints from the settings stay.
     pub(super) fn replace(&mut self, listed: Vec<Hint>) {
         self.all = listed;
         self.all.extend(self.seeds.iter().cloned());
         self.all.sort_by(|a, b| a.domain.cmp(&b.domain));
-        self.fresh = true;
+        self.is_new = true;
     }
 
     /// Hints of one domain.
-    pub(super) fn of(&self, domain: &str) -> &[Hint] {
+    pub(super) fn in_domain(&self, domain: &str) -> &[Hint] {
         let start = self.all.partition_point(|h| &*h.domain < domain);
-        let rest = &self.all[start..];
-        let len = rest.partition_point(|h| &*h.domain == domain);
-        &rest[..len]
+        let tail = &self.all[start..];
+        let len = tail.partition_point(|h| &*h.domain == domain);
+        &tail[..len]
     }
 
-    /// Names of all domains, once after each new list.
-    pub(super) fn new_domains(&mut self) -> Vec<Arc<str>> {
-        if !core::mem::take(&mut self.fresh) {
+    /// Names of all domains with hints, returned once after each new list.
+    pub(super) fn take_new_domains(&mut self) -> Vec<Arc<str>> {
+        if !core::mem::take(&mut self.is_new) {
             return Vec::new();
         }
         let mut domains: Vec<_> = self.all.iter().map(|h| Arc::clone(&h.domain)).collect();
--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -83,7 +83,7 @@
             }
         }
         let merged = self.table.merge(now, from, self.guards.stamps);
-        if merged == Merge::Old {
+        if merged == Merge::Outdated {
             return true;
         }
         if let Merge::Succeeded(stamp) = merged {
@@ -304,7 +304,7 @@
         let rows = self.table.domain(&own.domain).iter();
         let dead = rows.filter(|row| !row.record.lifecycle.is_alive());
         let dead = dead.map(|row| row.record.identity.peer);
-        let hints = self.hints.of(&own.domain).iter().map(|h| h.peer);
+        let hints = self.hints.in_domain(&own.domain).iter().map(|h| h.peer);
         let fits = |to: &std::net::SocketAddr| {
             *to != own.peer && !self.peers.iter().any(|p| p.addr == *to)
         };
--- a/crates/steer/src/process/control/message.rs
+++ b/crates/steer/src/process/control/message.rs
@@ -1,8 +1,8 @@
-//! What entry instances tell each other about membership and configuration.
+//! Messages between entry instances about membership and configuration.
 //!
-//! Invariant: a message carries no time of a shared clock. A probe is the
-//! sender's own time, which the receiver sends back unread, so that the sender
-//! knows by its own clock how old the evidence in an answer is.
+//! Invariant: no message depends on synchronized clocks. A probe is the
+//! sender's own time, which the receiver echoes without reading it, so that the
+//! sender knows by its own clock how old the information in an answer is.
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -17,100 +17,103 @@
 /// A message between two entry instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The sender, as it is now.
+    /// Current record of the sender.
     pub from: Arc<Record>,
-    /// What it says.
+    /// The message itself.
     pub content: Content,
 }
 
 impl Message {
-    /// Where an answer goes.
+    /// Address for answers.
     #[must_use]
     pub fn reply_addr(&self) -> SocketAddr {
         self.from.identity.peer
     }
 }
 
-/// How recently a failure domain was heard.
+/// Age of the last contact with a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DomainSeen {
     /// Name of the failure domain.
     pub domain: Arc<str>,
-    /// Time since the sender heard it itself.
+    /// Time since the sender itself last heard from it.
     pub age: Duration,
 }
 
 /// A heartbeat within a failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The sender's.
+    /// Health of the sender.
     pub health: HealthSummary,
-    /// Whether an answer is wanted at once.
+    /// Whether an immediate answer is requested.
     pub reply: bool,
-    /// The sender's own time.
+    /// Local time of the sender.
     pub probe: Time,
-    /// The newest probe that the sender had from the receiver.
+    /// The newest probe that the sender received from the receiver.
     pub echo: Option<Time>,
-    /// Set if the sender holds the receiver for dead: the serial of that
-    /// tombstone, above which the receiver has to raise its own.
+    /// Serial of the receiver's tombstone at the sender, if there is one. The
+    /// receiver refutes it by raising its own serial above.
     pub tombstone: Option<u32>,
     /// Digest of the sender's table over all domains.
     pub digest: u64,
-    /// Domains that the sender hears itself.
+    /// Domains that the sender itself heard from lately.
     pub domains_seen: Vec<DomainSeen>,
 }
 
 /// A heartbeat between two failure domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DomainHeartbeat {
-    /// The sender's domain, in short.
+    /// Summary of the sender's domain.
     pub summary: Summary,
     /// Digest of the sender's rows of its own domain.
     pub digest: u64,
-    /// Whether an answer is wanted.
+    /// Whether an answer is requested.
     pub reply: bool,
-    /// The sender's own time.
+    /// Local time of the sender.
     pub probe: Time,
-    /// The newest probe that the sender had from the receiver.
+    /// The newest probe that the sender received from the receiver.
     pub echo: Option<Time>,
-    /// As in [`Heartbeat::tombstone`].
+    /// As [`Heartbeat::tombstone`].
     pub tombstone: Option<u32>,
 }
 
-/// The kinds of messages.
+/// Kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
     /// Heartbeat within a domain.
     Heartbeat(Heartbeat),
     /// Heartbeat between domains.
     DomainHeartbeat(DomainHeartbeat),
-    /// The sender's digests; the receiver answers with what differs.
+    /// Digests of the sender's table. The receiver answers with its rows of
+    /// domains that differ.
     Sync(Vec<Digest>),
-    /// Asks for the rows of these domains.
+    /// Requests the records of these domains.
     RecordsRequest(Vec<Arc<str>>),
-    /// Rows of one or several domains.
+    /// Records of one or more domains.
     Records(Vec<Arc<Record>>),
-    /// The receiver's name was taken over by the process of this stamp.
+    /// The process of this stamp took the receiver's name over.
     Superseded(Stamp),
-    /// The receiver's predecessor gave up its shares before it stopped.
+    /// The receiver's predecessor, of this stamp, released its shares before it
+    /// stopped.
     Succeeded(Stamp),
-    /// Asks whether a process of the sender's domain was heard lately.
+    /// Asks when a process of the sender's domain was last heard from.
     PeerQuery(Arc<str>),
     /// Answer to [`Content::PeerQuery`].
     PeerSeen {
         /// Name of the process.
         name: Arc<str>,
-        /// Which process of that name.
+        /// Stamp of the process that was heard from.
         stamp: Stamp,
-        /// Time since it was heard.
+        /// Time since the sender last heard from it.
         age: Duration,
     },
-    /// Asks for a head above this version.
+    /// Requests the head in force; answered unless it has this version.
     Pull(Version),
     /// The head in force at the sender.
     Offer(Arc<Head>),
-    /// Asks for bodies.
+    /// Requests bodies.
     Fetch(Vec<Hash>),
-    /// Bodies asked for; those that the sender lacks are left out.
+    /// Requested bodies, without those that the sender lacks and those beyond
+    /// the size limit.
     Bodies(Vec<Body>),
 }
--- a/crates/steer/src/process/control/remote.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -45,7 +45,7 @@
         } else {
             (other, own)
         };
-        let low_starts = hash::mix(&[low.as_bytes(), high.as_bytes()]).is_multiple_of(2);
+        let low_starts = hash::stable_hash(&[low.as_bytes(), high.as_bytes()]).is_multiple_of(2);
         (own == low) == low_starts
     }
 
@@ -82,14 +82,14 @@
         let mut contacts: Vec<_> = alive
             .map(|row| {
                 let identity = &row.record.identity;
-                let order = hash::mix(&[own.as_bytes(), identity.name.as_bytes()]);
+                let order = hash::stable_hash(&[own.as_bytes(), identity.name.as_bytes()]);
                 (order, identity.peer)
             })
             .collect();
         contacts.sort_unstable();
         let mut contacts: Vec<_> = contacts.into_iter().map(|(_, peer)| peer).collect();
         if quiet {
-            let hints = self.hints.of(&far.name).iter();
+            let hints = self.hints.in_domain(&far.name).iter();
             contacts.extend(hints.map(|h| h.peer));
         }
         contacts
@@ -234,7 +234,7 @@
         let own = Arc::clone(&self.me.identity.name);
         let peers = &self.peers;
         for far in &mut self.fars {
-            let weight = |name: &str| hash::mix(&[far.name.as_bytes(), name.as_bytes()]);
+            let weight = |name: &str| hash::stable_hash(&[far.name.as_bytes(), name.as_bytes()]);
             let mine = weight(&own);
             far.rank = Some(peers.iter().filter(|p| weight(&p.name) < mine).count());
         }
@@ -245,7 +245,7 @@
 
     /// Domains that rows or hints name.
     fn meet_domains(&mut self) {
-        let mut names = self.hints.new_domains();
+        let mut names = self.hints.take_new_domains();
         let digests = self.table.digests().iter().map(|d| &d.domain);
         let unmet = |name: &&Arc<str>| self.fars.binary_search_by(|f| f.name.cmp(*name)).is_err();
         names.extend(digests.filter(unmet).map(Arc::clone));
--- a/crates/steer/src/process/control/rollout.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -10,7 +10,7 @@
     Action, Control, MemberStatus, Notice, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN,
 };
 use crate::clock::Time;
-use crate::process::config::tracker::{self, Source, Verdict};
+use crate::process::config::tracker::{self, OfferOutcome, Source};
 use crate::process::config::{Body, Hash, Head};
 use crate::process::member::{Record, hash};
 use crate::version::view::Version;
@@ -61,7 +61,7 @@
             self.holder = Some(from.identity.peer);
         }
         let pulling = self.pull.is_some_and(|pull| now < pull.until);
-        if !self.guards.pull || pulling || !self.tracker.wants(version) {
+        if !self.guards.pull || pulling || !self.tracker.should_request(version) {
             return;
         }
         let until = now + FETCH_TIMEOUT;
@@ -93,7 +93,7 @@
             }
             Content::Bodies(bodies) => {
                 for body in bodies {
-                    self.tracker.put(body.clone());
+                    self.tracker.add_body(body.clone());
                 }
                 self.adopt_step(now, out);
             }
@@ -117,10 +117,10 @@
     fn offered(&mut self, head: &Arc<Head>, source: Source, out: &mut Vec<Action>) {
         self.heard = self.heard.max(head.version);
         match self.tracker.offer(head, source) {
-            Verdict::Newer => self.fetches.clear(),
-            Verdict::Same | Verdict::Barred => {}
-            Verdict::Stale => self.counters.stale += 1,
-            Verdict::Forked => {
+            OfferOutcome::Newer => self.fetches.clear(),
+            OfferOutcome::Same | OfferOutcome::Rejected => {}
+            OfferOutcome::Stale => self.counters.stale += 1,
+            OfferOutcome::Forked => {
                 self.counters.forked += 1;
                 if self.alarms.forked != head.version {
                     self.alarms.forked = head.version;
@@ -132,17 +132,17 @@
 
     /// Installs the next version if all of it is here, else asks for the rest.
     pub(super) fn adopt_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let newer = self.heard > self.tracker.version() && self.tracker.is_wanted(self.heard);
+        let newer = self.heard > self.tracker.version() && self.tracker.is_installable(self.heard);
         self.slot.set_behind(now, newer);
         self.end_doubt(now, out);
-        if let Some(tracker::Complete { head, bodies }) = self.tracker.complete() {
+        if let Some(tracker::Complete { head, bodies }) = self.tracker.take_complete() {
             self.fetches.clear();
             return out.push(Action::Install { head, bodies });
         }
-        let lacking = self.tracker.lacking();
-        self.fetches.retain(|f| lacking.contains(&f.hash));
+        let missing = self.tracker.missing_bodies();
+        self.fetches.retain(|f| missing.contains(&f.hash));
         let mut from_peer = Vec::new();
-        for &hash in lacking.iter().take(FETCHES_MAX) {
+        for &hash in missing.iter().take(FETCHES_MAX) {
             if self.fetch(now, hash, out) {
                 from_peer.push(hash);
             }
@@ -255,7 +255,7 @@
     pub(super) fn is_watcher(&self) -> bool {
         let turn = self.tracker.version().0 / WATCHER_ROTATION_VERSIONS;
         let weight = |name: &str, store: bool| {
-            let order = hash::mix(&[name.as_bytes(), &turn.to_le_bytes()]);
+            let order = hash::stable_hash(&[name.as_bytes(), &turn.to_le_bytes()]);
             (!store, order)
         };
         let mine = weight(&self.me.identity.name, !self.store.is_unavailable());
@@ -281,7 +281,7 @@
                 self.offered(&stored.head, Source::Store, out);
             }
             Reply::Body(hash, Some(bytes)) if answered.call == Call::Body(hash) => {
-                self.tracker.put(Body { hash, bytes });
+                self.tracker.add_body(Body { hash, bytes });
             }
             Reply::Listed(hints) => self.hints.replace(hints),
             Reply::Unavailable | Reply::Malformed => self.counters.failed += 1,
--- a/crates/steer/src/process/control/status.rs
+++ b/crates/steer/src/process/control/status.rs
@@ -82,7 +82,7 @@
         let Some(told) = self.doubt.told.filter(|_| unsure) else {
             return;
         };
-        if told <= self.tracker.version() || !self.tracker.is_wanted(told) {
+        if told <= self.tracker.version() || !self.tracker.is_installable(told) {
             self.stand(now, MemberStatus::Current, out);
         }
     }
--- a/crates/steer/src/process/control/sync.rs
+++ b/crates/steer/src/process/control/sync.rs
@@ -49,7 +49,7 @@
     /// Keeps this process's own record in its table, so that digests compare.
     pub(super) fn own_row(&mut self, now: Time) {
         let me = Arc::clone(&self.me);
-        if self.table.merge(now, &me, true) != Merge::Old {
+        if self.table.merge(now, &me, true) != Merge::Outdated {
             self.moved = true;
             self.dirty = true;
             self.sorted = None;
@@ -108,7 +108,7 @@
                 self.send_held(now, record, record.serial, out);
                 continue;
             }
-            if self.table.merge(now, record, self.guards.stamps) != Merge::Old {
+            if self.table.merge(now, record, self.guards.stamps) != Merge::Outdated {
                 fresh.push(Arc::clone(record));
             }
         }
--- a/crates/steer/src/process/control/types.rs
+++ b/crates/steer/src/process/control/types.rs
@@ -1,4 +1,5 @@
-//! What goes in and out of control.
+//! Inputs and outputs of [`Control`](super::Control), and the switches for
+//! tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,43 +11,46 @@
 use crate::process::slot;
 use crate::version::view::{Incarnation, Version};
 
-/// What a process knows at its start.
+/// Settings of a process at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the process is.
+    /// Name, domain and addresses of the process.
     pub identity: Identity,
-    /// Drawn at random for this start.
+    /// Random number drawn at this start.
     pub incarnation: Incarnation,
-    /// Wall clock at the start, in milliseconds since 1970. A clock that is
-    /// wrong does no harm as long as a peer remembers the predecessor.
+    /// Wall clock at the start, in milliseconds since 1970. A wrong clock does
+    /// no harm as long as a peer remembers the process that had the name
+    /// before.
     pub generation: u64,
-    /// Addresses from the settings file; may be empty.
+    /// Addresses of peers from the settings file; may be empty.
     pub seeds: Vec<Hint>,
-    /// Switches for tests; all on by default.
+    /// Enabled safeguards; all but in tests.
     pub guards: Safeguards,
 }
 
-/// Switches of the safeguards, each of which a scenario shows to be needed. All
-/// are on in a live process.
+/// Switches that disable safeguards in tests. For each one a scenario shows
+/// that the safeguard is needed; all are on in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each switch is turned off alone"
 )]
 pub struct Safeguards {
-    /// Versions in force only rise.
+    /// The version in force only rises.
     pub monotonic: bool,
     /// Records of one name are ordered by their stamps.
     pub stamps: bool,
-    /// A process notices that it was frozen.
+    /// A process detects that it was frozen, and acts on nothing until
+    /// confirmed.
     pub doubt: bool,
-    /// Everybody reads the head now and then, whatever watches say.
+    /// Every process re-reads the head from time to time, in case a watch
+    /// missed a change.
     pub reread: bool,
-    /// Versions are taken from peers.
+    /// Versions are also fetched from peers.
     pub pull: bool,
-    /// Others are asked before a silent process is dropped.
+    /// Other peers are queried before a silent process is dropped.
     pub confirm: bool,
-    /// Other domains introduce the processes of a domain to each other.
+    /// Other domains tell the processes of a domain about each other.
     pub introduce: bool,
     /// Safeguards of static shares.
     pub slot: slot::Guards,
@@ -67,24 +71,25 @@
     }
 }
 
-/// Whether a process may act on what it knows.
+/// Whether a process may act on its state, which may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It may.
+    /// The state is confirmed to be up to date.
     Current,
-    /// It was frozen or held for dead, and nobody has answered it since. Until
-    /// then it gives no look-ups, uses no share and starts nothing that must
-    /// not repeat.
+    /// The process was frozen or declared dead, and no answer has confirmed it
+    /// since. Until then it answers no look-ups, uses no share of a cap and
+    /// starts no request that must not run twice.
     Doubt,
-    /// As [`Self::Doubt`], but nobody answers at all: it is cut off. It may
-    /// serve idempotent requests within its domain; a share it has none.
+    /// In doubt, and cut off from all others. It may serve idempotent requests
+    /// within its domain, but uses no share of a cap.
     Isolated,
-    /// A newer process has its name. It finishes what it runs and stops.
+    /// A newer process has its name. It finishes the work that it has and
+    /// stops.
     Superseded,
 }
 
 impl MemberStatus {
-    /// The word in dumps and logs.
+    /// The name in dumps and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -96,54 +101,58 @@
     }
 }
 
-/// What happens to control.
+/// Inputs of control.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due at least every [`TICK_INTERVAL_MAX`](super::TICK_INTERVAL_MAX).
+    /// Time passed; due at least every
+    /// [`TICK_INTERVAL_MAX`](super::TICK_INTERVAL_MAX).
     Tick,
-    /// A peer's message came. The driver has checked the peers' secret, and the
-    /// hash of each body.
+    /// A peer's message arrived. The driver has checked the peers' secret and
+    /// the hash of each body.
     Received(Message),
-    /// The store answered a call, or didn't in time. Due once for each call.
+    /// The store answered a call, or the driver's time limit for it passed. Due
+    /// once for each call.
     StoreReply {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// Its answer.
+        /// The store's answer.
         reply: Reply,
     },
-    /// Addresses to try, in place of those of the last list.
+    /// A new list of addresses to try, which replaces the last one.
     Hints(Vec<Hint>),
-    /// Load of this process in 1/255 of what it can carry.
+    /// Load of this process in 1/255 of its capacity.
     Load(u8),
-    /// The driver put a version in force, as [`Action::Install`] asked.
+    /// The driver put a version in force, as [`Action::Install`] requested.
     Installed {
-        /// The version.
+        /// Version now in force.
         version: Version,
-        /// Number of entry instances it names, if this one is among them.
+        /// Number of entry instances in the version that share the caps; `None`
+        /// if this one is not among them.
         slots: Option<u32>,
     },
-    /// The driver's verifier turned a version down.
+    /// The driver's verifier rejected a version.
     Rejected(Version),
-    /// This process gets no new work from now on.
+    /// The process shuts down and takes no new work from now on.
     Leave,
-    /// This process uses no share any more and stops after the actions.
+    /// The process uses no share any more, and stops once the resulting actions
+    /// are carried out.
     Stop,
 }
 
-/// What control wants done.
+/// Outputs of control, for the driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message to a peer; it may be lost.
     Send {
-        /// The peer's address.
+        /// Address of the peer.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Call the store; [`Event::StoreReply`] is due once, within
+    /// Call the store. [`Event::StoreReply`] is due once, within
     /// [`CALL_TIMEOUT`](super::store::CALL_TIMEOUT) beyond the call's own wait.
     Store {
-        /// Names the call.
+        /// Id of the call.
         id: CallId,
         /// The call.
         call: Call,
@@ -151,72 +160,75 @@
     /// Verify a version and put it in force; [`Event::Installed`] or
     /// [`Event::Rejected`] is due.
     Install {
-        /// Its head.
+        /// Head of the version.
         head: Arc<Head>,
-        /// Its bodies, in the order of the head's files.
+        /// Bodies in the order of the head's files.
         bodies: Vec<Body>,
     },
-    /// What others read has changed.
+    /// Publish a new snapshot for other threads.
     Publish(Snapshot),
-    /// A change of state, worth one line in the log.
+    /// Log a change of state.
     Notice(Notice),
 }
 
-/// What other threads see of control.
+/// State of control that other threads read.
 ///
 /// After a freeze other threads may run before control does, and read what it
-/// published before. So the driver also publishes the time of the last
-/// [`Event::Tick`], and a reader that finds it older than [`FREEZE_GAP_MIN`](super::FREEZE_GAP_MIN)
-/// reads the standing as [`MemberStatus::Doubt`] and the share as nothing.
+/// published before. The driver therefore also publishes the time of the last
+/// [`Event::Tick`]. A reader that finds it older than
+/// [`FREEZE_GAP_MIN`](super::FREEZE_GAP_MIN) takes the status for
+/// [`MemberStatus::Doubt`] and the share for nothing.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Whether the process may act on what it knows.
+    /// Whether the process may act on its state.
     pub status: MemberStatus,
     /// Whether callers may be served.
     pub ready: bool,
-    /// Version in force.
+    /// Version in force; zero if none.
     pub version: Version,
     /// Part of every cap that the process may use.
     pub share: slot::Share,
-    /// Processes that look-ups may name, this one included, sorted by name.
+    /// Processes that look-ups may return, this one included, sorted by name.
     pub members: Arc<[Member]>,
 }
 
-/// A change of state.
+/// A change of state, logged by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The store stopped answering.
     StoreAway,
     /// The store answers again.
     StoreBack,
-    /// The store holds an older version than the one in force: it lost data.
+    /// The store's version is below the one in force: it lost data.
     StoreBehind {
-        /// The store's version.
+        /// Version in the store.
         stored: Version,
-        /// Version in force here.
+        /// Version in force at this process.
         force: Version,
     },
-    /// The store holds the version in force, or a later one, again.
+    /// The store's version is no longer below the one in force.
     StoreCaughtUp,
-    /// Two lists of files under one version; the one in force stays.
+    /// Two different heads have this version; the one in force stays.
     Forked(Version),
-    /// The verifier turned a version down; the one in force stays.
+    /// The verifier rejected this version; the one in force stays.
     Rejected(Version),
-    /// A version came in force.
+    /// This version is now in force.
     InForce(Version),
-    /// Whether the process may act on what it knows has changed.
+    /// The membership status changed.
     Standing(MemberStatus),
-    /// The process raised its generation above a predecessor's.
+    /// The process raised its generation above another one's of its name; its
+    /// new stamp.
     Raised(Stamp),
-    /// A process of this domain stopped answering.
+    /// The process of this name, in the local domain, stopped answering.
     Dropped(Arc<str>),
-    /// A failure domain is not heard any more.
+    /// This failure domain was not heard from within
+    /// [`DOMAIN_TIMEOUT`](super::DOMAIN_TIMEOUT).
     DomainSilent(Arc<str>),
-    /// A failure domain is heard again.
+    /// This failure domain is heard from again.
     DomainBack(Arc<str>),
 }
 
-/// What control counts.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages sent.
@@ -227,24 +239,24 @@
     pub calls: u64,
     /// Calls to the store that failed.
     pub failed: u64,
-    /// Heads below the version known.
+    /// Received heads below the known version.
     pub stale: u64,
-    /// Heads with the number of a known version and other files.
+    /// Received heads with a known version and other content.
     pub forked: u64,
-    /// Versions that the verifier turned down.
+    /// Versions that the verifier rejected.
     pub rejected: u64,
     /// Versions put in force.
     pub installed: u64,
-    /// Messages of processes that a newer one has replaced.
+    /// Messages from processes that a newer one has replaced.
     pub outdated: u64,
-    /// Times that others were asked about a silent process.
+    /// Silent processes about which peers were queried.
     pub suspected: u64,
     /// Processes dropped for silence.
     pub dropped: u64,
-    /// Times that this process refuted its own death.
+    /// Tombstones of this process that it refuted.
     pub refuted: u64,
-    /// Times that this process found itself frozen.
+    /// Freezes of this process that it detected.
     pub frozen: u64,
-    /// Digest comparisons asked for.
+    /// Exchanges of digests started.
     pub syncs: u64,
 }
--- a/crates/steer/src/process/member.rs
+++ b/crates/steer/src/process/member.rs
@@ -1,9 +1,11 @@
-//! Who the entry instances are, as each process speaks of itself.
+//! Records of the entry instances, each written by the process that it
+//! describes.
 //!
 //! Invariant: of two records of one name the one with the higher [`Stamp`]
-//! counts, whatever order they arrive in; within one process the higher serial
-//! counts; at the same serial a tombstone beats a live record. Only the process
-//! itself raises its serial, so only it can refute its own death.
+//! wins, whatever order they arrive in. Within one process the higher serial
+//! wins, and at the same serial a tombstone replaces a live record. Only the
+//! process itself raises its serial, so only it can refute a tombstone of its
+//! own.
 
 pub mod hash;
 pub mod table;
@@ -16,14 +18,16 @@
 
 /// Orders the processes that ran under one name.
 ///
-/// The generation comes from the wall clock at start, and is raised by a
-/// starting process above any that it hears of, so that a clock that went back
-/// doesn't make the newcomer the older one. The incarnation settles ties.
+/// The generation is the wall clock at start. A starting process raises it
+/// above any other of its name that it learns of, so that a clock that went
+/// back doesn't make the new process the older one. The incarnation breaks
+/// ties.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// Grows from one process of a name to the next.
+    /// Rises from one process of a name to the next; milliseconds since 1970 at
+    /// first.
     pub generation: u64,
-    /// Which process.
+    /// Random number of the process.
     pub incarnation: Incarnation,
 }
 
@@ -33,40 +37,41 @@
     }
 }
 
-/// What a process is, as its settings say.
+/// Identity of a process, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Configured name; a replacement takes it over.
+    /// Configured name; a replacement process takes it over.
     pub name: Arc<str>,
     /// Name of its failure domain.
     pub domain: Arc<str>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
 }
 
-/// Where a process is in its life. A later one wins at the same serial.
+/// State of a process between its start and its end. At the same serial a later
+/// variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has.
+    /// Finishes the work that it has.
     Leaving,
-    /// Stopped, and gave up its share of every cap: it will use none again.
+    /// Stopped, and gave up its share of every cap for good.
     Released,
     /// Stopped answering, or stopped without a share to give up.
     Dead,
 }
 
 impl Lifecycle {
-    /// Whether the process may still answer.
+    /// Whether the process may still answer; false for tombstones.
     #[must_use]
     pub const fn is_alive(self) -> bool {
         matches!(self, Self::Live | Self::Leaving)
     }
 
-    /// What look-ups make of it; `None` for a tombstone.
+    /// The state for look-ups; `None` for a tombstone.
     #[must_use]
     pub const fn state(self) -> Option<State> {
         match self {
@@ -76,7 +81,7 @@
         }
     }
 
-    /// The word in dumps.
+    /// The name in dumps.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -88,16 +93,17 @@
     }
 }
 
-/// What is known of one process.
+/// State of one process, as peers exchange it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// What it is.
+    /// Identity of the process.
     pub identity: Identity,
-    /// Which process of that name.
+    /// Orders the process among those of its name.
     pub stamp: Stamp,
-    /// Raised by the process with each change of its life, and to refute.
+    /// Raised by the process whenever its lifecycle changes, and to refute a
+    /// tombstone.
     pub serial: u32,
-    /// Where it is in its life.
+    /// Lifecycle as of this serial.
     pub lifecycle: Lifecycle,
 }
 
@@ -108,7 +114,8 @@
         (self.stamp, self.serial, self.lifecycle) > (other.stamp, other.serial, other.lifecycle)
     }
 
-    /// The same process with a life put down by somebody else.
+    /// A copy with another lifecycle at the same serial, as peers write
+    /// tombstones.
     #[must_use]
     pub fn with_lifecycle(&self, lifecycle: Lifecycle) -> Self {
         Self {
@@ -130,21 +137,22 @@
     }
 }
 
-/// What changes all the time, and is exchanged within a failure domain only.
+/// Load and health of a process. It changes all the time, and is exchanged
+/// within a failure domain only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthSummary {
     /// Version in force; zero if none.
     pub version: Version,
-    /// Load in 1/255 of what the process can carry.
+    /// Load in 1/255 of the process's capacity.
     pub load: u8,
-    /// Whether it reaches the store.
+    /// Whether the process reaches the store.
     pub store: bool,
 }
 
-/// What one failure domain tells another about itself.
+/// Summary of one failure domain, sent to other domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Processes alive.
+    /// Number of live processes.
     pub count: u32,
     /// Lowest version in force.
     pub oldest: Version,
@@ -154,24 +162,24 @@
     pub load: u8,
 }
 
-/// A process in the published list.
+/// A process in the published list of members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it says of itself.
+    /// Its record.
     pub record: Arc<Record>,
-    /// Its own vitals in the home domain, elsewhere its domain's summary: the
-    /// lowest version in force there and the mean load.
+    /// Its own health in the local domain. Elsewhere derived from its domain's
+    /// summary: the lowest version in force there and the mean load.
     pub health: HealthSummary,
 }
 
-/// An address where an entry instance may answer: from the settings or from the
-/// platform's list. A hint is tried; it never makes or ends a member.
+/// An address at which an entry instance may answer, from the settings or the
+/// platform's list. It is only tried: a hint neither adds nor removes a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hint {
     /// Configured name.
     pub name: Arc<str>,
     /// Name of its failure domain.
     pub domain: Arc<str>,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
 }
--- a/crates/steer/src/process/member/table.rs
+++ b/crates/steer/src/process/member/table.rs
@@ -1,9 +1,10 @@
-//! All records that a process holds, with digests to compare them by.
+//! Table of all records that a process knows, with digests for comparing
+//! tables.
 //!
-//! Invariant: rows are sorted by `(domain, name)`, so a domain's rows are one
-//! slice; a digest is the exclusive or of its live rows' hashes. Tombstones are
-//! outside of digests and never start a row, so they can be forgotten without
-//! being learned again from somebody who hasn't yet.
+//! Invariant: rows are sorted by `(domain, name)`, so the rows of a domain are
+//! one slice. A digest is the exclusive or of the hashes of a domain's live
+//! rows. Tombstones are not part of digests and never add a row, so a forgotten
+//! tombstone isn't learned again from a process that still has it.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -11,36 +12,38 @@
 use super::{Record, Stamp, hash};
 use crate::clock::Time;
 
-/// A record and when this process last changed it.
+/// A record and the time of its last change in this table.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The record.
+    /// The merged record.
     pub record: Arc<Record>,
-    /// When it was written here.
-    pub since: Time,
+    /// Local time of the last change.
+    pub changed_at: Time,
 }
 
-/// One domain's digest.
+/// Digest of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     /// Name of the failure domain.
     pub domain: Arc<str>,
-    /// Digest of its live rows; zero if there are none.
+    /// Exclusive or of the hashes of its live rows; zero if there are none.
     pub value: u64,
 }
 
-/// What became of an offered record.
+/// Outcome of [`Table::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merge {
-    /// It is new, or replaced the row of the same process.
-    Taken,
-    /// It replaced another process's row; that one had given up its shares.
+    /// The record was added, or replaced the row of its name.
+    Updated,
+    /// The record replaced that of an earlier process, of this stamp, which had
+    /// released its shares.
     Succeeded(Stamp),
-    /// The row here is as new or newer.
-    Old,
+    /// The row in the table is as new or newer, or a tombstone has no row to
+    /// replace.
+    Outdated,
 }
 
-/// The table.
+/// Records by domain and name.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Row>,
@@ -48,21 +51,21 @@
 }
 
 impl Table {
-    /// The row of a process's name in a domain.
+    /// The row of a name in a domain.
     #[must_use]
     pub fn get(&self, domain: &str, name: &str) -> Option<&Row> {
         self.find(domain, name).ok().map(|at| &self.rows[at])
     }
 
-    /// A domain's rows, tombstones too, sorted by name.
+    /// Rows of a domain, including tombstones, sorted by name.
     #[must_use]
     pub fn domain(&self, domain: &str) -> &[Row] {
         let start = self
             .rows
             .partition_point(|row| &*row.record.identity.domain < domain);
-        let rest = &self.rows[start..];
-        let len = rest.partition_point(|row| &*row.record.identity.domain == domain);
-        &rest[..len]
+        let tail = &self.rows[start..];
+        let len = tail.partition_point(|row| &*row.record.identity.domain == domain);
+        &tail[..len]
     }
 
     /// All rows, sorted by domain and name.
@@ -71,13 +74,13 @@
         &self.rows
     }
 
-    /// Digests of all domains that have or had rows, sorted by name.
+    /// Digests of all domains that have or had rows, sorted by domain.
     #[must_use]
     pub fn digests(&self) -> &[Digest] {
         &self.digests
     }
 
-    /// A domain's digest; zero if it has no live row.
+    /// Digest of a domain; zero if it has no live row.
     #[must_use]
     pub fn digest(&self, domain: &str) -> u64 {
         self.digests
@@ -91,45 +94,46 @@
         self.digests.iter().fold(0, |sum, d| sum ^ d.value)
     }
 
-    /// Takes a record if it replaces the row here. With `ordered` off any live
-    /// record that differs is taken: the ablation of the order of stamps.
+    /// Merges a record into the table if it replaces the row of its name. If
+    /// `ordered` is false, any record that differs replaces a row: tests show
+    /// with it that the order of stamps is needed.
     pub fn merge(&mut self, now: Time, record: &Arc<Record>, ordered: bool) -> Merge {
         let identity = &record.identity;
         let row = Row {
             record: Arc::clone(record),
-            since: now,
+            changed_at: now,
         };
         match self.find(&identity.domain, &identity.name) {
-            Err(_) if !record.lifecycle.is_alive() => Merge::Old,
+            Err(_) if !record.lifecycle.is_alive() => Merge::Outdated,
             Err(at) => {
-                self.toggle(record);
+                self.toggle_digest(record);
                 self.rows.insert(at, row);
-                Merge::Taken
+                Merge::Updated
             }
             Ok(at) => {
                 let old = Arc::clone(&self.rows[at].record);
-                let newer = record.replaces(&old) || (!ordered && *record != old);
-                if !newer {
-                    return Merge::Old;
+                let is_newer = record.replaces(&old) || (!ordered && *record != old);
+                if !is_newer {
+                    return Merge::Outdated;
                 }
-                self.toggle(&old);
-                self.toggle(record);
+                self.toggle_digest(&old);
+                self.toggle_digest(record);
                 self.rows[at] = row;
-                let released =
+                let has_released =
                     old.lifecycle == super::Lifecycle::Released && old.stamp < record.stamp;
-                if released {
+                if has_released {
                     Merge::Succeeded(old.stamp)
                 } else {
-                    Merge::Taken
+                    Merge::Updated
                 }
             }
         }
     }
 
-    /// Forgets tombstones older than `age`.
+    /// Drops tombstones older than `age`.
     pub fn forget(&mut self, now: Time, age: Duration) {
         self.rows
-            .retain(|row| row.record.lifecycle.is_alive() || now.since(row.since) <= age);
+            .retain(|row| row.record.lifecycle.is_alive() || now.since(row.changed_at) <= age);
     }
 
     fn find(&self, domain: &str, name: &str) -> Result<usize, usize> {
@@ -139,11 +143,12 @@
         })
     }
 
-    /// Adds a live record to its domain's digest, or takes it out again.
-    fn toggle(&mut self, record: &Record) {
+    /// Adds a live record to its domain's digest, or removes it again; a
+    /// tombstone changes nothing.
+    fn toggle_digest(&mut self, record: &Record) {
         let domain = &record.identity.domain;
         let value = if record.lifecycle.is_alive() {
-            hash::record(record)
+            hash::record_hash(record)
         } else {
             0
         };
--- a/crates/steer/tests/control_member.rs
+++ b/crates/steer/tests/control_member.rs
@@ -70,12 +70,12 @@
     let mut table = Table::default();
     table.merge(Time::ZERO, &record(1, 1, Lifecycle::Live), true);
     let dead = record(1, 1, Lifecycle::Dead);
-    assert_eq!(table.merge(Time::ZERO, &dead, true), Merge::Taken);
+    assert_eq!(table.merge(Time::ZERO, &dead, true), Merge::Updated);
     assert_eq!(table.digest("a"), 0);
     let later = Time::from_micros(10);
     table.forget(later, core::time::Duration::ZERO);
     assert!(table.get("a", "a-1").is_none());
-    assert_eq!(table.merge(later, &dead, true), Merge::Old);
+    assert_eq!(table.merge(later, &dead, true), Merge::Outdated);
     assert_eq!(table.total(), 0);
 }
 
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -475,7 +475,7 @@
     let mut hash = [0; 32];
     for (i, chunk) in hash.chunks_mut(8).enumerate() {
         let salt = [u8::try_from(i).expect("four chunks")];
-        chunk.copy_from_slice(&hash::mix(&[text.as_bytes(), &salt]).to_le_bytes());
+        chunk.copy_from_slice(&hash::stable_hash(&[text.as_bytes(), &salt]).to_le_bytes());
     }
     Body {
         hash: Hash(hash),
--- a/crates/steer/tests/control_tracker.rs
+++ b/crates/steer/tests/control_tracker.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use steer::process::config::tracker::{Source, Tracker, Verdict};
+use steer::process::config::tracker::{OfferOutcome, Source, Tracker};
 use steer::process::config::{Body, Change, File, Hash, Head};
 use steer::version::view::Version;
 
@@ -36,12 +36,12 @@
     let mut tracker = Tracker::new(true);
     assert_eq!(
         tracker.offer(&head(5, &[1, 2]), Source::Store),
-        Verdict::Newer
+        OfferOutcome::Newer
     );
-    assert!(tracker.put(body(1)));
-    assert!(tracker.complete().is_none(), "body 2 is not here");
-    assert!(tracker.put(body(2)));
-    let complete = tracker.complete().expect("all is here");
+    assert!(tracker.add_body(body(1)));
+    assert!(tracker.take_complete().is_none(), "body 2 is not here");
+    assert!(tracker.add_body(body(2)));
+    let complete = tracker.take_complete().expect("all is here");
     assert_eq!(complete.head.version, Version(5));
     assert_eq!(complete.bodies, [body(1), body(2)]);
     assert!(tracker.installed(Version(5)));
@@ -50,15 +50,15 @@
 
 /// Whatever the source, a head below the version in force is never taken.
 #[rstest]
-#[case::older(head(4, &[1]), Verdict::Stale)]
-#[case::same(head(5, &[1, 2]), Verdict::Same)]
-#[case::forked(head(5, &[1, 3]), Verdict::Forked)]
-#[case::newer(head(6, &[1, 3]), Verdict::Newer)]
-fn head_offered(#[case] offered: Arc<Head>, #[case] verdict: Verdict) {
+#[case::older(head(4, &[1]), OfferOutcome::Stale)]
+#[case::same(head(5, &[1, 2]), OfferOutcome::Same)]
+#[case::forked(head(5, &[1, 3]), OfferOutcome::Forked)]
+#[case::newer(head(6, &[1, 3]), OfferOutcome::Newer)]
+fn head_offered(#[case] offered: Arc<Head>, #[case] outcome: OfferOutcome) {
     let peer = Source::Peer(SocketAddr::from((Ipv4Addr::LOCALHOST, 1)));
     for source in [Source::Store, peer] {
         let mut tracker = tracker();
-        assert_eq!(tracker.offer(&offered, source), verdict);
+        assert_eq!(tracker.offer(&offered, source), outcome);
         assert_eq!(tracker.version(), Version(5));
     }
 }
@@ -67,10 +67,10 @@
 fn change_needs_what_changed() {
     let mut tracker = tracker();
     tracker.offer(&head(6, &[1, 3]), Source::Store);
-    assert_eq!(tracker.lacking(), [Hash([3; 32])]);
-    assert!(!tracker.put(body(9)), "nobody asked for body 9");
-    assert!(tracker.put(body(3)));
-    tracker.complete().expect("all is here");
+    assert_eq!(tracker.missing_bodies(), [Hash([3; 32])]);
+    assert!(!tracker.add_body(body(9)), "nobody asked for body 9");
+    assert!(tracker.add_body(body(3)));
+    tracker.take_complete().expect("all is here");
     assert!(tracker.installed(Version(6)));
     assert!(
         tracker.body(Hash([2; 32])).is_none(),
@@ -82,15 +82,15 @@
 fn rejected_once() {
     let mut tracker = tracker();
     tracker.offer(&head(6, &[1]), Source::Store);
-    tracker.complete().expect("all is here");
+    tracker.take_complete().expect("all is here");
     assert!(tracker.rejected(Version(6)));
     assert_eq!(tracker.version(), Version(5));
     assert_eq!(
         tracker.offer(&head(6, &[1]), Source::Store),
-        Verdict::Barred
+        OfferOutcome::Rejected
     );
-    assert!(!tracker.wants(Version(6)));
-    assert!(tracker.complete().is_none());
+    assert!(!tracker.should_request(Version(6)));
+    assert!(tracker.take_complete().is_none());
 }
 
 /// A watch tells of version 7 while the driver verifies version 6. It won't tell
@@ -101,16 +101,19 @@
 fn head_while_installing(#[case] good: bool) {
     let mut tracker = tracker();
     tracker.offer(&head(6, &[1]), Source::Store);
-    tracker.complete().expect("all is here");
-    assert_eq!(tracker.offer(&head(7, &[2]), Source::Store), Verdict::Newer);
-    assert!(tracker.complete().is_none(), "one at a time");
+    tracker.take_complete().expect("all is here");
+    assert_eq!(
+        tracker.offer(&head(7, &[2]), Source::Store),
+        OfferOutcome::Newer
+    );
+    assert!(tracker.take_complete().is_none(), "one at a time");
     if good {
         assert!(tracker.installed(Version(6)));
-        assert!(tracker.put(body(2)));
+        assert!(tracker.add_body(body(2)));
     } else {
         assert!(tracker.rejected(Version(6)));
     }
-    let next = tracker.complete().expect("version 7 follows");
+    let next = tracker.take_complete().expect("version 7 follows");
     assert_eq!(next.head.version, Version(7));
 }
 
