--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -163,8 +163,8 @@
         let may_retry = self.mechanisms.has(Mechanism::Retry);
         let is_poison = self.suspects.strikes(job.request.fingerprint) >= STRIKES_MAX;
         let is_safe =
-            may_retry && !is_poison && (!job.may_have_run || job.request.route.idempotent);
-        let has_attempts = job.tried.len() < job.request.route.attempts.max(1);
+            may_retry && !is_poison && (!job.may_have_run || job.request.route.is_idempotent);
+        let has_attempts = job.tried.len() < job.request.route.attempts_max.max(1);
         let has_time = now + ANSWER_RESERVE < job.time_limit;
         let service = Arc::clone(&job.service);
         let may_have_run = job.may_have_run;
@@ -188,7 +188,7 @@
     }
 
     /// Records for the service's spillover whether an answer met its latency
-    /// objective. Answers for cold objects are left out: they are as late at home as
+    /// objective. Answers for cold objects are left out: they are as late locally as
     /// in other regions.
     fn record_punctuality(&mut self, now: Time, at: usize, target: &str, warm: bool) {
         let job = &self.jobs[at];
--- a/crates/steer/tests/direct/retry.rs
+++ b/crates/steer/tests/direct/retry.rs
@@ -7,10 +7,10 @@
 use super::bench::{Bench, at, entry, route};
 
 /// Sends a request to one of three targets, where the attempt ends as given.
-fn send_and_finish(idempotent: bool, outcome: AttemptOutcome) -> (Bench, FollowUp) {
+fn send_and_finish(is_idempotent: bool, outcome: AttemptOutcome) -> (Bench, FollowUp) {
     let targets = ["t1", "t2", "t3"].map(|id| entry(id, "near-a"));
     let route = Route {
-        idempotent,
+        is_idempotent,
         ..route()
     };
     let mut bench = Bench::new(route, &targets);
--- a/crates/steer/tests/share_model/world.rs
+++ b/crates/steer/tests/share_model/world.rs
@@ -78,12 +78,12 @@
         }
         view.classes.push(ClassData {
             name: "first".into(),
-            queue: 100,
+            queue_percent: 100,
         });
         view.services.push(ServiceData {
             name: "look".into(),
             class: Class::new(0),
-            idempotent: true,
+            is_idempotent: true,
             deadline: Duration::from_secs(2),
             sites: (0..self.regions.len()).map(Site::new).collect(),
         });
@@ -130,11 +130,11 @@
                 ramp,
             });
         }
-        for &(from, to, bits) in &self.links {
+        for &(from, to, bits_per_s) in &self.links {
             view.links.push(Link {
                 from: Region::new(from),
                 to: Region::new(to),
-                bits,
+                bits_per_s,
             });
         }
         view.shifts.sort_by_key(|s| (s.service, s.from, s.to));
