--- a/crates/steer/src/process/control/rollout.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 
 use super::message::{Content, Message};
-use super::store::{Asked, Call, CallId, Need, Reply, Request, Stored, Turn};
+use super::store::{BodyRead, Call, CallId, Demand, Reply, Request, StoredHead, Transition};
 use super::{
     Action, Control, MemberStatus, Notice, WATCHER_ROTATION_VERSIONS, WATCHERS_PER_DOMAIN,
 };
 use crate::clock::Time;
-use crate::process::config::tracker::{self, Source, Verdict};
+use crate::process::config::tracker::{self, OfferOutcome, Source};
 use crate::process::config::{Body, Hash, Head};
 use crate::process::member::{Record, hash};
 use crate::version::view::Version;
@@ -61,7 +61,7 @@
             self.holder = Some(from.identity.peer);
         }
         let pulling = self.pull.is_some_and(|pull| now < pull.until);
-        if !self.guards.pull || pulling || !self.tracker.wants(version) {
+        if !self.guards.pull || pulling || !self.tracker.should_request(version) {
             return;
         }
         let until = now + FETCH_TIMEOUT;
@@ -93,7 +93,7 @@
             }
             Content::Bodies(bodies) => {
                 for body in bodies {
-                    self.tracker.put(body.clone());
+                    self.tracker.add_body(body.clone());
                 }
                 self.adopt_step(now, out);
             }
@@ -117,10 +117,10 @@
     fn offered(&mut self, head: &Arc<Head>, source: Source, out: &mut Vec<Action>) {
         self.heard = self.heard.max(head.version);
         match self.tracker.offer(head, source) {
-            Verdict::Newer => self.fetches.clear(),
-            Verdict::Same | Verdict::Barred => {}
-            Verdict::Stale => self.counters.stale += 1,
-            Verdict::Forked => {
+            OfferOutcome::Newer => self.fetches.clear(),
+            OfferOutcome::Same | OfferOutcome::Rejected => {}
+            OfferOutcome::Stale => self.counters.stale += 1,
+            OfferOutcome::Forked => {
                 self.counters.forked += 1;
                 if self.alarms.forked != head.version {
                     self.alarms.forked = head.version;
@@ -132,17 +132,17 @@
 
     /// Installs the next version if all of it is here, else asks for the rest.
     pub(super) fn adopt_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let newer = self.heard > self.tracker.version() && self.tracker.is_wanted(self.heard);
+        let newer = self.heard > self.tracker.version() && self.tracker.is_installable(self.heard);
         self.slot.set_behind(now, newer);
         self.end_doubt(now, out);
-        if let Some(tracker::Complete { head, bodies }) = self.tracker.complete() {
+        if let Some(tracker::Complete { head, bodies }) = self.tracker.take_complete() {
             self.fetches.clear();
             return out.push(Action::Install { head, bodies });
         }
-        let lacking = self.tracker.lacking();
-        self.fetches.retain(|f| lacking.contains(&f.hash));
+        let missing = self.tracker.missing_bodies();
+        self.fetches.retain(|f| missing.contains(&f.hash));
         let mut from_peer = Vec::new();
-        for &hash in lacking.iter().take(FETCHES_MAX) {
+        for &hash in missing.iter().take(FETCHES_MAX) {
             if self.fetch(now, hash, out) {
                 from_peer.push(hash);
             }
@@ -175,9 +175,9 @@
         if !peer {
             let mut calls = Vec::new();
             match self.store.body(now, hash, &mut calls) {
-                Asked::Now => push_calls(calls, out),
-                Asked::Busy => return false,
-                Asked::Away => peer = self.guards.pull,
+                BodyRead::Started => push_calls(calls, out),
+                BodyRead::Busy => return false,
+                BodyRead::Unavailable => peer = self.guards.pull,
             }
         }
         let fetch = &mut self.fetches[at];
@@ -240,7 +240,7 @@
     pub(super) fn store_step(&mut self, now: Time, out: &mut Vec<Action>) {
         let turn = self.store.expire(now, &mut self.rng);
         turned(turn, out);
-        let need = Need {
+        let need = Demand {
             watcher: self.is_watcher(),
             alone: self.peers.is_empty() && self.fars.iter().all(|f| f.silent),
         };
@@ -255,10 +255,10 @@
     pub(super) fn is_watcher(&self) -> bool {
         let turn = self.tracker.version().0 / WATCHER_ROTATION_VERSIONS;
         let weight = |name: &str, store: bool| {
-            let order = hash::mix(&[name.as_bytes(), &turn.to_le_bytes()]);
+            let order = hash::stable_hash(&[name.as_bytes(), &turn.to_le_bytes()]);
             (!store, order)
         };
-        let mine = weight(&self.me.identity.name, !self.store.is_away());
+        let mine = weight(&self.me.identity.name, !self.store.is_unavailable());
         let before = self
             .peers
             .iter()
@@ -281,10 +281,10 @@
                 self.offered(&stored.head, Source::Store, out);
             }
             Reply::Body(hash, Some(bytes)) if answered.call == Call::Body(hash) => {
-                self.tracker.put(Body { hash, bytes });
+                self.tracker.add_body(Body { hash, bytes });
             }
             Reply::Listed(hints) => self.hints.replace(hints),
-            Reply::Away | Reply::Malformed => self.counters.failed += 1,
+            Reply::Unavailable | Reply::Malformed => self.counters.failed += 1,
             Reply::Watched(None) | Reply::Body(..) => {}
         }
         if self.status != MemberStatus::Superseded {
@@ -293,7 +293,7 @@
         }
     }
 
-    fn head_read(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    fn head_read(&mut self, stored: Option<StoredHead>, out: &mut Vec<Action>) {
         let force = self.tracker.version();
         let version = stored.as_ref().map_or(Version(0), |s| s.head.version);
         let behind = version < force;
@@ -313,11 +313,11 @@
     }
 }
 
-fn turned(turn: Turn, out: &mut Vec<Action>) {
+fn turned(turn: Transition, out: &mut Vec<Action>) {
     match turn {
-        Turn::None => {}
-        Turn::Away => out.push(Action::Notice(Notice::StoreAway)),
-        Turn::Back => out.push(Action::Notice(Notice::StoreBack)),
+        Transition::None => {}
+        Transition::Lost => out.push(Action::Notice(Notice::StoreAway)),
+        Transition::Restored => out.push(Action::Notice(Notice::StoreBack)),
     }
 }
 
