--- a/crates/steer/examples/fleet.rs
+++ b/crates/steer/examples/fleet.rs
@@ -131,11 +131,11 @@
 fn measure_events(nodes: usize) {
     let (mut fleet, files) = start_fleet(nodes);
     let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
-    fleet.store_away(true);
+    fleet.set_store_down(true);
     let away = fleet.now;
     fleet.run(Duration::from_mins(2));
     let during = mean_and_max(calls(&fleet, away));
-    fleet.store_away(false);
+    fleet.set_store_down(false);
     let back = fleet.now;
     fleet.run(Duration::from_mins(1));
     let after = mean_and_max(calls(&fleet, back));
