--- a/crates/measure/src/shift.rs
+++ b/crates/measure/src/shift.rs
@@ -13,14 +13,14 @@
 use entity::EntityRef;
 use intent::bundle::{Bundle, File};
 use intent::instance::{Instance, Member, Role};
-use steer::process::share::{Guards, Route, SETTLE};
+use steer::process::share::{Guards, Route, SETTLING_TIME};
 use steer::version::view::{Incarnation, State, Version, View};
 
 use tally::Tally;
 use world::{Figures, Kind, Setup, World};
 
 /// Time for which the fleet runs before it is measured.
-const WARM_UP: Duration = Duration::from_secs(SETTLE.as_secs() + 2);
+const WARM_UP: Duration = Duration::from_secs(SETTLING_TIME.as_secs() + 2);
 /// When a loss strikes.
 const STRIKE: Duration = Duration::from_secs(WARM_UP.as_secs() + 5);
 
--- a/crates/measure/src/shift/cost.rs
+++ b/crates/measure/src/shift/cost.rs
@@ -9,7 +9,7 @@
 
 use entity::EntityRef;
 use steer::clock::Time;
-use steer::process::share::{Route, SETTLE, Shares};
+use steer::process::share::{Route, SETTLING_TIME, Shares};
 use steer::version::view::{
     Class, ClassData, Domain, DomainData, EntryData, Link, Region, RegionData, Service,
     ServiceData, Shift, State, Version, View,
@@ -57,7 +57,7 @@
     let clone = time(ROUNDS, || {
         black_box(shares.clone());
     });
-    let now = Time::ZERO + SETTLE;
+    let now = Time::ZERO + SETTLING_TIME;
     shares.hold(Time::ZERO, true);
     let mut held = Time::ZERO;
     while held < now {
--- a/crates/measure/src/shift/tally.rs
+++ b/crates/measure/src/shift/tally.rs
@@ -89,7 +89,7 @@
         self.sum += amount;
         self.whole += amount;
         while let Some((at, old)) = self.recent.front().copied() {
-            if now.since(at) <= window::SPAN {
+            if now.since(at) <= window::RATE_PERIOD {
                 break;
             }
             self.sum -= old;
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -74,7 +74,7 @@
         to: Member,
     ) -> Result<(), Duration> {
         let Some(here) = self.region else {
-            return Err(share::window::SPAN);
+            return Err(share::window::RATE_PERIOD);
         };
         let there = self.view.domains[self.view.members[to].domain].region;
         if here == there || !self.tuning.safeguards.has(Safeguard::Caps) {
--- a/crates/steer/src/process/share.rs
+++ b/crates/steer/src/process/share.rs
@@ -9,9 +9,9 @@
 //! largest cap of it that is in force anywhere:
 //! - a process uses its part only while [`slot`](super::slot) says that it
 //!   holds its name's slot, and heard so lately;
-//! - it divides by the smallest part of all layouts of the last [`SETTLE`], and
+//! - it divides by the smallest part of all layouts of the last [`SETTLING_TIME`], and
 //!   of older ones while some of their instances aren't heard of;
-//! - it uses no part within [`SETTLE`] of its start or of a lapse, since it
+//! - it uses no part within [`SETTLING_TIME`] of its start or of a lapse, since it
 //!   may know of too few layouts, and its predecessor may have lent;
 //! - what it lends it doesn't use itself.
 
@@ -37,39 +37,40 @@
 
 /// Time for which a word of control that the slot is held counts. Control says
 /// it every two seconds; one that hangs must not leave the part in use.
-pub const FRESH: Duration = Duration::from_secs(3);
+pub const HOLD_TTL: Duration = Duration::from_secs(3);
 
 /// Time within which a version is in force at all instances within reach.
-pub const IN_FORCE: Duration = Duration::from_secs(7);
+pub const ROLLOUT_TIME_MAX: Duration = Duration::from_secs(7);
 
 /// Longest lapse of the hold after which the part counts again at once.
-pub const LAPSE: Duration = Duration::from_secs(5);
+pub const HOLD_LAPSE_MAX: Duration = Duration::from_secs(5);
 
 /// Age that the newest version of an instance that uses its part may have: it
-/// got it within [`IN_FORCE`] before its last confirmation, lapsed, and gets
-/// the next within [`IN_FORCE`].
-pub const STALE: Duration = Duration::from_secs(24);
+/// got it within [`ROLLOUT_TIME_MAX`] before its last confirmation, lapsed, and gets
+/// the next within [`ROLLOUT_TIME_MAX`].
+pub const VERSION_AGE_MAX: Duration = Duration::from_secs(24);
 
 const _: () = assert!(
-    STALE.as_secs() == 2 * IN_FORCE.as_secs() + CONFIRMATION_TTL.as_secs() + LAPSE.as_secs(),
-    "STALE is the sum of what makes a version stale"
+    VERSION_AGE_MAX.as_secs()
+        == 2 * ROLLOUT_TIME_MAX.as_secs() + CONFIRMATION_TTL.as_secs() + HOLD_LAPSE_MAX.as_secs(),
+    "VERSION_AGE_MAX is the sum of what makes a version stale"
 );
 
 /// Time for which a layout counts after the next one came: an instance that
-/// missed it may be [`STALE`], and one that divides by it as well.
-pub const SETTLE: Duration = Duration::from_secs(2 * STALE.as_secs());
+/// missed it may be [`VERSION_AGE_MAX`], and one that divides by it as well.
+pub const SETTLING_TIME: Duration = Duration::from_secs(2 * VERSION_AGE_MAX.as_secs());
 
 /// Time for which a layout counts after the next one came as long as one of
 /// its instances isn't heard of: it may be cut off with a neighbour and divide
 /// by the old layout still. Longer than regions lose each other for; an
 /// instance that stays away longer is taken for dead.
-pub const RESERVE: Duration = Duration::from_mins(15);
+pub const RESERVATION_TIME_MAX: Duration = Duration::from_mins(15);
 
 /// Time between two tries to borrow for the same route.
-const ASK_PAUSE: Duration = Duration::from_millis(250);
+const LOAN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Part of what a lender has free that it lends at a time: one in this many.
-const LEND_PART: u64 = 2;
+const LOAN_DIVISOR: u64 = 2;
 
 /// Switches of the safeguards, all on in a live process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -180,9 +181,9 @@
     /// Control says whether this process holds its slot.
     pub fn hold(&mut self, now: Time, held: bool) {
         if held {
-            let lapsed = |last: Time| now.since(last) > LAPSE;
+            let lapsed = |last: Time| now.since(last) > HOLD_LAPSE_MAX;
             if self.hold.last.is_none_or(lapsed) {
-                self.settled = Some(now + SETTLE);
+                self.settled = Some(now + SETTLING_TIME);
             }
             self.hold.last = Some(now);
         }
@@ -251,7 +252,7 @@
             return Wish::default();
         };
         let last = cell.asked.last();
-        if last.is_some_and(|asked| now.since(asked) < ASK_PAUSE) {
+        if last.is_some_and(|asked| now.since(asked) < LOAN_REQUEST_INTERVAL) {
             return Wish::default();
         }
         Wish {
@@ -269,16 +270,20 @@
             return 0;
         };
         // One that lacks room itself would lend what it asks others for.
-        let asks = |asked: Time| now.since(asked) < loan::TERM;
+        let asks = |asked: Time| now.since(asked) < loan::BORROWER_TERM;
         if cell.asked.last().is_some_and(asks) {
             return 0;
         }
         // Only its own part: what is borrowed has to go back in time.
         let own = cell.part.saturating_sub(cell.lent.sum(now));
         let free = own.saturating_sub(cell.window.used(now));
-        let amount = wanted.min(free.div_ceil(LEND_PART));
+        let amount = wanted.min(free.div_ceil(LOAN_DIVISOR));
         if amount > 0 {
-            let away = if terms { loan::AWAY } else { Duration::ZERO };
+            let away = if terms {
+                loan::LENDER_TERM
+            } else {
+                Duration::ZERO
+            };
             cell.lent.add(amount, now + away);
         }
         amount
@@ -292,7 +297,7 @@
             return;
         };
         if cell.asked.close(asked) || !once {
-            cell.borrowed.add(amount, asked + loan::TERM);
+            cell.borrowed.add(amount, asked + loan::BORROWER_TERM);
         }
     }
 
@@ -322,7 +327,7 @@
     }
 
     fn is_held(&self, now: Time) -> bool {
-        let fresh = |last: Time| now.since(last) <= FRESH;
+        let fresh = |last: Time| now.since(last) <= HOLD_TTL;
         !self.guards.held || (self.hold.on && self.hold.last.is_some_and(fresh))
     }
 
@@ -339,7 +344,7 @@
         let limit = self.limit(now, route);
         match self.cell(route) {
             Some(cell) if limit >= amount => cell.window.wait(now, limit - amount),
-            _ => window::SPAN,
+            _ => window::RATE_PERIOD,
         }
     }
 
@@ -355,9 +360,9 @@
     fn lay_out(&mut self, now: Time, era: Era) {
         match self.eras.last_mut() {
             Some(last) if last.layout == era.layout => return,
-            Some(last) => last.until = Some(now + SETTLE),
+            Some(last) => last.until = Some(now + SETTLING_TIME),
             // No layout was known before: what others divide by isn't either.
-            None => self.settled = self.settled.map(|s| s.max(now + SETTLE)),
+            None => self.settled = self.settled.map(|s| s.max(now + SETTLING_TIME)),
         }
         if !self.guards.transition {
             self.eras.clear();
--- a/crates/steer/src/process/share/cell.rs
+++ b/crates/steer/src/process/share/cell.rs
@@ -9,7 +9,7 @@
 use super::ramp::Ramp;
 use super::route::{Cap, Route};
 use super::window::Window;
-use super::{Guards, SETTLE};
+use super::{Guards, SETTLING_TIME};
 use crate::clock::Time;
 
 /// A cap and this process's part of it.
@@ -58,7 +58,7 @@
         let gone = *self.gone.get_or_insert(now);
         self.whole = 0;
         self.borrowed.clear();
-        (now.since(gone) < SETTLE).then_some(self)
+        (now.since(gone) < SETTLING_TIME).then_some(self)
     }
 
     pub fn limit(&mut self, now: Time, settled: bool, guards: Guards) -> u64 {
--- a/crates/steer/src/process/share/era.rs
+++ b/crates/steer/src/process/share/era.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use super::route::Layout;
-use super::{RESERVE, SETTLE};
+use super::{RESERVATION_TIME_MAX, SETTLING_TIME};
 use crate::clock::Time;
 use crate::version::view::View;
 
@@ -48,7 +48,7 @@
         if !self.looked {
             self.look(now, view);
         }
-        let late = now.since(until) + SETTLE >= RESERVE;
+        let late = now.since(until) + SETTLING_TIME >= RESERVATION_TIME_MAX;
         reserve && !late && !self.unheard.is_empty()
     }
 }
--- a/crates/steer/src/process/share/loan.rs
+++ b/crates/steer/src/process/share/loan.rs
@@ -11,11 +11,11 @@
 use crate::clock::Time;
 
 /// Time for which the borrower uses a loan, from before it asked.
-pub const TERM: Duration = Duration::from_secs(5);
+pub const BORROWER_TERM: Duration = Duration::from_secs(5);
 
 /// Time for which the lender does without, from when it lent: the term, the
 /// second over which use is summed, and a fifth for clocks that run apart.
-pub const AWAY: Duration = Duration::from_millis(7200);
+pub const LENDER_TERM: Duration = Duration::from_millis(7200);
 
 /// An amount until a time.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
     /// its answer brings back; times a little too early end a loan too early.
     pub fn open(&mut self, now: Time, count: usize) -> Vec<Time> {
         self.last = Some(now);
-        self.open.retain(|&asked| now.since(asked) < TERM);
+        self.open.retain(|&asked| now.since(asked) < BORROWER_TERM);
         let fresh: Vec<Time> = (0..count as u64)
             .map(|nth| now - Duration::from_micros(nth))
             .filter(|asked| !self.open.contains(asked))
--- a/crates/steer/src/process/share/ramp.rs
+++ b/crates/steer/src/process/share/ramp.rs
@@ -1,6 +1,6 @@
 //! Growth of a shift: the caches at the other end are cold.
 //!
-//! Invariant: the level rises from [`FLOOR`] to all over no less than the
+//! Invariant: the level rises from [`INITIAL_PPM`] to all over no less than the
 //! ramp's time in use, and only while use presses on it. A trickle doesn't warm
 //! a cache for a flood, so it must not open the way for one.
 
@@ -10,10 +10,10 @@
 use crate::clock::Time;
 
 /// All of a share, in parts of a million.
-const ALL: u64 = 1_000_000;
+const FULL_PPM: u64 = 1_000_000;
 
 /// Part of its share that a route may use when a shift begins.
-const FLOOR: u64 = ALL / 10;
+const INITIAL_PPM: u64 = FULL_PPM / 10;
 
 /// How far a shift has grown.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
     /// A shift that hasn't begun.
     pub const fn new(now: Time) -> Self {
         Self {
-            level: FLOOR,
+            level: INITIAL_PPM,
             touched: now,
         }
     }
@@ -40,16 +40,16 @@
         }
         let passed = u64::try_from(now.since(self.touched).as_micros()).unwrap_or(u64::MAX);
         let whole = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        let step = ratio(ALL, passed, whole);
+        let step = ratio(FULL_PPM, passed, whole);
         if step > 0 {
-            let presses = used.saturating_mul(2) >= ratio(all, self.level, ALL);
+            let presses = used.saturating_mul(2) >= ratio(all, self.level, FULL_PPM);
             self.level = if presses && used > 0 {
-                self.level.saturating_add(step).min(ALL)
+                self.level.saturating_add(step).min(FULL_PPM)
             } else {
-                self.level.saturating_sub(step).max(FLOOR)
+                self.level.saturating_sub(step).max(INITIAL_PPM)
             };
             self.touched = now;
         }
-        ratio(all, self.level, ALL).max(1).min(all)
+        ratio(all, self.level, FULL_PPM).max(1).min(all)
     }
 }
--- a/crates/steer/src/process/share/route.rs
+++ b/crates/steer/src/process/share/route.rs
@@ -14,10 +14,10 @@
 use crate::version::view::{Region, View};
 
 /// Part of a link that is kept for control messages, in percent.
-const RESERVE: u64 = 5;
+const CONTROL_RESERVE_PERCENT: u64 = 5;
 
 /// Part of a shift's cap that the callers' own region has: one in this many.
-const SENDERS: u64 = 4;
+const SENDER_DIVISOR: u64 = 4;
 
 /// What a cap is on. Named, so that it outlives a version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +82,7 @@
                 from: region(link.from),
                 to: region(link.to),
             },
-            whole: ratio(link.bits_per_s / 8, 100 - RESERVE, 100),
+            whole: ratio(link.bits_per_s / 8, 100 - CONTROL_RESERVE_PERCENT, 100),
             ramp: Duration::ZERO,
         });
     }
@@ -152,12 +152,12 @@
         match route {
             Route::Link { from, .. } if me.region == *from => self.split(me, whole),
             Route::Shift { from, to, .. } if me.region == *from => {
-                let senders = whole / SENDERS;
+                let senders = whole / SENDER_DIVISOR;
                 let alone = from == to || self.count(to) == 0;
                 self.split(me, if alone { whole } else { senders })
             }
             Route::Shift { from, to, .. } if me.region == *to => {
-                let senders = whole / SENDERS;
+                let senders = whole / SENDER_DIVISOR;
                 let alone = self.count(from) == 0;
                 self.split(me, if alone { whole } else { whole - senders })
             }
--- a/crates/steer/src/process/share/window.rs
+++ b/crates/steer/src/process/share/window.rs
@@ -9,19 +9,19 @@
 use crate::clock::Time;
 
 /// Time that a sum is over.
-pub const SPAN: Duration = Duration::from_secs(1);
+pub const RATE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Microseconds whose use is kept in one number.
-const SLICE: u64 = 50_000;
+const SLICE_MICROS: u64 = 50_000;
 
 /// Slices that a sum is over: one more than a second has, since the oldest is
 /// only partly within it.
-const SLICES: usize = 21;
+const SLICE_COUNT: usize = 21;
 
 /// Use within the last second, in slices.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    slices: [u64; SLICES],
+    slices: [u64; SLICE_COUNT],
     /// Number of the newest slice since the process's start.
     newest: u64,
 }
@@ -45,21 +45,21 @@
     pub fn wait(&mut self, now: Time, limit: u64) -> Duration {
         let mut used = self.used(now);
         let mut ages = 0;
-        while used > limit && ages < SLICES {
+        while used > limit && ages < SLICE_COUNT {
             // The oldest slice is the one after the newest in the ring.
             let oldest = self.slices[index(self.newest + 1 + ages as u64)];
             used = used.saturating_sub(oldest);
             ages += 1;
         }
-        let into = now.as_micros() % SLICE;
-        let whole = SLICE * ages as u64;
+        let into = now.as_micros() % SLICE_MICROS;
+        let whole = SLICE_MICROS * ages as u64;
         Duration::from_micros(whole.saturating_sub(into))
     }
 
     /// Drops slices that have left the second.
     fn turn(&mut self, now: Time) {
-        let slice = now.as_micros() / SLICE;
-        let passed = slice.saturating_sub(self.newest).min(SLICES as u64);
+        let slice = now.as_micros() / SLICE_MICROS;
+        let passed = slice.saturating_sub(self.newest).min(SLICE_COUNT as u64);
         for i in 0..passed {
             self.slices[index(slice - i)] = 0;
         }
@@ -68,5 +68,5 @@
 }
 
 fn index(slice: u64) -> usize {
-    usize::try_from(slice % SLICES as u64).unwrap_or_default()
+    usize::try_from(slice % SLICE_COUNT as u64).unwrap_or_default()
 }
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -172,7 +172,7 @@
         if let Some(link) = self.return_link(&arrival)
             && !self.outbox.admit(now, id, link, self.dispatch.shares())
         {
-            let after = Some(share::window::SPAN);
+            let after = Some(share::window::RATE_PERIOD);
             let refusal = if arrival.origin == arrival::Origin::Peer {
                 outcome::Refusal::not_run(outcome::Reason::Cap, after)
             } else {
--- a/crates/steer/tests/share_fleet.rs
+++ b/crates/steer/tests/share_fleet.rs
@@ -19,7 +19,10 @@
 use fleet::Place;
 use rstest::rstest;
 use steer::process::control::Safeguards;
-use steer::process::share::{self, FRESH, IN_FORCE, LAPSE, RESERVE, SETTLE, loan, window};
+use steer::process::share::{
+    self, HOLD_LAPSE_MAX, HOLD_TTL, RESERVATION_TIME_MAX, ROLLOUT_TIME_MAX, SETTLING_TIME, loan,
+    window,
+};
 use steer::process::slot::{self, CONFIRMATION_TTL};
 
 const CAP: u64 = 60;
@@ -29,7 +32,7 @@
 fn settled(domains: usize, nodes: usize, guards: share::Guards, control: Safeguards) -> Bench {
     let mut bench = Bench::new(domains, nodes, guards, control, 1);
     bench.commit(nodes, CAP);
-    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 20);
+    bench.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 20);
     let level = bench.level();
     assert!(level <= CAP && level * 10 >= CAP * 9, "{level}");
     for at in 0..nodes {
@@ -70,7 +73,7 @@
 fn replaced_predecessor_alive() {
     let mut bench = settled(3, 6, share::Guards::default(), Safeguards::default());
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 10);
     verdict(&bench, true);
     assert!(bench.took(bench.at("d0-0")) > 0);
 }
@@ -90,7 +93,7 @@
     let old = bench.at("d0-0");
     bench.hang(old);
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 10);
     verdict(&bench, on);
     assert!(bench.took(bench.at("d0-0")) > 0);
 }
@@ -119,7 +122,7 @@
     let old = bench.at("d0-0");
     bench.fleet.freeze(old);
     bench.replace("d0-0");
-    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 10);
     assert!(bench.took(bench.at("d0-0")) > 0);
     bench.fleet.thaw(old);
     bench.run(SECOND * 10);
@@ -141,11 +144,11 @@
     let mut bench = settled(3, 6, guards, control);
     let giver = bench.at("d0-0");
     bench.busy(giver, false);
-    bench.run(loan::TERM + SECOND * 3);
+    bench.run(loan::BORROWER_TERM + SECOND * 3);
     assert!(bench.lent() > 0);
     bench.fleet.stop(giver);
     bench.replace("d0-0");
-    bench.run(SETTLE + SECOND * 30);
+    bench.run(SETTLING_TIME + SECOND * 30);
     verdict(&bench, on);
     assert!(bench.took(bench.at("d0-0")) > 0);
 }
@@ -227,7 +230,7 @@
     bench.fleet.cuts.retain(|cut| *cut != cuts[0]);
     bench.run(SECOND * 3 / 2);
     bench.commit(5, CAP);
-    bench.run(SETTLE + SECOND * 30);
+    bench.run(SETTLING_TIME + SECOND * 30);
     verdict(&bench, on);
     // d1 hears of d2 again, and no longer reserves its parts.
     bench.fleet.cuts.clear();
@@ -256,7 +259,7 @@
     }
     bench.run(SECOND * 5);
     bench.fleet.cuts.clear();
-    bench.run(SETTLE + SECOND * 30);
+    bench.run(SETTLING_TIME + SECOND * 30);
     verdict(&bench, on);
     assert_eq!(bench.level(), CAP);
 }
@@ -288,7 +291,7 @@
     bench.fleet.cuts.extend(cuts);
     bench.run(SECOND * 10);
     bench.commit(2, CAP);
-    bench.run(SETTLE + SECOND * 10);
+    bench.run(SETTLING_TIME + SECOND * 10);
     bench.fleet.cuts.retain(|cut| *cut == store);
     bench.run(SECOND * 20);
     verdict(&bench, on);
@@ -312,7 +315,7 @@
     // d2 is all of the region that serves, and has three quarters.
     assert_eq!(bench.level(), 12 / 4 + CAP * 3 / 4);
     bench.fleet.cuts.clear();
-    bench.run(IN_FORCE + SECOND);
+    bench.run(ROLLOUT_TIME_MAX + SECOND);
     let level = bench.level();
     assert!(level <= 12, "{level}");
     verdict(&bench, true);
@@ -334,10 +337,10 @@
     let mut bench = settled(4, 8, guards, Safeguards::default());
     cut_off_d3(&mut bench);
     bench.commit(7, CAP);
-    bench.run(SETTLE + SECOND * 130);
+    bench.run(SETTLING_TIME + SECOND * 130);
     verdict(&bench, on);
     bench.fleet.cuts.clear();
-    bench.run(SETTLE * 2);
+    bench.run(SETTLING_TIME * 2);
     assert_eq!(bench.level(), CAP);
 }
 
@@ -361,10 +364,10 @@
     let dead = bench.at("d2-1");
     bench.fleet.kill(dead);
     bench.commit(5, CAP);
-    bench.run(SETTLE + SECOND * 10);
+    bench.run(SETTLING_TIME + SECOND * 10);
     // Region `b`, which serves, had three quarters for its two.
     assert_eq!(bench.level(), CAP / 4 + 23);
-    bench.run(RESERVE);
+    bench.run(RESERVATION_TIME_MAX);
     assert_eq!(bench.level(), CAP);
     verdict(&bench, true);
 }
@@ -378,7 +381,7 @@
     bench.run(SECOND * 10);
     assert!(bench.lent() > 0);
     bench.commit(6, 12);
-    bench.run(IN_FORCE + loan::TERM + window::SPAN);
+    bench.run(ROLLOUT_TIME_MAX + loan::BORROWER_TERM + window::RATE_PERIOD);
     let level = bench.level();
     assert!(level <= 12, "{level}");
     verdict(&bench, true);
@@ -399,7 +402,7 @@
 /// What a second's lapse costs: nothing.
 #[test]
 fn short_lapse_costs_nothing() {
-    assert!(LAPSE >= CONFIRMATION_TTL && FRESH < LAPSE);
+    assert!(HOLD_LAPSE_MAX >= CONFIRMATION_TTL && HOLD_TTL < HOLD_LAPSE_MAX);
     let mut bench = settled(3, 6, share::Guards::default(), Safeguards::default());
     let at = bench.at("d0-0");
     bench.fleet.freeze(at);
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/bench.rs
@@ -21,11 +21,11 @@
 /// Time between two looks at the fleet.
 pub const STEP: Duration = Duration::from_millis(10);
 /// Looks between two questions for loans.
-const ASK_STEPS: u64 = 30;
+const LOAN_REQUEST_STEPS: u64 = 30;
 
 /// Time for which a cap goes on counting after the last process has another:
 /// loans of it run out, and the second over which is summed.
-pub const LINGER: Duration = Duration::from_secs(6);
+pub const CAP_LINGER_TIME: Duration = Duration::from_secs(6);
 
 /// What the network does with loan messages.
 #[derive(Clone, Copy, Debug, Default)]
@@ -242,7 +242,7 @@
                 self.use_up(at);
             }
         }
-        if self.steps.is_multiple_of(ASK_STEPS) {
+        if self.steps.is_multiple_of(LOAN_REQUEST_STEPS) {
             for at in 0..self.procs.len() {
                 self.ask(at);
             }
@@ -397,7 +397,11 @@
         });
         let cap = caps.max().unwrap_or(0);
         self.caps.push_back((now, cap));
-        while self.caps.front().is_some_and(|c| now.since(c.0) > LINGER) {
+        while self
+            .caps
+            .front()
+            .is_some_and(|c| now.since(c.0) > CAP_LINGER_TIME)
+        {
             self.caps.pop_front();
         }
         let cap = self.caps.iter().map(|c| c.1).max().unwrap_or(0);
@@ -405,7 +409,7 @@
             while sum
                 .taken
                 .front()
-                .is_some_and(|t| now.since(t.0) > share::window::SPAN)
+                .is_some_and(|t| now.since(t.0) > share::window::RATE_PERIOD)
             {
                 sum.now -= sum.taken.pop_front().map_or(0, |t| t.1);
             }
--- a/crates/steer/tests/share_model/histories.rs
+++ b/crates/steer/tests/share_model/histories.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steer::process::control::Safeguards;
-use steer::process::share::{self, SETTLE};
+use steer::process::share::{self, SETTLING_TIME};
 use steer::process::slot;
 
 use super::bench::{Bench, Net};
@@ -24,7 +24,7 @@
         delay: SECOND,
     };
     bench.commit(7, CAP);
-    bench.run(slot::QUARANTINE_TIME + SETTLE + SECOND * 10);
+    bench.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 10);
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut left = SECOND * 20;
     for _ in 0..120 {
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -9,13 +9,13 @@
 use proptest::prelude::*;
 use steer::clock::Time;
 use steer::process::outbox::{Last, Outbox};
-use steer::process::share::window::{SPAN, Window};
-use steer::process::share::{Guards, Route, SETTLE, Shares, loan};
+use steer::process::share::window::{RATE_PERIOD, Window};
+use steer::process::share::{Guards, Route, SETTLING_TIME, Shares, loan};
 use steer::request::answer::Answer;
 use steer::request::arrival::RequestId;
 use world::Plan;
 
-const START: Time = Time::from_micros(SETTLE.as_secs() * 1_000_000);
+const START: Time = Time::from_micros(SETTLING_TIME.as_secs() * 1_000_000);
 
 /// Shares that have held their slot for long enough.
 fn shares(plan: &Plan, name: &str, guards: Guards) -> Shares {
@@ -40,7 +40,7 @@
     let within = |from: Time| {
         taken
             .iter()
-            .filter(move |t| t.0 >= from && t.0 <= from + SPAN)
+            .filter(move |t| t.0 >= from && t.0 <= from + RATE_PERIOD)
     };
     let sums = taken.iter().map(|t| within(t.0).map(|w| w.1).sum());
     sums.max().unwrap_or(0)
@@ -83,7 +83,7 @@
         }
         let wait = window.wait(now, limit);
         prop_assert!(window.used(now + wait) <= limit);
-        prop_assert!(wait <= SPAN + Duration::from_millis(50));
+        prop_assert!(wait <= RATE_PERIOD + Duration::from_millis(50));
     }
 
     #[test]
@@ -152,9 +152,9 @@
     for shares in [&mut lender, &mut borrower] {
         hold(shares, START, after(7200));
     }
-    assert_eq!(borrower.limit(START + loan::TERM, &route), 50);
-    assert_eq!(lender.limit(START + loan::TERM, &route), 25);
-    assert_eq!(lender.limit(START + loan::AWAY, &route), 50);
+    assert_eq!(borrower.limit(START + loan::BORROWER_TERM, &route), 50);
+    assert_eq!(lender.limit(START + loan::BORROWER_TERM, &route), 25);
+    assert_eq!(lender.limit(START + loan::LENDER_TERM, &route), 50);
 }
 
 /// The network delivers the lender's answer twice. The lender took 25 from its
@@ -191,7 +191,7 @@
     let (plan, route) = pair(100);
     let mut borrower = shares(&plan, "e001", Guards::default());
     let wish = borrower.want(START, &route, 1, 2);
-    let late = START + loan::TERM;
+    let late = START + loan::BORROWER_TERM;
     hold(&mut borrower, START, late);
     borrower.borrow(wish.asked[0], &route, 25);
     borrower.borrow(wish.asked[1], &route, 25);
@@ -260,8 +260,8 @@
     shares.hold(after(1000), false);
     shares.hold(after(6000), true);
     assert_eq!(shares.limit(after(6000), &route), limit);
-    hold(&mut shares, after(6000), after(6000) + SETTLE);
-    assert_eq!(shares.limit(after(6000) + SETTLE, &route), 50);
+    hold(&mut shares, after(6000), after(6000) + SETTLING_TIME);
+    assert_eq!(shares.limit(after(6000) + SETTLING_TIME, &route), 50);
 }
 
 /// A shift has carried a request now and then for long. Its caches are as cold
@@ -276,7 +276,7 @@
     for _ in 0..120 {
         hold(&mut shares, now, now);
         assert_eq!(shares.take(now, &[(&route, 1)]), Ok(()));
-        now = now + SPAN;
+        now = now + RATE_PERIOD;
     }
     hold(&mut shares, now, now);
     assert_eq!(shares.limit(now, &route), 100);
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -10,7 +10,7 @@
 use steer::clock::Time;
 use steer::process::dispatch::{AttemptOutcome, Destination, Identity};
 use steer::process::gate::Limits;
-use steer::process::share::{Guards, SETTLE, window};
+use steer::process::share::{Guards, SETTLING_TIME, window};
 use steer::process::traffic::{Action, Event, TICK, Traffic};
 use steer::request::answer::Answer;
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
@@ -21,7 +21,7 @@
 /// Time that a target takes, and a peer of another region.
 const WORK: Duration = Duration::from_millis(50);
 const FAR: Duration = Duration::from_millis(120);
-const SECOND: Duration = window::SPAN;
+const SECOND: Duration = window::RATE_PERIOD;
 
 /// One instance of region `a`, its targets and its peers.
 struct Engine {
@@ -67,7 +67,7 @@
             log: Log::default(),
         };
         engine.feed(Event::View(plan.build(1)));
-        engine.run(SETTLE + SECOND);
+        engine.run(SETTLING_TIME + SECOND);
         engine
     }
 
