--- a/crates/measure/src/shift/cost.rs
+++ b/crates/measure/src/shift/cost.rs
@@ -58,13 +58,13 @@
         black_box(shares.clone());
     });
     let now = Time::ZERO + SETTLING_TIME;
-    shares.hold(Time::ZERO, true);
+    shares.set_slot_held(Time::ZERO, true);
     let mut held = Time::ZERO;
     while held < now {
         held = held + Duration::from_secs(2);
-        shares.hold(held, true);
+        shares.set_slot_held(held, true);
     }
-    let routes: Vec<Route> = shares.rows(now).into_iter().map(|r| r.0).collect();
+    let routes: Vec<Route> = shares.usage(now).into_iter().map(|r| r.0).collect();
     let mut at = 0;
     let take = time(ROUNDS * 1000, || {
         at = (at + 7) % routes.len();
--- a/crates/steer/src/process/dispatch.rs
+++ b/crates/steer/src/process/dispatch.rs
@@ -100,7 +100,7 @@
                 attempt,
                 outcome,
             } => self.ended(now, id, attempt, outcome, out),
-            Event::SlotHeld(held) => self.shares.hold(now, held),
+            Event::SlotHeld(held) => self.shares.set_slot_held(now, held),
             Event::LoanGranted {
                 route,
                 amount,
--- a/crates/steer/src/process/dispatch/caps.rs
+++ b/crates/steer/src/process/dispatch/caps.rs
@@ -121,7 +121,7 @@
             from: Arc::clone(&self.view.regions[here].name),
             to: Arc::clone(&self.view.regions[there].name),
         };
-        if !self.shares.has(&link) {
+        if !self.shares.has_cap(&link) {
             // The configuration has no cap on this link.
             return Ok(());
         }
@@ -134,7 +134,7 @@
         let taken = self.shares.take(now, uses);
         if taken.is_err() {
             for &(route, amount) in uses {
-                if self.shares.room(now, route) < amount {
+                if self.shares.available(now, route) < amount {
                     self.request_loans(now, route, amount);
                 }
             }
@@ -144,8 +144,8 @@
 
     /// Requests loans from a few random instances with a share of the same cap.
     fn request_loans(&mut self, now: Time, route: &Route, amount: u64) {
-        let wish = self.shares.want(now, route, amount, LENDERS_MAX);
-        if wish.asked.is_empty() {
+        let request = self.shares.request_loan(now, route, amount, LENDERS_MAX);
+        if request.asked_at.is_empty() {
             return;
         }
         let regions = match route {
@@ -161,11 +161,11 @@
         };
         let lenders: Vec<Member> = view.members.keys().filter(is_lender).collect();
         let lenders = self.rng.choose_multiple(lenders, LENDERS_MAX);
-        for (lender, asked) in lenders.into_iter().zip(wish.asked) {
+        for (lender, asked) in lenders.into_iter().zip(request.asked_at) {
             self.loan_requests.push(Action::Borrow {
                 peer: view.members[lender].peer,
                 route: route.clone(),
-                amount: wish.amount,
+                amount: request.amount,
                 asked_at: asked,
             });
         }
--- a/crates/steer/src/process/outbox.rs
+++ b/crates/steer/src/process/outbox.rs
@@ -192,6 +192,6 @@
     if held.paid == 0 && due <= shares.limit(now, &held.link) {
         return shares.take(now, &[(&held.link, due)]).is_ok();
     }
-    held.paid += shares.take_some(now, &held.link, due);
+    held.paid += shares.take_up_to(now, &held.link, due);
     held.due() == 0
 }
--- a/crates/steer/src/process/share.rs
+++ b/crates/steer/src/process/share.rs
@@ -179,7 +179,7 @@
     }
 
     /// Control says whether this process holds its slot.
-    pub fn hold(&mut self, now: Time, held: bool) {
+    pub fn set_slot_held(&mut self, now: Time, held: bool) {
         if held {
             let lapsed = |last: Time| now.since(last) > HOLD_LAPSE_MAX;
             if self.hold.last.is_none_or(lapsed) {
@@ -198,7 +198,7 @@
     pub fn take(&mut self, now: Time, uses: &[(&Route, u64)]) -> Result<(), Duration> {
         let mut wait = None;
         for &(route, amount) in uses {
-            let room = self.room(now, route);
+            let room = self.available(now, route);
             if room < amount {
                 let after = self.wait(now, route, amount);
                 wait = Some(wait.map_or(after, |w: Duration| w.max(after)));
@@ -214,8 +214,8 @@
     }
 
     /// Takes what there is room for of a route, up to `most`; returns it.
-    pub fn take_some(&mut self, now: Time, route: &Route, most: u64) -> u64 {
-        let amount = self.room(now, route).min(most);
+    pub fn take_up_to(&mut self, now: Time, route: &Route, most: u64) -> u64 {
+        let amount = self.available(now, route).min(most);
         if amount > 0 {
             self.add(now, route, amount);
         }
@@ -223,7 +223,7 @@
     }
 
     /// What may still be used of a route within this second.
-    pub fn room(&mut self, now: Time, route: &Route) -> u64 {
+    pub fn available(&mut self, now: Time, route: &Route) -> u64 {
         let limit = self.limit(now, route);
         let Some(cell) = self.cell(route) else {
             return 0;
@@ -246,18 +246,24 @@
     /// Asks up to `lenders` others for a loan of at least `amount`: when each
     /// is asked, and for how much. Nothing if none is wanted now: others are
     /// asked at most once in a while for each route.
-    pub fn want(&mut self, now: Time, route: &Route, amount: u64, lenders: usize) -> Wish {
+    pub fn request_loan(
+        &mut self,
+        now: Time,
+        route: &Route,
+        amount: u64,
+        lenders: usize,
+    ) -> LoanRequest {
         let held = self.is_held(now);
         let Some(cell) = self.cell(route).filter(|c| held && c.gone.is_none()) else {
-            return Wish::default();
+            return LoanRequest::default();
         };
         let last = cell.asked.last();
         if last.is_some_and(|asked| now.since(asked) < LOAN_REQUEST_INTERVAL) {
-            return Wish::default();
+            return LoanRequest::default();
         }
-        Wish {
+        LoanRequest {
             amount: cell.part.max(amount),
-            asked: cell.asked.open(now, lenders),
+            asked_at: cell.asked.open(now, lenders),
         }
     }
 
@@ -303,13 +309,13 @@
 
     /// Whether the configuration has a cap on a route.
     #[must_use]
-    pub fn has(&self, route: &Route) -> bool {
+    pub fn has_cap(&self, route: &Route) -> bool {
         let found = self.cells.binary_search_by(|c| c.route.cmp(route));
         found.is_ok_and(|at| self.cells[at].gone.is_none())
     }
 
     /// All routes with their limits and use, for dumps.
-    pub fn rows(&mut self, now: Time) -> Vec<(Route, u64, u64)> {
+    pub fn usage(&mut self, now: Time) -> Vec<(Route, u64, u64)> {
         self.expire(now);
         let held = self.is_held(now);
         let settled = self.is_settled(now);
@@ -416,11 +422,11 @@
 
 /// A loan that is wanted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct LoanRequest {
     /// How much each lender is asked for.
     pub amount: u64,
     /// When each is asked; its answer brings the time back.
-    pub asked: Vec<Time>,
+    pub asked_at: Vec<Time>,
 }
 
 /// Whether two views have the same caps, divided in the same way.
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -217,7 +217,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn share_rows(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     /// The dispatcher, for counts and dumps.
@@ -228,7 +228,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn caps(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     fn handle_gate(&mut self, now: clock::Time, event: gate::Event) {
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/bench.rs
@@ -282,7 +282,8 @@
         if node.published != proc.published {
             proc.published = node.published;
             let shown = node.shown.as_ref().expect("published");
-            proc.shares.hold(now, shown.share.divisor.is_some());
+            proc.shares
+                .set_slot_held(now, shown.share.divisor.is_some());
         }
     }
 
@@ -293,7 +294,7 @@
             return;
         }
         for (nth, route) in self.routes.iter().enumerate() {
-            let amount = proc.shares.take_some(now, route, u64::MAX);
+            let amount = proc.shares.take_up_to(now, route, u64::MAX);
             if amount > 0 {
                 let sum = &mut self.sums[nth];
                 sum.taken.push_back((self.fleet.now, amount));
@@ -310,14 +311,14 @@
         }
         let now = self.own(at);
         for route in self.routes.clone() {
-            let wish = self.procs[at].shares.want(now, &route, 1, 2);
+            let request = self.procs[at].shares.request_loan(now, &route, 1, 2);
             let others: Vec<usize> = (0..self.procs.len()).filter(|&o| o != at).collect();
-            let lenders = self.rng.choose_multiple(others, wish.asked.len());
-            for (to, asked) in lenders.into_iter().zip(wish.asked) {
+            let lenders = self.rng.choose_multiple(others, request.asked_at.len());
+            for (to, asked) in lenders.into_iter().zip(request.asked_at) {
                 let loan = Loan::Wanted {
                     from: at,
                     route: route.clone(),
-                    amount: wish.amount,
+                    amount: request.amount,
                     asked,
                 };
                 self.post(at, to, &loan);
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -29,10 +29,10 @@
 fn hold(shares: &mut Shares, from: Time, until: Time) {
     let mut now = from;
     while now < until {
-        shares.hold(now, true);
+        shares.set_slot_held(now, true);
         now = now + Duration::from_secs(2);
     }
-    shares.hold(until, true);
+    shares.set_slot_held(until, true);
 }
 
 /// The most that was taken in any second, closed at both ends.
@@ -143,10 +143,10 @@
     let (plan, route) = pair(100);
     let mut lender = shares(&plan, "e000", Guards::default());
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let wish = borrower.want(START, &route, 1, 1);
-    let amount = lender.lend(START, &route, wish.amount);
-    borrower.borrow(wish.asked[0], &route, amount);
-    assert_eq!((wish.amount, amount), (50, 25));
+    let request = borrower.request_loan(START, &route, 1, 1);
+    let amount = lender.lend(START, &route, request.amount);
+    borrower.borrow(request.asked_at[0], &route, amount);
+    assert_eq!((request.amount, amount), (50, 25));
     assert_eq!(lender.limit(START, &route), 25);
     assert_eq!(borrower.limit(START, &route), 75);
     for shares in [&mut lender, &mut borrower] {
@@ -169,9 +169,9 @@
         ..Guards::default()
     };
     let mut borrower = shares(&plan, "e001", guards);
-    let wish = borrower.want(START, &route, 1, 1);
-    borrower.borrow(wish.asked[0], &route, 25);
-    borrower.borrow(wish.asked[0], &route, 25);
+    let request = borrower.request_loan(START, &route, 1, 1);
+    borrower.borrow(request.asked_at[0], &route, 25);
+    borrower.borrow(request.asked_at[0], &route, 25);
     assert_eq!(borrower.limit(START, &route), limit);
 }
 
@@ -180,8 +180,8 @@
     let (plan, route) = pair(100);
     let mut lender = shares(&plan, "e000", Guards::default());
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let wish = borrower.want(START, &route, 1, 1);
-    assert_eq!(lender.lend(START, &route, wish.amount), 25);
+    let request = borrower.request_loan(START, &route, 1, 1);
+    assert_eq!(lender.lend(START, &route, request.amount), 25);
     let sum = lender.limit(START, &route) + borrower.limit(START, &route);
     assert_eq!(sum, 75);
 }
@@ -190,11 +190,11 @@
 fn loan_late_ignored() {
     let (plan, route) = pair(100);
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let wish = borrower.want(START, &route, 1, 2);
+    let request = borrower.request_loan(START, &route, 1, 2);
     let late = START + loan::BORROWER_TERM;
     hold(&mut borrower, START, late);
-    borrower.borrow(wish.asked[0], &route, 25);
-    borrower.borrow(wish.asked[1], &route, 25);
+    borrower.borrow(request.asked_at[0], &route, 25);
+    borrower.borrow(request.asked_at[1], &route, 25);
     assert_eq!(borrower.limit(late, &route), 50);
 }
 
@@ -257,8 +257,8 @@
         ..Guards::default()
     };
     let mut shares = shares(&plan, "e000", guards);
-    shares.hold(after(1000), false);
-    shares.hold(after(6000), true);
+    shares.set_slot_held(after(1000), false);
+    shares.set_slot_held(after(6000), true);
     assert_eq!(shares.limit(after(6000), &route), limit);
     hold(&mut shares, after(6000), after(6000) + SETTLING_TIME);
     assert_eq!(shares.limit(after(6000) + SETTLING_TIME, &route), 50);
@@ -406,9 +406,9 @@
     for millis in (0..8_000).step_by(10) {
         let now = after(millis);
         hold(&mut shares, now, now);
-        let before = shares.room(now, &link);
+        let before = shares.available(now, &link);
         let free = outbox.release(now, &mut shares);
-        taken.push((now, before - shares.room(now, &link)));
+        taken.push((now, before - shares.available(now, &link)));
         if !free.is_empty() {
             left = Some(millis);
         }
