--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -134,7 +134,7 @@
                         },
                     );
                 }
-                gate::Action::Run(_) => self.feed(now, gate::Event::Settled { id, verdict }),
+                gate::Action::Run(_) => self.feed(now, gate::Event::Completed { id, verdict }),
                 _ => {}
             }
         }
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -104,7 +104,7 @@
     pub fn handle(&mut self, now: clock::Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
-            Event::Settled { id, verdict } => self.settled(id, verdict, out),
+            Event::Completed { id, verdict } => self.completed(id, verdict, out),
             Event::Forwarded { id, outcome } => self.forwarded(now, id, outcome, out),
             Event::AskEnded { ask, reply } => self.ask_ended(now, ask, reply, out),
             Event::PeerAsked { ask, question } => {
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -44,7 +44,7 @@
     /// A request arrived.
     Arrive(arrival::Arrival),
     /// The dispatcher is done with a request that the gate had it run.
-    Settled {
+    Completed {
         /// The request.
         id: arrival::RequestId,
         /// What became of it.
--- a/crates/steer/src/process/gate/owner.rs
+++ b/crates/steer/src/process/gate/owner.rs
@@ -308,7 +308,7 @@
     }
 
     /// The dispatcher is done with a request.
-    pub(super) fn settled(
+    pub(super) fn completed(
         &mut self,
         id: arrival::RequestId,
         verdict: message::Verdict,
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -317,11 +317,11 @@
         match action {
             dispatch::Action::Reply { id, answer } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Answered(answer);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             dispatch::Action::Refuse { id, refusal } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Refused(refusal);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             other => out.push(other.into()),
         }
