--- a/crates/steer/src/process/outbox.rs
+++ b/crates/steer/src/process/outbox.rs
@@ -195,6 +195,6 @@
     if queued.reserved == 0 && remaining <= shares.limit(now, &queued.link) {
         return shares.take(now, &[(&queued.link, remaining)]).is_ok();
     }
-    queued.reserved += shares.take_some(now, &queued.link, remaining);
+    queued.reserved += shares.take_up_to(now, &queued.link, remaining);
     queued.remaining() == 0
 }
