--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -137,10 +137,10 @@
     if status.is_informational() {
         return AttemptOutcome::InvalidResponse;
     }
-    if info.not_run {
+    if info.is_not_run {
         return AttemptOutcome::NotRun;
     }
-    if status.is_success() && (!info.sealed || info.encoded) {
+    if status.is_success() && (!info.has_seal || info.is_encoded) {
         return AttemptOutcome::InvalidResponse;
     }
     if status.is_server_error() || implies_not_run(status) {
@@ -174,7 +174,7 @@
     let mut fields = forwarded.headers.clone();
     fields.remove(TRANSFER_ENCODING);
     fields.remove(CONTENT_LENGTH);
-    headers::address(&mut fields, &assignment.target, remaining);
+    headers::set_target(&mut fields, &assignment.target, remaining);
     *request.headers_mut() = fields;
     Ok(request)
 }
--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -201,7 +201,7 @@
         }
         return meta.own_answer(&shared, "", StatusCode::NOT_FOUND, "no-route");
     };
-    let credential = headers::presented(request.headers());
+    let credential = headers::credential(request.headers());
     let authorized = match shared.read(|now, d| d.access(now, &routes, &route, credential)) {
         Access::Open => None,
         Access::Granted(authorized) => Some(authorized),
@@ -217,11 +217,11 @@
     let mut fields = head.headers;
     headers::strip(&mut fields);
     if !routes.teams.is_empty() {
-        headers::authorize(&mut fields, authorized.as_ref().map(|p| &*p.team.name));
+        headers::replace_credential(&mut fields, authorized.as_ref().map(|p| &*p.team.name));
     }
     let team = authorized.as_ref().map(|p| Arc::clone(&p.team.name));
-    let max_wait = caller.patience.unwrap_or(DEFAULT_DEADLINE);
-    let object = caller.object.as_ref().filter(|_| route.has_affinity);
+    let max_wait = caller.timeout.unwrap_or(DEFAULT_DEADLINE);
+    let object = caller.affinity_key.as_ref().filter(|_| route.has_affinity);
     let object = object.map(|o| object_hash(&route, o.as_bytes()));
     let steer_request = Request {
         fingerprint: fingerprint(incoming.caller, &head.method, &head.uri, object, &body),
@@ -420,7 +420,7 @@
             Rejection::Denied => self.own_answer(StatusCode::UNAUTHORIZED, "key-taken-away"),
             Rejection::Quota => {
                 let mut response = self.own_answer(StatusCode::TOO_MANY_REQUESTS, "over-quota");
-                headers::come_back(response.headers_mut(), after);
+                headers::set_retry_after(response.headers_mut(), after);
                 response
             }
             Rejection::Overload => self.reject("overload", after),
@@ -432,7 +432,7 @@
     /// 503 with a retry delay, for a request that has not run and will not run.
     fn reject(&self, reason: &str, after: Duration) -> Response {
         let mut response = self.own_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
-        headers::come_back(response.headers_mut(), after);
+        headers::set_retry_after(response.headers_mut(), after);
         response
     }
 
@@ -464,7 +464,7 @@
         };
         events::own_answer(&self.shared, &answer);
         let mut response = server::empty_response(status);
-        headers::name(response.headers_mut(), self.forwarded.id.as_ref());
+        headers::set_request_id(response.headers_mut(), self.forwarded.id.as_ref());
         response
     }
 }
@@ -497,7 +497,7 @@
         };
         events::own_answer(shared, &answer);
         let mut response = server::empty_response(status);
-        headers::name(response.headers_mut(), id);
+        headers::set_request_id(response.headers_mut(), id);
         response
     }
 
@@ -505,7 +505,7 @@
     /// run.
     fn reject(&self, shared: &Shared, route: &str, reason: &str) -> Response {
         let mut response = self.own_answer(shared, route, StatusCode::SERVICE_UNAVAILABLE, reason);
-        headers::come_back(response.headers_mut(), DEFAULT_RETRY_AFTER);
+        headers::set_retry_after(response.headers_mut(), DEFAULT_RETRY_AFTER);
         response
     }
 }
--- a/crates/auburnrouter/src/direct/member.rs
+++ b/crates/auburnrouter/src/direct/member.rs
@@ -81,7 +81,7 @@
             if !self.shared.is_ready() {
                 return Ok(());
             }
-            let id = self.shared.store.lease(LEASE_TTL).await?;
+            let id = self.shared.store.grant_lease(LEASE_TTL).await?;
             *lock(&self.lease) = Some(Lease {
                 id,
                 is_written: false,
@@ -92,7 +92,7 @@
         if !lease.is_written || self.shared.take_unlisted() {
             return self.write(lease.id).await;
         }
-        let renewed = self.shared.store.keep(lease.id).await;
+        let renewed = self.shared.store.renew_lease(lease.id).await;
         self.drop_ended(renewed)
     }
 
@@ -112,7 +112,7 @@
 
     /// Forgets the lease if the store reports that it has ended.
     fn drop_ended(&self, result: Result<(), Error>) -> Result<(), Error> {
-        if matches!(result, Err(Error::NoLease)) {
+        if matches!(result, Err(Error::LeaseExpired)) {
             *lock(&self.lease) = None;
         }
         result
@@ -123,7 +123,7 @@
     pub async fn deregister(&self) {
         let lease = lock(&self.lease).take();
         if let Some(lease) = lease
-            && let Err(error) = self.shared.store.end(lease.id).await
+            && let Err(error) = self.shared.store.end_lease(lease.id).await
         {
             events::store_lost(&self.shared, "leave", &error.to_string());
         }
--- a/crates/auburnrouter/src/direct/queries.rs
+++ b/crates/auburnrouter/src/direct/queries.rs
@@ -11,7 +11,7 @@
 use hyper::body::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use platform::directory::{self, Call, Where};
+use platform::directory::{self, Call, Resolve};
 use smol::net;
 use steer::process::direct::members::Registration;
 
@@ -80,10 +80,10 @@
 }
 
 fn answer(shared: &Shared, uri: &Uri) -> Response {
-    match directory::call(uri.path(), uri.query()) {
-        Call::Ready if shared.is_ready() => server::empty_response(StatusCode::OK),
-        Call::Ready => server::empty_response(StatusCode::SERVICE_UNAVAILABLE),
-        Call::Where(from) => resolve(shared, &from),
+    match directory::parse_call(uri.path(), uri.query()) {
+        Call::Readiness if shared.is_ready() => server::empty_response(StatusCode::OK),
+        Call::Readiness => server::empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        Call::Resolve(from) => resolve(shared, &from),
         Call::Unknown => operator_response(shared, uri.path()),
     }
 }
@@ -130,13 +130,13 @@
 
 /// Directory answer: instances that the caller may connect to, and for how long it
 /// may use them; 503 if there are none.
-fn resolve(shared: &Shared, from: &Where) -> Response {
+fn resolve(shared: &Shared, from: &Resolve) -> Response {
     let addresses = addresses(shared, from);
     if addresses.is_empty() {
         return server::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl = DIRECTORY_TTL_MAX.min(shared.settings.bounds.lifetime);
-    let body = directory::found(&addresses, ttl.as_secs_f64());
+    let body = directory::resolution(&addresses, ttl.as_secs_f64());
     let mut response = Response::new(Bytes::from(body));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
@@ -147,7 +147,7 @@
 /// those in the host's home regions, else of all. Instances whose view of keys may be
 /// out of date are named only if there is no other: they still serve requests that
 /// need no key.
-fn addresses(shared: &Shared, from: &Where) -> Vec<SocketAddr> {
+fn addresses(shared: &Shared, from: &Resolve) -> Vec<SocketAddr> {
     let ready = shared.is_ready().then(|| shared.registration());
     let (mut candidates, home_regions) = shared.read(|now, direct| {
         let serving = direct.serving(now).map(|(_, instance)| instance.clone());
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -277,7 +277,7 @@
         let wait = self.shared.read(|now, d| d.watch_wait(now, WATCH_WAIT));
         let sent_at = self.shared.now();
         let watched = self.shared.store.watch(ALL_KEYS, known, wait).await;
-        if let Err(Error::Compacted | Error::Garbled(_)) = watched {
+        if let Err(Error::Compacted | Error::Malformed(_)) = watched {
             let result = list_and_watch(&self.shared).await;
             return self.apply_full(result);
         }
@@ -402,7 +402,7 @@
 /// empty value, so that no key is passed on.
 fn replica_item(shared: &Shared, item: platform::store::Item) -> Item {
     let value = match item.value {
-        Some(value) if item.key == document::KEY => match document::conceal(&value) {
+        Some(value) if item.key == document::KEY => match document::digest_keys(&value) {
             Ok(concealed) => Some(concealed),
             Err(error) => {
                 events::input_rejected(shared, &item.key, &error.to_string());
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -69,7 +69,7 @@
         if let Some(value) = value {
             install_config(shared, value);
         }
-    } else if let Some(domain) = key.strip_prefix(document::EVACUATE) {
+    } else if let Some(domain) = key.strip_prefix(document::EVACUATION_PREFIX) {
         let mut domains = shared.read(|_, d| d.roster.evacuated().to_vec());
         domains.retain(|d| **d != *domain);
         if value.is_some() {
--- a/crates/auburnrouter/tests/direct/answers.rs
+++ b/crates/auburnrouter/tests/direct/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use rstest::rstest;
 
 use super::harness::{Harness, wait_until};
@@ -16,7 +16,7 @@
     let harness = Harness::start(2);
     // The answer is lost at whichever target gets the request first.
     for target in &harness.targets {
-        target.set(Manner::Lose, Duration::ZERO);
+        target.set(Behavior::LoseAnswer, Duration::ZERO);
     }
     let targets = harness.targets.clone();
     let recovery = std::thread::spawn(move || {
@@ -25,7 +25,7 @@
         });
         for target in targets {
             if target.runs().is_empty() {
-                target.set(Manner::Well, Duration::ZERO);
+                target.set(Behavior::Normal, Duration::ZERO);
             }
         }
     });
@@ -45,14 +45,14 @@
 /// Answers of a target, and the status that the caller gets for each. A 503 without the
 /// not-run header becomes 502, as the request may have run.
 #[rstest]
-#[case::failure(Manner::Fail, 500)]
-#[case::false_promise(Manner::Unavailable, 502)]
-#[case::broken_off(Manner::Truncate, 502)]
-#[case::until_close(Manner::Unframed, 200)]
-#[case::rejected(Manner::Full, 503)]
-fn pass_answer_on(#[case] manner: Manner, #[case] status: u16) {
+#[case::failure(Behavior::Fail, 500)]
+#[case::false_promise(Behavior::Unavailable, 502)]
+#[case::broken_off(Behavior::Truncate, 502)]
+#[case::until_close(Behavior::Unframed, 200)]
+#[case::rejected(Behavior::Full, 503)]
+fn pass_answer_on(#[case] behavior: Behavior, #[case] status: u16) {
     let harness = Harness::start(1);
-    harness.targets[0].set(manner, Duration::ZERO);
+    harness.targets[0].set(behavior, Duration::ZERO);
     let answer = harness.entry.send("PUT", "/pay/x", "r1", "");
     assert_eq!(answer.status, status, "{answer:?}");
     if status == 200 {
@@ -72,7 +72,7 @@
 #[test]
 fn drop_connection_with_stray_answer() {
     let harness = Harness::start(1);
-    harness.targets[0].set(Manner::Extra, Duration::ZERO);
+    harness.targets[0].set(Behavior::ExtraAnswer, Duration::ZERO);
     for i in 0..30 {
         let id = format!("r{i}");
         let answer = harness.entry.send("GET", "/view/x", &id, "");
@@ -86,7 +86,7 @@
 #[test]
 fn pass_by_reused_address() {
     let harness = Harness::start(2);
-    harness.targets[0].rename("someone-else");
+    harness.targets[0].set_id("someone-else");
     for i in 0..6 {
         let answer = harness
             .entry
--- a/crates/auburnrouter/tests/direct/follow.rs
+++ b/crates/auburnrouter/tests/direct/follow.rs
@@ -18,7 +18,7 @@
     let added = Route {
         prefix: "/added/",
         service: "sheets",
-        safe: true,
+        is_idempotent: true,
     };
     harness.store.configure(9, HOST, &[added]);
     wait_until("the new route is in use", || {
@@ -234,7 +234,7 @@
     Route {
         prefix: "/added/",
         service: "sheets",
-        safe: true,
+        is_idempotent: true,
     }
 }
 
@@ -326,7 +326,7 @@
 #[test]
 fn start_from_old_list() {
     let mut harness = Harness::start(1);
-    harness.store.lag();
+    harness.store.freeze_stale_reads();
     harness.store.configure(9, HOST, &[added()]);
     harness.entry = Entry::start("far-1", "far-a", harness.store.addr(), &[]);
     harness.entry.await_ready();
@@ -364,7 +364,7 @@
     wait_until("the first instance is registered", || {
         !harness.store.keys("auburnrouter/instances/").is_empty()
     });
-    harness.store.withhold();
+    harness.store.withhold_full_lists();
     let late = Entry::start("near-2", "near-a", harness.store.addr(), &[]);
     late.await_ready();
     let first = wait_for_line(&late, "\"event\":\"upstream\"");
--- a/crates/auburnrouter/tests/direct/harness.rs
+++ b/crates/auburnrouter/tests/direct/harness.rs
@@ -27,12 +27,12 @@
     Route {
         prefix: "/view/",
         service: "sheets",
-        safe: true,
+        is_idempotent: true,
     },
     Route {
         prefix: "/pay/",
         service: "sheets",
-        safe: false,
+        is_idempotent: false,
     },
 ];
 
--- a/crates/auburnrouter/tests/direct/keys.rs
+++ b/crates/auburnrouter/tests/direct/keys.rs
@@ -18,7 +18,7 @@
         name: "masons",
         keys,
         rate,
-        homes: &[],
+        home_regions: &[],
     }
 }
 
@@ -28,7 +28,7 @@
         name: "office",
         keys: &[OTHER_KEY],
         rate: 0.0,
-        homes: &["far"],
+        home_regions: &["far"],
     }
 }
 
@@ -87,7 +87,7 @@
     assert_eq!(send(&harness.entry, "r1", &headers), 200);
     let runs = harness.runs();
     assert_eq!(runs[0].team.as_deref(), Some("masons"));
-    assert!(!runs[0].key);
+    assert!(!runs[0].has_key);
     assert_eq!(send(&harness.entry, "r2", &bearer("unheard-of-key")), 401);
     let lines = || {
         let lines = harness
--- a/crates/auburnrouter/tests/direct/pipeline.rs
+++ b/crates/auburnrouter/tests/direct/pipeline.rs
@@ -165,7 +165,7 @@
     let disconnected = Instant::now();
     drop(caller);
     wait_until("all targets are left alone", || {
-        harness.runs().iter().all(|r| r.left_alone)
+        harness.runs().iter().all(|r| r.is_abandoned)
     });
     assert!(
         disconnected.elapsed() < 500 * MS,
--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -6,7 +6,7 @@
 
 use platform_standin::Store;
 use platform_standin::store::Mode;
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use rstest::rstest;
 use rustix::process::Signal;
 
@@ -29,7 +29,7 @@
     assert_eq!(runs[0].method, "PUT");
     assert_eq!(runs[0].path, "/pay/a%20b/../c?d=e&f");
     assert_eq!(runs[0].body, b"the body");
-    assert!(runs[0].left.is_some_and(|left| left <= 2_500));
+    assert!(runs[0].deadline_ms.is_some_and(|left| left <= 2_500));
 }
 
 #[rstest]
@@ -123,7 +123,7 @@
 #[test]
 fn cancel_with_caller() {
     let harness = Harness::start(1);
-    harness.targets[0].set(Manner::Well, Duration::from_secs(10));
+    harness.targets[0].set(Behavior::Normal, Duration::from_secs(10));
     let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
     let text = request("GET", "/view/x", "r1", "");
     stream
@@ -132,7 +132,9 @@
     wait_until("the request runs", || !harness.runs().is_empty());
     let disconnected = Instant::now();
     drop(stream);
-    wait_until("the target is left alone", || harness.runs()[0].left_alone);
+    wait_until("the target is left alone", || {
+        harness.runs()[0].is_abandoned
+    });
     assert!(
         disconnected.elapsed() < 500 * MS,
         "{:?}",
--- a/crates/auburnrouter/tests/direct/stop.rs
+++ b/crates/auburnrouter/tests/direct/stop.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use rustix::process::Signal;
 
 use super::harness::{Harness, MS, read_answer, request, send_raw, wait_until};
@@ -14,7 +14,7 @@
 #[test]
 fn stop_without_a_cut() {
     let mut harness = Harness::start(1);
-    harness.targets[0].set(Manner::Well, 700 * MS);
+    harness.targets[0].set(Behavior::Normal, 700 * MS);
     let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
     let text = request("PUT", "/pay/x", "r1", "");
     stream
@@ -45,7 +45,7 @@
         harness.entry.send("GET", "/view/x", &format!("w{i}"), "");
     }
     for target in &harness.targets {
-        target.set(Manner::Well, 1_500 * MS);
+        target.set(Behavior::Normal, 1_500 * MS);
     }
     let before = harness.runs().len();
     let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
@@ -68,7 +68,7 @@
 fn stop_taking_requests_in_time_to_answer() {
     let mut harness = Harness::start(4);
     for target in &harness.targets {
-        target.set(Manner::Well, 1_200 * MS);
+        target.set(Behavior::Normal, 1_200 * MS);
     }
     harness.entry.signal(Signal::TERM);
     let mut threads = Vec::new();
--- a/crates/auburnrouter/tests/soak/world.rs
+++ b/crates/auburnrouter/tests/soak/world.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use platform_standin::store::{Mode, Route};
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use platform_standin::{Store, Target};
 use rustix::process::Signal;
 use serde_json::json;
@@ -130,7 +130,7 @@
         let domain = DOMAINS[number % DOMAINS.len()];
         let target =
             Target::start(&format!("t{number}"), "sheets", domain).expect("a port is free");
-        target.set(Manner::Well, 20 * MS);
+        target.set(Behavior::Normal, 20 * MS);
         self.ways.push(Proxy::start(target.addr()));
         self.targets.push(target);
         self.list(number, "ready", 1);
@@ -228,25 +228,25 @@
     }
 
     fn misbehave(&mut self, number: usize) {
-        let manners = [
-            Manner::Well,
-            Manner::Full,
-            Manner::Lose,
-            Manner::Lose,
-            Manner::Fail,
-            Manner::Unavailable,
-            Manner::Extra,
-            Manner::Truncate,
-            Manner::Unframed,
+        let behaviors = [
+            Behavior::Normal,
+            Behavior::Full,
+            Behavior::LoseAnswer,
+            Behavior::LoseAnswer,
+            Behavior::Fail,
+            Behavior::Unavailable,
+            Behavior::ExtraAnswer,
+            Behavior::Truncate,
+            Behavior::Unframed,
         ];
-        let manner = manners[self.rng.usize(0..manners.len())];
+        let behavior = behaviors[self.rng.usize(0..behaviors.len())];
         let work = Duration::from_millis(self.rng.u64(1..400));
-        self.targets[number].set(manner, work);
+        self.targets[number].set(behavior, work);
         self.later(End::Target(number));
         // All of a service at times, so that an attempt elsewhere meets it too.
         if self.rng.bool() {
             for other in 0..self.targets.len() {
-                self.targets[other].set(manner, work);
+                self.targets[other].set(behavior, work);
                 self.later(End::Target(other));
             }
         }
@@ -270,7 +270,7 @@
         let added = Route {
             prefix: "/added/",
             service: "sheets",
-            safe: true,
+            is_idempotent: true,
         };
         let mut routes = ROUTES.to_vec();
         if self.rng.bool() {
@@ -305,7 +305,7 @@
             End::Store => self.store.set(Mode::Up),
             End::Link(number) => self.links[number].set(Harm::None),
             End::Way(number) => self.ways[number].set(Harm::None),
-            End::Target(number) => self.targets[number].set(Manner::Well, 20 * MS),
+            End::Target(number) => self.targets[number].set(Behavior::Normal, 20 * MS),
             End::Domain(number) => {
                 let key = format!("op/evacuate/{}", DOMAINS[number]);
                 self.store.remove(&key);
@@ -319,7 +319,7 @@
             self.end(&end);
         }
         for target in &self.targets {
-            target.set(Manner::Well, 20 * MS);
+            target.set(Behavior::Normal, 20 * MS);
         }
     }
 
--- a/crates/demo/src/platform.rs
+++ b/crates/demo/src/platform.rs
@@ -7,7 +7,7 @@
 
 use auburnrouter::direct::{Failure, Instance};
 use platform_standin::store::{Route, Team};
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use platform_standin::{Store, Target};
 use settings::direct::{Listen, Settings};
 use thiserror::Error;
@@ -26,12 +26,12 @@
     Route {
         prefix: "/view/",
         service: "sheets",
-        safe: true,
+        is_idempotent: true,
     },
     Route {
         prefix: "/lodge/",
         service: "lodgement",
-        safe: false,
+        is_idempotent: false,
     },
 ];
 
@@ -41,13 +41,13 @@
         name: "masons",
         keys: &["masons-key"],
         rate: 0.0,
-        homes: &[],
+        home_regions: &[],
     },
     Team {
         name: "office",
         keys: &["office-key"],
         rate: 1.0,
-        homes: &[],
+        home_regions: &[],
     },
 ];
 
@@ -89,7 +89,7 @@
                 for i in 0..TARGETS {
                     let id = format!("{}-{domain}-{i}", route.service);
                     let target = Target::start(&id, route.service, domain)?;
-                    target.set(Manner::Well, WORK);
+                    target.set(Behavior::Normal, WORK);
                     target.register(&store, "ready", 1);
                 }
             }
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -24,7 +24,7 @@
 const ROUTES: [Route<'static>; 1] = [Route {
     prefix: "/view/",
     service: "sheets",
-    safe: true,
+    is_idempotent: true,
 }];
 
 /// Targets of 3 slots each; they answer at once.
