--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -70,9 +70,9 @@
     #[must_use]
     pub fn new(executor: Executor, bound: usize) -> Self {
         let limits = pool::Limits {
-            bound,
-            warm: WARM,
-            connect: CONNECT_TIME,
+            connections_max,
+            warm_connections: WARM,
+            connect_timeout: CONNECT_TIME,
         };
         Self {
             pool: pool::Pool::new(executor, limits),
@@ -83,12 +83,12 @@
     pub fn renew(&self, mut addrs: Vec<SocketAddr>) {
         addrs.sort_unstable();
         addrs.dedup();
-        self.pool.renew(&addrs);
+        self.pool.retain_addresses(&addrs);
     }
 
     /// Opens connections ahead of need and closes those idle too long.
     pub fn upkeep(&self) {
-        self.pool.upkeep();
+        self.pool.maintain();
     }
 
     /// Sends an attempt and waits for its end or for its budget to run out.
@@ -154,7 +154,7 @@
             Err(pool::Error::Full) => busy(),
             Err(pool::Error::Unsent) => dispatch::AttemptOutcome::Unreachable.into(),
             Err(pool::Error::Broken) => dispatch::AttemptOutcome::Broken.into(),
-            Err(pool::Error::Garbled) => dispatch::AttemptOutcome::BadAnswer.into(),
+            Err(pool::Error::Malformed) => dispatch::AttemptOutcome::BadAnswer.into(),
         }
     }
 }
--- a/crates/auburnrouter/src/direct.rs
+++ b/crates/auburnrouter/src/direct.rs
@@ -244,7 +244,7 @@
 async fn upkeep(shared: Arc<Shared>) {
     loop {
         smol::Timer::after(UPKEEP_INTERVAL).await;
-        shared.target_pool.upkeep();
+        shared.target_pool.maintain();
         let removed = shared.decide(|now, direct| direct.sweep(now));
         for id in removed {
             events::target_gone(&shared, &id);
--- a/crates/auburnrouter/src/direct/attempt.rs
+++ b/crates/auburnrouter/src/direct/attempt.rs
@@ -77,7 +77,7 @@
     let sent = if forwarded.is_idempotent {
         pool.send(assignment.addr, request).await
     } else {
-        pool.send_alone(assignment.addr, request).await
+        pool.send_dedicated(assignment.addr, request).await
     };
     let exchange = match sent {
         Ok(exchange) => exchange,
@@ -87,7 +87,7 @@
         Err(pool::Error::Broken) => {
             return Completion::without_answer(AttemptOutcome::ConnectionLost);
         }
-        Err(pool::Error::Garbled) => {
+        Err(pool::Error::Malformed) => {
             return Completion::without_answer(AttemptOutcome::InvalidResponse);
         }
     };
--- a/crates/auburnrouter/src/direct/shared.rs
+++ b/crates/auburnrouter/src/direct/shared.rs
@@ -103,9 +103,9 @@
         control: &Executor,
     ) -> Result<Self, Failure> {
         let limits = pool::Limits {
-            bound: CONNECTIONS_PER_ADDR_MAX,
-            warm: 0,
-            connect: CONNECT_TIMEOUT,
+            connections_max: CONNECTIONS_PER_ADDR_MAX,
+            warm_connections: 0,
+            connect_timeout: CONNECT_TIMEOUT,
         };
         let identity = Identity {
             name: Arc::clone(&settings.name),
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -35,12 +35,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Connections open to each address at a time.
-    pub bound: usize,
+    pub connections_max: usize,
     /// Connections kept open to each address ahead of need.
-    pub warm: usize,
+    pub warm_connections: usize,
     /// Time to open a connection. Where packets are dropped it is what tells
     /// "not sent" apart from "sent, and no answer in time".
-    pub connect: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// Why there is no answer's head.
@@ -57,31 +57,31 @@
     Broken,
     /// What came back is not HTTP.
     #[error("the answer can't be parsed; the request may have run")]
-    Garbled,
+    Malformed,
 }
 
 /// An open connection. Dropping it closes the socket, whatever is in flight.
-struct Link {
+struct HttpLink {
     sender: http1::SendRequest<Full<Bytes>>,
     /// Whether a request was sent on it.
-    used: bool,
+    is_used: bool,
     /// Moves the bytes; ends with the connection.
     _driver: smol::Task<()>,
 }
 
-type Busy = pool::Connection<Link, pool::Busy>;
+type Busy = pool::Connection<HttpLink, pool::Busy>;
 
 /// Counts a connection as open until it is given back or dropped.
-struct Seat {
+struct OpenSlot {
     pool: Arc<Pool>,
     addr: SocketAddr,
-    kept: bool,
+    is_returned: bool,
 }
 
-impl Drop for Seat {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
-        if !self.kept {
-            self.pool.closed(self.addr);
+        if !self.is_returned {
+            self.pool.release(self.addr);
         }
     }
 }
@@ -90,56 +90,60 @@
 pub struct Exchange {
     /// The head, and the body still to be read.
     pub response: hyper::Response<Incoming>,
-    first: bool,
+    is_first: bool,
     busy: Busy,
-    seat: Seat,
+    slot: OpenSlot,
 }
 
 /// What is left of an exchange while its body is read.
-pub struct Rest {
-    first: bool,
+pub struct PendingBody {
+    is_first: bool,
     busy: Busy,
-    seat: Seat,
+    slot: OpenSlot,
 }
 
 impl Exchange {
     /// The answer, apart from the connection it comes on.
     #[must_use]
-    pub fn split(self) -> (hyper::Response<Incoming>, Rest) {
+    pub fn split(self) -> (hyper::Response<Incoming>, PendingBody) {
         let Self {
             response,
-            first,
+            is_first,
             busy,
-            seat,
+            slot,
         } = self;
-        let rest = Rest { first, busy, seat };
-        (response, rest)
+        let pending = PendingBody {
+            is_first,
+            busy,
+            slot,
+        };
+        (response, pending)
     }
 }
 
-impl Rest {
+impl PendingBody {
     /// Whether the exchange was the first on its connection, so that nothing
     /// left over from an earlier one can have been taken for its answer.
     #[must_use]
     pub const fn is_first(&self) -> bool {
-        self.first
+        self.is_first
     }
 
     /// The answer was read to its end: the connection may be used again.
     pub fn put_back(self) {
-        let Self { busy, mut seat, .. } = self;
+        let Self { busy, mut slot, .. } = self;
         let idle = busy.into_idle();
-        seat.kept = true;
-        let pool = Arc::clone(&seat.pool);
+        slot.is_returned = true;
+        let pool = Arc::clone(&slot.pool);
         let now = pool.now();
-        pool.with(seat.addr, |kept| kept.put(now, idle));
+        pool.with(slot.addr, |connections| connections.put(now, idle));
     }
 }
 
 /// The connections to one address.
-struct Kept {
+struct AddressPool {
     addr: SocketAddr,
-    pool: pool::Pool<Link>,
+    pool: pool::Pool<HttpLink>,
 }
 
 /// Connections to all addresses, sorted by address.
@@ -147,7 +151,7 @@
     start: Instant,
     executor: Executor,
     limits: Limits,
-    kept: Mutex<Vec<Kept>>,
+    pools: Mutex<Vec<AddressPool>>,
 }
 
 impl Pool {
@@ -158,7 +162,7 @@
             start: Instant::now(),
             executor,
             limits,
-            kept: Mutex::new(Vec::new()),
+            pools: Mutex::new(Vec::new()),
         })
     }
 
@@ -174,24 +178,24 @@
     ) -> Result<Exchange, Error> {
         let mut request = request;
         loop {
-            let taken = self.with(addr, pool::Pool::take);
-            let (busy, fresh) = match taken {
+            let checkout = self.with(addr, pool::Pool::take);
+            let (busy, is_new) = match checkout {
                 pool::Checkout::Full => return Err(Error::Full),
                 pool::Checkout::Open(busy) => (Some(busy), false),
                 pool::Checkout::Permit => (None, true),
             };
-            let seat = Seat {
+            let slot = OpenSlot {
                 pool: Arc::clone(self),
                 addr,
-                kept: false,
+                is_returned: false,
             };
             let busy = match busy {
                 Some(busy) => busy,
                 None => pool::Connection::opened(self.connect(addr).await?),
             };
-            match exchange(busy, seat, request).await {
+            match exchange(busy, slot, request).await {
                 Ok(exchange) => return Ok(exchange),
-                Err((_, Some(unsent))) if !fresh => request = unsent,
+                Err((_, Some(unsent))) if !is_new => request = unsent,
                 Err((error, _)) => return Err(error),
             }
         }
@@ -203,7 +207,7 @@
     ///
     /// # Errors
     /// No head of an answer came; says whether the request may have left.
-    pub async fn send_alone(
+    pub async fn send_dedicated(
         self: &Arc<Self>,
         addr: SocketAddr,
         request: Request,
@@ -211,13 +215,13 @@
         match self.with(addr, pool::Pool::permit) {
             pool::Checkout::Full => Err(Error::Full),
             pool::Checkout::Open(_) | pool::Checkout::Permit => {
-                let seat = Seat {
+                let slot = OpenSlot {
                     pool: Arc::clone(self),
                     addr,
-                    kept: false,
+                    is_returned: false,
                 };
                 let busy = pool::Connection::opened(self.connect(addr).await?);
-                let answered = exchange(busy, seat, request).await;
+                let answered = exchange(busy, slot, request).await;
                 answered.map_err(|(error, _)| error)
             }
         }
@@ -225,46 +229,46 @@
 
     /// Keeps to these addresses, sorted, and drops the idle connections of
     /// all others.
-    pub fn renew(&self, addrs: &[SocketAddr]) {
-        let mut kept = self.lock();
-        kept.retain(|t| t.pool.open() > 0 && addrs.binary_search(&t.addr).is_ok());
-        drop(kept);
+    pub fn retain_addresses(&self, addrs: &[SocketAddr]) {
+        let mut pools = self.lock();
+        pools.retain(|p| p.pool.open() > 0 && addrs.binary_search(&p.addr).is_ok());
+        drop(pools);
         for &addr in addrs {
             self.with(addr, |_| ());
         }
     }
 
     /// Opens connections ahead of need and closes those idle too long.
-    pub fn upkeep(self: &Arc<Self>) {
+    pub fn maintain(self: &Arc<Self>) {
         let now = self.now();
         let mut wanted = Vec::new();
         let mut stale = Vec::new();
-        for kept in self.lock().iter_mut() {
-            stale.extend(kept.pool.expire(now));
-            if kept.pool.reserve_warm() {
-                wanted.push(kept.addr);
+        for entry in self.lock().iter_mut() {
+            stale.extend(entry.pool.expire(now));
+            if entry.pool.reserve_warm() {
+                wanted.push(entry.addr);
             }
         }
         drop(stale);
         for addr in wanted {
-            let all = Arc::clone(self);
+            let shared = Arc::clone(self);
             let warm = async move {
-                match all.connect(addr).await {
+                match shared.connect(addr).await {
                     Ok(link) => {
                         let idle = pool::Connection::warm(link);
-                        all.with(addr, |kept| kept.put(now, idle));
+                        shared.with(addr, |connections| connections.put(now, idle));
                     }
-                    Err(_) => all.closed(addr),
+                    Err(_) => shared.release(addr),
                 }
             };
             self.executor.spawn(warm).detach();
         }
     }
 
-    async fn connect(&self, addr: SocketAddr) -> Result<Link, Error> {
+    async fn connect(&self, addr: SocketAddr) -> Result<HttpLink, Error> {
         let opened = async { net::TcpStream::connect(addr).await.ok() };
         let late = async {
-            smol::Timer::after(self.limits.connect).await;
+            smol::Timer::after(self.limits.connect_timeout).await;
             None
         };
         let stream = future::or(opened, late).await.ok_or(Error::Unsent)?;
@@ -276,32 +280,37 @@
             // Whoever waits on the connection is told of its end.
             let _ = driver.await;
         });
-        Ok(Link {
+        Ok(HttpLink {
             sender,
-            used: false,
+            is_used: false,
             _driver: driver,
         })
     }
 
     /// A connection was closed. Its address may be gone from the list.
-    fn closed(&self, addr: SocketAddr) {
-        let mut kept = self.lock();
-        if let Ok(at) = kept.binary_search_by_key(&addr, |t| t.addr) {
-            kept[at].pool.release();
+    fn release(&self, addr: SocketAddr) {
+        let mut pools = self.lock();
+        if let Ok(at) = pools.binary_search_by_key(&addr, |p| p.addr) {
+            pools[at].pool.release();
         }
     }
 
-    fn with<T>(&self, addr: SocketAddr, work: impl FnOnce(&mut pool::Pool<Link>) -> T) -> T {
-        let mut kept = self.lock();
-        let at = match kept.binary_search_by_key(&addr, |t| t.addr) {
+    fn with<T>(
+        &self,
+        addr: SocketAddr,
+        operation: impl FnOnce(&mut pool::Pool<HttpLink>) -> T,
+    ) -> T {
+        let mut pools = self.lock();
+        let at = match pools.binary_search_by_key(&addr, |p| p.addr) {
             Ok(at) => at,
             Err(at) => {
-                let pool = pool::Pool::new(self.limits.bound, self.limits.warm);
-                kept.insert(at, Kept { addr, pool });
+                let pool =
+                    pool::Pool::new(self.limits.connections_max, self.limits.warm_connections);
+                pools.insert(at, AddressPool { addr, pool });
                 at
             }
         };
-        work(&mut kept[at].pool)
+        operation(&mut pools[at].pool)
     }
 
     fn now(&self) -> Time {
@@ -309,33 +318,33 @@
         Time::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<AddressPool>> {
+        self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Sends on one connection; an error hands the request back if it never left.
 async fn exchange(
     mut busy: Busy,
-    seat: Seat,
+    slot: OpenSlot,
     request: Request,
 ) -> Result<Exchange, (Error, Option<Request>)> {
     let link = busy.get();
     if link.sender.ready().await.is_err() {
         return Err((Error::Unsent, Some(request)));
     }
-    let first = !link.used;
-    link.used = true;
+    let is_first = !link.is_used;
+    link.is_used = true;
     match link.sender.try_send_request(request).await {
         Ok(response) => Ok(Exchange {
             response,
-            first,
+            is_first,
             busy,
-            seat,
+            slot,
         }),
         Err(mut failed) => match failed.take_message() {
             Some(unsent) => Err((Error::Unsent, Some(unsent))),
-            None if failed.error().is_parse() => Err((Error::Garbled, None)),
+            None if failed.error().is_parse() => Err((Error::Malformed, None)),
             None => Err((Error::Broken, None)),
         },
     }
--- a/crates/pool/tests/pool.rs
+++ b/crates/pool/tests/pool.rs
@@ -13,20 +13,20 @@
 use rstest::rstest;
 
 /// Longest that any test here waits.
-const BOUND: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 const LIMITS: Limits = Limits {
-    bound: 4,
-    warm: 0,
-    connect: Duration::from_millis(200),
+    connections_max: 4,
+    warm_connections: 0,
+    connect_timeout: Duration::from_millis(200),
 };
 
 /// Runs a test on an executor that also drives the pool's connections.
 fn run(test: impl AsyncFnOnce(&Executor)) {
     let executor = Executor::default();
     let late = async {
-        smol::Timer::after(BOUND).await;
-        panic!("the test took longer than {BOUND:?}");
+        smol::Timer::after(TEST_TIMEOUT).await;
+        panic!("the test took longer than {TEST_TIMEOUT:?}");
     };
     smol::block_on(executor.run(future::or(test(&executor), late)));
 }
@@ -69,7 +69,7 @@
 }
 
 /// Sends a request and reads its answer to the end.
-async fn whole(pool: &Arc<Pool>, addr: SocketAddr, path: &str) -> Result<String, Error> {
+async fn fetch(pool: &Arc<Pool>, addr: SocketAddr, path: &str) -> Result<String, Error> {
     let (response, rest) = pool.send(addr, request(path)).await?.split();
     let body = response.into_body().collect().await;
     let body = body.map_err(|_| Error::Broken)?.to_bytes();
@@ -84,7 +84,7 @@
         let (addr, opened) = serve(answer, false);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
         for _ in 0..3 {
-            assert_eq!(whole(&pool, addr, "/").await.as_deref(), Ok("hi"));
+            assert_eq!(fetch(&pool, addr, "/").await.as_deref(), Ok("hi"));
         }
         assert_eq!(opened.load(Ordering::Relaxed), 1);
     });
@@ -93,13 +93,13 @@
 #[rstest]
 #[case::silent(b"", Error::Broken)]
 #[case::half_head(b"HTTP/1.1 200 O", Error::Broken)]
-#[case::no_http(b"\x00what?\r\n\r\n", Error::Garbled)]
+#[case::no_http(b"\x00what?\r\n\r\n", Error::Malformed)]
 fn send_breaks(#[case] answer: &'static [u8], #[case] error: Error) {
     // The request was read, so it may have run; that must not read as unsent.
     run(async |executor| {
         let (addr, _) = serve(answer, true);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
-        assert_eq!(whole(&pool, addr, "/").await, Err(error));
+        assert_eq!(fetch(&pool, addr, "/").await, Err(error));
     });
 }
 
@@ -109,7 +109,7 @@
         let (listener, addr) = listen();
         drop(listener);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
-        assert_eq!(whole(&pool, addr, "/").await, Err(Error::Unsent));
+        assert_eq!(fetch(&pool, addr, "/").await, Err(Error::Unsent));
     });
 }
 
@@ -125,7 +125,7 @@
         let fill = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(100)).ok();
         let _filled: Vec<TcpStream> = (0..4).filter_map(fill).collect();
         let pool = Pool::new(Arc::clone(executor), LIMITS);
-        assert_eq!(whole(&pool, addr, "/").await, Err(Error::Unsent));
+        assert_eq!(fetch(&pool, addr, "/").await, Err(Error::Unsent));
     });
 }
 
@@ -138,7 +138,7 @@
         let (addr, opened) = serve(answer, false);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
         drop(pool.send(addr, request("/given-up")).await.unwrap());
-        assert_eq!(whole(&pool, addr, "/").await.as_deref(), Ok("hi"));
+        assert_eq!(fetch(&pool, addr, "/").await.as_deref(), Ok("hi"));
         assert_eq!(opened.load(Ordering::Relaxed), 2);
     });
 }
@@ -153,7 +153,7 @@
         let (addr, _) = serve(twice, false);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
         for _ in 0..5 {
-            let answer = whole(&pool, addr, "/").await;
+            let answer = fetch(&pool, addr, "/").await;
             assert_ne!(answer.as_deref(), Ok("old"));
         }
     });
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -96,9 +96,9 @@
     pub fn new(config: Config, executor: pool::Executor, rng: fastrand::Rng) -> Self {
         let limits = pool::Limits {
             // Watches hold a connection each, for as long as they wait.
-            bound: config.calls + config.watches,
-            warm: 0,
-            connect: config.connect,
+            connections_max: config.calls + config.watches,
+            warm_connections: 0,
+            connect_timeout: config.connect,
         };
         Self {
             pool: pool::Pool::new(executor, limits),
@@ -323,7 +323,7 @@
     match error {
         pool::Error::Unsent => Error::Unreachable,
         pool::Error::Full => Error::Busy,
-        pool::Error::Broken | pool::Error::Garbled => Error::Lost,
+        pool::Error::Broken | pool::Error::Malformed => Error::Lost,
     }
 }
 
