--- a/crates/auburnrouter/src/direct/events.rs
+++ b/crates/auburnrouter/src/direct/events.rs
@@ -233,7 +233,7 @@
         version: routes.version,
         routes: routes.routes().len(),
         teams: routes.teams.all().len(),
-        keys: routes.teams.keys(),
+        keys: routes.teams.key_count(),
     };
     write(shared, "config", fields);
     let previous = before.map(Routes::routes).unwrap_or_default();
--- a/crates/steer/src/version/teams.rs
+++ b/crates/steer/src/version/teams.rs
@@ -11,8 +11,8 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// SHA-256 digest of a team's key. Prints as its first four bytes, and is compared in
-/// constant time.
+/// SHA-256 digest of a team's key. Prints as its first four bytes. Equality is checked
+/// in constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; 32]);
 
@@ -90,7 +90,7 @@
     pub burst: f64,
 }
 
-/// Customer account, on whose behalf callers send requests.
+/// Team: a customer's account, on whose behalf callers send requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
     /// Name, which is passed on to targets.
@@ -188,7 +188,7 @@
 
     /// Returns the number of keys of all teams.
     #[must_use]
-    pub const fn keys(&self) -> usize {
+    pub const fn key_count(&self) -> usize {
         self.keys.len()
     }
 }
