--- a/crates/steer/src/process/dispatch/selection.rs
+++ b/crates/steer/src/process/dispatch/selection.rs
@@ -344,7 +344,7 @@
             && pick.is_local()
             && self.budget.has_retry();
         match state.latency.high().filter(|_| is_bounded) {
-            Some(high) => left.min((high * 2).max(retry::ATTEMPT_MIN)),
+            Some(high) => left.min((high * 2).max(retry::ATTEMPT_TIMEOUT_MIN)),
             None if is_bounded && is_first_unmeasured(state, job) => left / 2,
             None => left,
         }
--- a/crates/steer/src/request/retry.rs
+++ b/crates/steer/src/request/retry.rs
@@ -15,7 +15,7 @@
 pub const BUDGET_BURST_MAX: u64 = 20;
 
 /// Shortest timeout of an attempt whose request could be retried elsewhere.
-pub const ATTEMPT_MIN: Duration = Duration::from_millis(50);
+pub const ATTEMPT_TIMEOUT_MIN: Duration = Duration::from_millis(50);
 
 /// Whether the request of a failed attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
