--- a/crates/steer/src/connection/pool.rs
+++ b/crates/steer/src/connection/pool.rs
@@ -152,7 +152,7 @@
     }
 
     /// Removes and returns the connections that have been idle for [`IDLE_TIMEOUT`],
-    /// to be closed. Keeps the warm ones.
+    /// to be closed. At least `warm` connections stay open.
     pub fn expire(&mut self, now: Time) -> Vec<C> {
         let stale = self
             .idle
--- a/crates/steer/src/request/admission.rs
+++ b/crates/steer/src/request/admission.rs
@@ -31,8 +31,7 @@
 }
 
 impl QueueEstimate {
-    /// Returns the expected time in the queue, or [`Duration::MAX`] without a limit
-    /// above zero.
+    /// Returns the expected time in the queue; [`Duration::MAX`] if no target is usable.
     #[must_use]
     pub fn wait(&self) -> Duration {
         if self.limit == 0 {
--- a/crates/steer/src/request/outcome.rs
+++ b/crates/steer/src/request/outcome.rs
@@ -11,7 +11,7 @@
 pub enum Outcome {
     /// A target ran it and answered.
     Ran,
-    /// Not run, and it never will be: a new request is safe.
+    /// Not run, and it never will be: sending the request again is safe.
     NotRun,
     /// May have run. It is never run a second time under the same key.
     Unknown,
@@ -175,7 +175,7 @@
     #[must_use]
     pub const fn remedy(self) -> &'static str {
         match self {
-            Self::TooLarge => "send a smaller body, or raise the limit `body_bytes`",
+            Self::TooLarge => "send a smaller body, or have the limit `body_bytes` raised",
             Self::BadRequest => "correct the request before sending it again",
             Self::UnknownService => "use the name of a configured service",
             Self::KeyMissing => "send an Idempotency-Key formed from a look-up's answer",
--- a/crates/steer/src/request/poison.rs
+++ b/crates/steer/src/request/poison.rs
@@ -34,22 +34,25 @@
 #[derive(Clone, Debug)]
 struct Entry {
     fingerprint: Fingerprint,
+    /// Breaks that this instance has seen.
     breaks: Vec<Break>,
-    reported: u8,
+    /// Strikes, including those that peers reported.
+    total: u8,
+    /// Time of the last strike.
     struck_at: Time,
 }
 
 impl Entry {
     fn strikes(&self) -> u8 {
         let own = u8::try_from(self.breaks.len()).unwrap_or(u8::MAX);
-        own.max(self.reported)
+        own.max(self.total)
     }
 }
 
 /// New number of strikes of a fingerprint, to be reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StrikeUpdate {
-    /// The fingerprint.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Current strikes; zero clears them.
     pub strikes: u8,
@@ -84,10 +87,9 @@
     /// Records a strike for a request in flight when the connection to `target`
     /// broke. `known` is its number of strikes when it was sent there.
     ///
-    /// Strikes that were not known at that time rule out another one. Several
-    /// copies of a popular request are in flight at any time; when a rack fails
-    /// they break on several targets at once, which is no more evidence than a
-    /// single break.
+    /// No strike is added if the fingerprint has got one since then. Several copies
+    /// of a popular request are in flight at any time; when a rack fails they break
+    /// on several targets at once, which is no more evidence than a single break.
     pub fn strike(
         &mut self,
         now: Time,
@@ -103,7 +105,7 @@
                 target: Arc::clone(target),
                 at: now,
             });
-            entry.reported = entry.reported.max((before + 1).min(STRIKES_MAX));
+            entry.total = entry.total.max((before + 1).min(STRIKES_MAX));
             entry.struck_at = now;
         }
         StrikeUpdate {
@@ -123,8 +125,8 @@
         let entry = &mut self.entries[at];
         // A repeated report doesn't extend the lifetime: peers repeat reports to
         // each new instance and would keep the entry alive for ever.
-        if strikes > entry.reported {
-            entry.reported = strikes;
+        if strikes > entry.total {
+            entry.total = strikes;
             entry.struck_at = now;
         }
     }
@@ -176,10 +178,10 @@
                 continue;
             }
             let own = u8::try_from(entry.breaks.len()).unwrap_or(u8::MAX);
-            entry.reported = entry.reported.saturating_sub(1).max(own);
+            entry.total = entry.total.saturating_sub(1).max(own);
             out.push(StrikeUpdate {
                 fingerprint: entry.fingerprint,
-                strikes: entry.reported,
+                strikes: entry.total,
             });
         }
         self.entries.retain(|e| e.strikes() > 0);
@@ -210,7 +212,7 @@
         let entry = Entry {
             fingerprint,
             breaks: Vec::new(),
-            reported: 0,
+            total: 0,
             struck_at: now,
         };
         self.entries.insert(at, entry);
--- a/crates/steer/src/request/record.rs
+++ b/crates/steer/src/request/record.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Value in the store that is not a claim in any format of this program.
+/// Malformed claim, which no version of this program has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed claim in the store; nothing else may write below the prefix of claims")]
 pub struct ClaimError;
@@ -119,7 +119,8 @@
     Found(Option<Claim>),
     /// No claim holds the key.
     Absent,
-    /// The call certainly took no effect, and never will.
+    /// The call certainly took no effect and never will, as when the store can't be
+    /// reached.
     Unreachable,
     /// The effect is unknown: the call may have taken effect, or may still.
     Unknown,
--- a/crates/steer/src/version/routes.rs
+++ b/crates/steer/src/version/routes.rs
@@ -176,8 +176,8 @@
         None
     }
 
-    /// Lists the home regions of all routes of a host, in any letter case. Returns an
-    /// empty list if a route of the host allows all regions.
+    /// Lists the home regions of all routes of `host`, whose letter case is ignored. The
+    /// list is empty if one of these routes allows all regions.
     #[must_use]
     pub fn home_regions(&self, host: &str) -> Vec<Arc<str>> {
         let host = host.to_ascii_lowercase();
