--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -1,15 +1,15 @@
-//! The control state of an entry instance: who else is there, which version is
-//! in force, and whether this process may act on what it knows.
+//! Control state of an entry instance: its peers, the version in force, and
+//! whether it may act on what it knows.
 //!
 //! Invariant: [`Control`] never goes back. The version in force only rises, a
-//! process's word never replaces that of a later process of its name, and what
-//! was known before a freeze isn't acted on until somebody confirms it.
+//! record never replaces that of a later process of its name, and nothing known
+//! before a freeze is acted on until an answer confirms it.
 //!
-//! Topology. Within a failure domain every process sends a heartbeat to every
-//! other. Between two domains [`REPRESENTATIVES`] processes of one of them do, to a few of
-//! the other; which ones follows from a hash of the names, so nothing is
-//! elected. Records are pushed when they change and compared by digests, so
-//! nothing that stays the same is sent twice.
+//! Topology: within a failure domain every process sends heartbeats to every
+//! other one. Between two domains [`REPRESENTATIVES`] processes of one domain
+//! send them to a few of the other. A hash of the names determines the
+//! representatives, so there is no election. Records are pushed when they
+//! change and compared by digests, so unchanged records aren't sent again.
 
 pub mod apply;
 mod hints;
@@ -38,88 +38,91 @@
 use crate::process::slot;
 use crate::version::view::Version;
 
-/// Longest time between two [`Event::Tick`]s that a healthy driver leaves.
+/// Longest time between two [`Event::Tick`]s with a healthy driver.
 pub const TICK_INTERVAL_MAX: Duration = Duration::from_millis(100);
 
-/// Time between two heartbeats to the same process.
+/// Time between two heartbeats to the same process, before jitter.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Silence after which others are asked whether they hear a process.
+/// Silence after which other peers are queried about a process.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Silence after which a process of this domain is dropped.
+/// Silence after which a process of the local domain is declared dead.
 pub const DROP_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// Silence after which a whole failure domain is left out of look-ups.
 pub const DOMAIN_TIMEOUT: Duration = Duration::from_millis(2800);
 
-/// Gap between two events after which the process was frozen. It is so far
-/// below [`DROP_TIMEOUT`] that no peer drops a process that doesn't notice its freeze.
+/// Gap between two events above which the process was frozen. It is far enough
+/// below [`DROP_TIMEOUT`] that a process which doesn't detect its freeze isn't
+/// dropped by any peer either.
 pub const FREEZE_GAP_MIN: Duration = Duration::from_millis(1500);
 
-/// Time in doubt after which a process that nobody answers is on its own.
+/// Time in doubt without any answer after which a process is isolated.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after the first answer in which a starting process may still raise its
-/// generation above that of a predecessor.
+/// Time from the first answer during which a starting process may still raise
+/// its generation above that of a predecessor.
 pub const JOIN_WINDOW: Duration = Duration::from_secs(5);
 
 /// Shortest time between two raises of the generation.
 pub const RAISE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
-/// Time for which tombstones are kept: longer than any freeze that matters,
-/// since the successor's record outlives it.
+/// Time for which tombstones are kept. It exceeds any relevant freeze; a
+/// process that was replaced is recognised by its successor's record, which is
+/// kept longer.
 pub const TOMBSTONE_TTL: Duration = Duration::from_mins(15);
 
-/// Processes of a domain that keep up the contact with another domain.
+/// Number of processes of a domain that exchange heartbeats with another
+/// domain.
 pub const REPRESENTATIVES: usize = 2;
 
-/// Processes of a domain that watch the store's head.
+/// Number of processes of a domain that watch the store's head.
 pub const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Versions after which the watchers change.
+/// Number of versions after which other processes become the watchers.
 const WATCHER_ROTATION_VERSIONS: u64 = 16;
 
-/// Longest time between two publications; changes are published at once.
+/// Longest time between two snapshots; a change is published at once.
 const PUBLISH_INTERVAL_MAX: Duration = Duration::from_secs(2);
 
-/// Control's state.
+/// State machine of an instance's control plane.
 pub struct Control {
-    me: Arc<Record>,
+    own: Arc<Record>,
     load: u8,
-    last: Time,
-    answered: Option<Time>,
-    joining: bool,
-    raised: Option<Time>,
+    last_event: Time,
+    first_answer: Option<Time>,
+    is_joining: bool,
+    last_raise: Option<Time>,
     status: MemberStatus,
     doubt: status::Doubt,
     table: table::Table,
     peers: Vec<peer::Peer>,
-    fars: Vec<peer::Far>,
+    domains: Vec<peer::RemoteDomain>,
     hints: hints::Hints,
-    sorted: Option<Vec<members::Line>>,
+    sorted_entries: Option<Vec<members::Entry>>,
     tracker: tracker::Tracker,
-    heard: Version,
-    pull: Option<rollout::Pull>,
-    fetches: Vec<rollout::Fetch>,
-    holder: Option<SocketAddr>,
+    newest_seen: Version,
+    head_request: Option<rollout::HeadRequest>,
+    body_requests: Vec<rollout::BodyRequest>,
+    body_source: Option<SocketAddr>,
     store: store::Policy,
     alarms: rollout::Alarms,
     slot: slot::Slot,
-    beat: Time,
-    sync: Time,
-    published: Time,
-    dirty: bool,
-    moved: bool,
-    told: u64,
-    shown: slot::Share,
+    next_heartbeat: Time,
+    next_sync: Time,
+    published_at: Time,
+    is_dirty: bool,
+    is_rank_stale: bool,
+    announced_digest: u64,
+    published_share: slot::Share,
     counters: Counters,
     rng: fastrand::Rng,
     guards: Safeguards,
 }
 
 impl Control {
-    /// The state of a process that starts at `now` and knows nobody.
+    /// A process that starts at `now` and knows no peers.
     #[must_use]
     pub fn new(now: Time, settings: Settings, mut rng: fastrand::Rng) -> Self {
         let Settings {
@@ -129,7 +132,7 @@
             seeds,
             guards,
         } = settings;
-        let me = Record {
+        let own = Record {
             identity,
             stamp: Stamp {
                 generation,
@@ -141,64 +144,64 @@
         let mut slot = slot::Slot::new(now, guards.slot);
         let shown = slot.share(now, false);
         Self {
-            me: Arc::new(me),
+            own: Arc::new(own),
             load: 0,
-            last: now,
-            answered: None,
-            joining: true,
-            raised: None,
+            last_event: now,
+            first_answer: None,
+            is_joining: true,
+            last_raise: None,
             status: MemberStatus::Current,
             doubt: status::Doubt::default(),
             table: table::Table::default(),
             peers: Vec::new(),
-            fars: Vec::new(),
+            domains: Vec::new(),
             hints: hints::Hints::new(seeds),
-            sorted: None,
+            sorted_entries: None,
             tracker: tracker::Tracker::new(guards.monotonic),
-            heard: Version(0),
-            pull: None,
-            fetches: Vec::new(),
-            holder: None,
+            newest_seen: Version(0),
+            head_request: None,
+            body_requests: Vec::new(),
+            body_source: None,
             store: store::Policy::new(now, guards.reread, &mut rng),
             alarms: rollout::Alarms::default(),
             slot,
-            beat: now,
-            sync: now,
-            published: now,
-            dirty: true,
-            moved: true,
-            told: 0,
-            shown,
+            next_heartbeat: now,
+            next_sync: now,
+            published_at: now,
+            is_dirty: true,
+            is_rank_stale: true,
+            announced_digest: 0,
+            published_share: shown,
             counters: Counters::default(),
             rng,
             guards,
         }
     }
 
-    /// Takes one event and appends what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        self.notice_freeze(now, out);
+        self.detect_freeze(now, out);
         match event {
             Event::Tick => self.tick(now, out),
             Event::Received(message) => self.receive(now, &message, out),
-            Event::StoreReply { id, reply } => self.stored(now, id, reply, out),
+            Event::StoreReply { id, reply } => self.handle_store_reply(now, id, reply, out),
             Event::Hints(hints) => self.hints.replace(hints),
             Event::Load(load) => self.load = load,
-            Event::Installed { version, slots } => self.installed(now, version, slots, out),
-            Event::Rejected(version) => self.rejected(version, out),
+            Event::Installed { version, slots } => self.handle_installed(now, version, slots, out),
+            Event::Rejected(version) => self.handle_rejected(version, out),
             Event::Leave => self.leave(now, out),
             Event::Stop => self.stop(now, out),
         }
     }
 
     /// Whether callers may be served: a version is in force, and no newer
-    /// process has taken the name over.
+    /// process has taken over the name.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.tracker.version() > Version(0) && self.status != MemberStatus::Superseded
     }
 
-    /// Whether what the process knows may be acted on.
+    /// Whether the process may act on its state.
     #[must_use]
     pub const fn status(&self) -> MemberStatus {
         self.status
@@ -216,19 +219,19 @@
         self.tracker.head()
     }
 
-    /// What this process says of itself.
+    /// Record of this process.
     #[must_use]
     pub const fn record(&self) -> &Arc<Record> {
-        &self.me
+        &self.own
     }
 
-    /// All that is known of others, tombstones too.
+    /// Records of all known processes, including tombstones.
     #[must_use]
     pub const fn table(&self) -> &table::Table {
         &self.table
     }
 
-    /// What was counted since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counters(&self) -> Counters {
         Counters {
@@ -239,34 +242,34 @@
 
     /// Part of every cap that this process may use now.
     pub fn share(&mut self, now: Time) -> slot::Share {
-        let sure = self.status == MemberStatus::Current;
-        self.slot.share(now, sure)
+        let is_sure = self.status == MemberStatus::Current;
+        self.slot.share(now, is_sure)
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.status == MemberStatus::Superseded {
-            return self.publish_due(now, out);
+            return self.publish_if_due(now, out);
         }
-        self.age_doubt(now, out);
+        self.check_isolation(now, out);
         self.check_peers(now, out);
-        if now >= self.beat {
-            self.round(now, out);
+        if now >= self.next_heartbeat {
+            self.heartbeat_round(now, out);
         }
-        self.relink(now, out);
-        self.check_fars(out, now);
-        self.adopt_step(now, out);
+        self.update_ranks(now, out);
+        self.check_domains(out, now);
+        self.rollout_step(now, out);
         self.store_step(now, out);
-        self.publish_due(now, out);
+        self.publish_if_due(now, out);
     }
 
-    /// One round of heartbeats, each [`HEARTBEAT_INTERVAL`].
-    fn round(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Sends one round of heartbeats, about every [`HEARTBEAT_INTERVAL`].
+    fn heartbeat_round(&mut self, now: Time, out: &mut Vec<Action>) {
         let step = HEARTBEAT_INTERVAL.mul_f64(0.95 + 0.1 * self.rng.f64());
-        self.beat = now + step;
+        self.next_heartbeat = now + step;
         self.table.forget(now, TOMBSTONE_TTL);
-        self.beat_all(now, false, out);
+        self.broadcast_heartbeat(now, false, out);
         self.try_hint(now, out);
-        self.round_across(now, out);
+        self.domain_round(now, out);
     }
 
     fn health(&self) -> HealthSummary {
@@ -279,53 +282,54 @@
 
     fn send(&mut self, to: SocketAddr, content: message::Content, out: &mut Vec<Action>) {
         self.counters.sent += 1;
-        let from = Arc::clone(&self.me);
+        let from = Arc::clone(&self.own);
         let message = message::Message { from, content };
         out.push(Action::Send { to, message });
     }
 
     fn leave(&mut self, now: Time, out: &mut Vec<Action>) {
         self.set_lifecycle(Lifecycle::Leaving);
-        self.beat_all(now, false, out);
-        self.tell_across(now, out);
+        self.broadcast_heartbeat(now, false, out);
+        self.announce_change(now, out);
     }
 
-    /// The last word of a process that stops. It gives up its slot only if it
-    /// holds it: one still in quarantine knows nothing of the holder before it.
+    /// Announces that this process stops. It releases its slot only if it holds
+    /// it: a process still in quarantine doesn't know whether the previous
+    /// holder stopped using it.
     fn stop(&mut self, now: Time, out: &mut Vec<Action>) {
-        let holds = self.status == MemberStatus::Current && self.slot.is_held(now);
-        let lifecycle = if holds {
+        let is_held = self.status == MemberStatus::Current && self.slot.is_held(now);
+        let lifecycle = if is_held {
             Lifecycle::Released
         } else {
             Lifecycle::Dead
         };
         self.set_lifecycle(lifecycle);
-        self.beat_all(now, false, out);
-        self.tell_across(now, out);
+        self.broadcast_heartbeat(now, false, out);
+        self.announce_change(now, out);
     }
 
     fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
-        let mut me = Record::clone(&self.me);
-        me.serial += 1;
-        me.lifecycle = lifecycle;
-        self.set_me(me);
+        let mut own = Record::clone(&self.own);
+        own.serial += 1;
+        own.lifecycle = lifecycle;
+        self.set_record(own);
     }
 
-    fn set_me(&mut self, me: Record) {
-        self.me = Arc::new(me);
-        self.dirty = true;
-        self.sorted = None;
+    fn set_record(&mut self, own: Record) {
+        self.own = Arc::new(own);
+        self.is_dirty = true;
+        self.sorted_entries = None;
     }
 
-    fn publish_due(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn publish_if_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let share = self.share(now);
-        let due = now.since(self.published) >= PUBLISH_INTERVAL_MAX;
-        if !self.dirty && share == self.shown && !due {
+        let is_due = now.since(self.published_at) >= PUBLISH_INTERVAL_MAX;
+        if !self.is_dirty && share == self.published_share && !is_due {
             return;
         }
-        self.dirty = false;
-        self.shown = share;
-        self.published = now;
+        self.is_dirty = false;
+        self.published_share = share;
+        self.published_at = now;
         let members = self.members(now);
         out.push(Action::Publish(Snapshot {
             status: self.status,
--- a/crates/steer/src/process/control/apply.rs
+++ b/crates/steer/src/process/control/apply.rs
@@ -1,15 +1,15 @@
-//! An operator's change, as steps of a client of the store.
+//! State machine of an operator's change, which a client of the store drives.
 //!
-//! Invariant: a version is decided by one compare-and-swap of the head, against
-//! the revision that the change was made from. The verdict is only
-//! [`Verdict::InForce`] or [`Verdict::NotAccepted`] if no later event can make
-//! it untrue; whatever else may be is [`Verdict::Unknown`].
+//! Invariant: a version is decided by one compare-and-swap of the head against
+//! the revision that the change is based on. The verdict is
+//! [`Verdict::InForce`] or [`Verdict::NotAccepted`] only if no later event can
+//! make it false; everything else is [`Verdict::Unknown`].
 //!
-//! When the answer of the write is lost, the write may have taken effect, or
-//! not, or may still do so while it lingers in the network. Reading the head
-//! tells the first case by the change's id. In the others the head is written
-//! once more as it stands, against the same revision: if that fence takes
-//! effect the lost write can't any more, since its revision is gone.
+//! If the answer to the write is lost, the write may have taken effect, may
+//! have failed, or may still take effect while it is delayed in the network.
+//! Reading the head shows the first case by the change's id. Otherwise the
+//! unchanged head is written once more against the same revision. If that fence
+//! takes effect, the lost write can't any more, as its revision is gone.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::process::config::{Body, Change, File, Hash, Head, RECENT};
 use crate::version::view::Version;
 
-/// What a change starts from.
+/// State of the store and the instances that a change is based on.
 #[derive(Clone, Debug)]
 pub struct Base {
     /// The head as read from the store; `None` if there is none yet.
@@ -27,92 +27,92 @@
     pub force: Version,
 }
 
-/// What has to be there for a head to be written.
+/// Condition for a write of the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// Anything. Only the ablation of the comparison writes so.
+    /// No condition; used only by tests without the comparison.
     Any,
-    /// No head.
+    /// There is no head.
     Absent,
-    /// The head at this revision.
+    /// The head has this revision.
     Revision(u64),
 }
 
-/// A step for the driver.
+/// Next step for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write a body under its hash, whatever is there.
+    /// Write a body under its hash, unconditionally.
     PutBody(Body),
-    /// Write the head if what is expected is there.
+    /// Write the head if the condition holds.
     PutHead {
-        /// The new document.
+        /// The document to write.
         head: Arc<Head>,
-        /// The condition.
+        /// Condition for the write.
         expect: Expect,
     },
     /// Read the head.
     ReadHead,
-    /// Nothing more to do.
+    /// The change is decided.
     Done(Verdict),
 }
 
-/// How a step went.
+/// Outcome of a step.
 #[derive(Clone, Debug)]
 pub enum Outcome {
     /// The write took effect.
     Written,
-    /// The head was at another revision; what is there.
+    /// The condition of the write didn't hold; the head that is there.
     Conflict(Option<StoredHead>),
     /// The head as read.
     Read(Option<StoredHead>),
-    /// No answer: a write may have taken effect, or still may.
+    /// No answer: a write may have taken effect, or may still do so.
     Lost,
 }
 
-/// What became of the change.
+/// Verdict on a change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Verdict {
-    /// It was accepted, as this version.
+    /// The change was accepted as this version.
     #[error("accepted as {0}")]
     InForce(Version),
-    /// It was not accepted, and won't be.
+    /// The change was not accepted, and will not be.
     #[error("not accepted, nothing has changed; apply it again once the store answers")]
     NotAccepted,
-    /// Another operator's change came first.
+    /// Another operator's change was accepted first; the version in the store.
     #[error(
         "not accepted: another change came first, {0} is in force; look at the difference and apply again"
     )]
     Conflict(Version),
-    /// The store has an older version than instances have in force.
+    /// The store's version is below one that an instance has in force.
     #[error(
         "not accepted: the store is at {stored}, but {force} is in force; restore the store's data, or apply with --from-instances"
     )]
     StoreBehind {
-        /// The store's version.
+        /// Version in the store.
         stored: Version,
-        /// Version in force at an instance.
+        /// Highest version in force at an instance.
         force: Version,
     },
-    /// Nobody can tell yet.
+    /// It can't be told yet whether the change was accepted.
     #[error(
         "unknown whether {version} was accepted; ask with `status --change {id}` once the store answers"
     )]
     Unknown {
         /// Version that the change would have.
         version: Version,
-        /// The change's id.
+        /// Id of the change.
         id: Arc<str>,
     },
 }
 
-/// Switches for tests, all on in a live client.
+/// Switches that disable safeguards in tests; all are on in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// The head is written only over the revision that the change was made of.
+    /// The head is written only over the revision that the change is based on.
     pub compare: bool,
-    /// A lost answer is read back.
+    /// The head is read after a lost answer.
     pub readback: bool,
-    /// A write that may linger is fenced off.
+    /// A write that may be delayed is fenced off.
     pub fence: bool,
 }
 
@@ -135,10 +135,11 @@
     Done,
 }
 
-/// Reads and fences tried before the verdict is left open.
+/// Number of attempts to resolve a lost answer before the verdict is left
+/// unknown.
 const RESOLVE_TRIES_MAX: u32 = 5;
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug)]
 pub struct Apply {
     id: Arc<str>,
@@ -150,7 +151,8 @@
 }
 
 impl Apply {
-    /// A change with a new id to these files, of which `bodies` are new.
+    /// A change with a new id that results in `files`, of which `bodies` are
+    /// not in the store yet.
     #[must_use]
     pub fn new(id: Arc<str>, base: Base, files: Vec<File>, bodies: Vec<Body>) -> Self {
         let old = base.stored.as_ref().map(|s| &s.head);
@@ -176,15 +178,15 @@
         }
     }
 
-    /// The same with safeguards off, for tests.
+    /// The change with some safeguards disabled, for tests.
     #[must_use]
     pub const fn guarded(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
 
-    /// Hashes of bodies that files name and that neither the base has nor the
-    /// change brings; empty in a change that is whole.
+    /// Hashes of bodies that the files refer to and that neither the base nor
+    /// the change contains; empty if the change is complete.
     #[must_use]
     pub fn lacking(&self) -> Vec<Hash> {
         let old = self.base.stored.as_ref().map(|s| &s.head.files);
@@ -196,7 +198,7 @@
         hashes.filter(|&h| !known(h)).collect()
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self) -> Step {
         let stored = self.base.stored.as_ref();
         let stored = stored.map_or(Version(0), |s| s.head.version);
@@ -207,7 +209,7 @@
         self.next_body()
     }
 
-    /// Takes the outcome of the last step and gives the next.
+    /// Takes the outcome of the last step and returns the next one.
     pub fn next(&mut self, outcome: Outcome) -> Step {
         match self.stage {
             Stage::Bodies => self.body_put(&outcome),
@@ -234,10 +236,11 @@
         }
     }
 
-    /// After a lost answer: what was read, or what the fence met.
+    /// Resolves a lost answer, by the head that was read or the outcome of the
+    /// fence.
     fn settle(&mut self, tries: u32, outcome: Outcome) -> Step {
         match outcome {
-            // The fence has taken effect: the lost write can't any more.
+            // The fence took effect, so the lost write can't any more.
             Outcome::Written => self.done(Verdict::NotAccepted),
             Outcome::Read(stored) | Outcome::Conflict(stored) => self.judge(stored),
             Outcome::Lost => self.read_back(tries + 1),
@@ -264,8 +267,8 @@
         }
     }
 
-    /// A conflict may be with this very write, if the client's library sent it
-    /// twice.
+    /// Handles a failed condition. The conflict may be with this very write, if
+    /// the client's library sent it twice.
     fn conflict(&mut self, stored: Option<&StoredHead>) -> Step {
         let version = stored.map_or(Version(0), |s| s.head.version);
         match self.accepted(stored) {
@@ -290,7 +293,7 @@
         Step::ReadHead
     }
 
-    /// Judges by the head that is there now.
+    /// Judges by the present head.
     fn judge(&mut self, stored: Option<StoredHead>) -> Step {
         let moved =
             stored.as_ref().map(|s| s.revision) != self.base.stored.as_ref().map(|s| s.revision);
@@ -307,7 +310,8 @@
             }
             (Some(false), false, _) if !self.guards.fence => self.done(Verdict::NotAccepted),
             (Some(false), false, Some(stored)) => self.write_fence(&stored),
-            // No head yet and none to write again: the write may still land.
+            // Without a head there is nothing to fence with, and the write may
+            // still take effect.
             (Some(false) | None, ..) => self.unknown(),
         }
     }
--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -1,4 +1,7 @@
-//! Heartbeats and records within the home domain.
+//! Heartbeats and failure detection within the local failure domain.
+//!
+//! Invariant: a message changes nothing unless its sender is the newest known
+//! process of its name and not declared dead at its serial.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -10,63 +13,71 @@
 use crate::process::member::table::Merge;
 use crate::process::member::{HealthSummary, Lifecycle, Record, Stamp};
 
-/// Processes asked about a silent one.
+/// Number of peers that are queried about a silent one.
 const QUERIED_PEERS_MAX: usize = 3;
 
 impl Control {
-    /// Takes a message of any kind.
+    /// Handles a message of any kind.
     pub(super) fn receive(&mut self, now: Time, message: &Message, out: &mut Vec<Action>) {
         self.counters.received += 1;
         let from = &message.from;
         if self.is_own(from) {
-            return self.namesake(now, from, out);
+            return self.handle_namesake(now, from, out);
         }
         if self.status == MemberStatus::Superseded {
             return;
         }
         if let Content::Superseded(stamp) = message.content {
-            return self.superseded(now, stamp, out);
+            return self.handle_superseded(now, stamp, out);
         }
-        if !self.admit(now, message, out) {
+        if !self.admit_sender(now, message, out) {
             return;
         }
-        let near = from.identity.domain == self.me.identity.domain;
+        let is_local = from.identity.domain == self.own.identity.domain;
         match &message.content {
-            Content::Heartbeat(beat) if near => self.beaten(now, from, beat, out),
-            Content::DomainHeartbeat(across) if !near => self.hear_across(now, from, across, out),
+            Content::Heartbeat(heartbeat) if is_local => {
+                self.handle_heartbeat(now, from, heartbeat, out)
+            }
+            Content::DomainHeartbeat(heartbeat) if !is_local => {
+                self.handle_domain_heartbeat(now, from, heartbeat, out)
+            }
             Content::Heartbeat(_) | Content::DomainHeartbeat(_) | Content::Superseded(_) => {}
             Content::Sync(digests) => {
-                let domains = self.differing(digests);
-                self.send_rows(message, &domains, out);
+                let domains = self.differing_domains(digests);
+                self.send_records(message, &domains, out);
             }
-            Content::RecordsRequest(domains) => self.send_rows(message, domains, out),
-            Content::Records(rows) => self.learn(now, rows, near, out),
+            Content::RecordsRequest(domains) => self.send_records(message, domains, out),
+            Content::Records(rows) => self.merge_records(now, rows, is_local, out),
             Content::Succeeded(stamp) => self.slot.note_release(now, *stamp),
-            Content::PeerQuery(name) => self.tell(now, message, name, out),
-            Content::PeerSeen { name, stamp, age } => self.told(now, name, *stamp, *age),
+            Content::PeerQuery(name) => self.answer_query(now, message, name, out),
+            Content::PeerSeen { name, stamp, age } => {
+                self.handle_peer_seen(now, name, *stamp, *age)
+            }
             Content::Pull(_) | Content::Offer(_) | Content::Fetch(_) | Content::Bodies(_) => {
-                self.exchange(now, message, out);
+                self.handle_transfer(now, message, out);
             }
         }
     }
 
     pub(super) fn is_own(&self, record: &Record) -> bool {
-        let own = &self.me.identity;
+        let own = &self.own.identity;
         record.identity.name == own.name && record.identity.domain == own.domain
     }
 
-    /// Another process of this name speaks: the newer one stays.
-    fn namesake(&mut self, now: Time, from: &Arc<Record>, out: &mut Vec<Action>) {
-        self.own_name(now, from, out);
-        if from.stamp < self.me.stamp && self.guards.stamps {
-            let content = Content::Superseded(self.me.stamp);
+    /// Handles a message from another process of this process's name; the one
+    /// with the higher stamp keeps the name.
+    fn handle_namesake(&mut self, now: Time, from: &Arc<Record>, out: &mut Vec<Action>) {
+        self.handle_own_name(now, from, out);
+        if from.stamp < self.own.stamp && self.guards.stamps {
+            let content = Content::Superseded(self.own.stamp);
             self.send(from.identity.peer, content, out);
         }
     }
 
-    /// Whether the sender is who its name stands for today. If so its record is
-    /// taken.
-    fn admit(&mut self, now: Time, message: &Message, out: &mut Vec<Action>) -> bool {
+    /// Checks that the sender is the newest known process of its name and not
+    /// declared dead, and merges its record. Returns false if the message must
+    /// be ignored; the sender is told why.
+    fn admit_sender(&mut self, now: Time, message: &Message, out: &mut Vec<Action>) -> bool {
         let from = &message.from;
         let to = message.reply_addr();
         let known = self.table.get(&from.identity.domain, &from.identity.name);
@@ -76,9 +87,9 @@
                 self.send(to, Content::Superseded(row.stamp), out);
                 return false;
             }
-            let buried = row.stamp == from.stamp && !row.lifecycle.is_alive();
-            if buried && from.lifecycle.is_alive() && row.serial >= from.serial {
-                self.send_held(now, from, row.serial, out);
+            let is_dead = row.stamp == from.stamp && !row.lifecycle.is_alive();
+            if is_dead && from.lifecycle.is_alive() && row.serial >= from.serial {
+                self.send_tombstone(now, from, row.serial, out);
                 return false;
             }
         }
@@ -89,25 +100,26 @@
         if let Merge::Succeeded(stamp) = merged {
             self.send(to, Content::Succeeded(stamp), out);
         }
-        if from.identity.domain != self.me.identity.domain {
-            self.push(std::slice::from_ref(from), out);
+        if from.identity.domain != self.own.identity.domain {
+            self.forward_records(std::slice::from_ref(from), out);
         }
-        self.changed(now);
+        self.rebuild_peers(now);
         true
     }
 
-    /// The table changed: peers and published members follow.
-    pub(super) fn changed(&mut self, now: Time) {
-        self.dirty = true;
-        self.moved = true;
-        self.sorted = None;
-        let rows = self.table.domain(&self.me.identity.domain);
+    /// Rebuilds the list of peers after a change of the table, and drops what
+    /// is derived from it.
+    pub(super) fn rebuild_peers(&mut self, now: Time) {
+        self.is_dirty = true;
+        self.is_rank_stale = true;
+        self.sorted_entries = None;
+        let rows = self.table.domain(&self.own.identity.domain);
         let alive = rows.iter().filter(|row| row.record.lifecycle.is_alive());
         let mut peers = Vec::new();
         for row in alive {
             let record = &row.record;
             let identity = &record.identity;
-            if identity.name == self.me.identity.name {
+            if identity.name == self.own.identity.name {
                 continue;
             }
             let old = self.peers.binary_search_by(|p| p.name.cmp(&identity.name));
@@ -117,19 +129,25 @@
                 name: Arc::clone(&identity.name),
                 stamp: record.stamp,
                 addr: identity.peer,
-                heard: now,
-                direct: None,
+                last_seen: now,
+                last_direct: None,
                 probe: None,
                 health: HealthSummary::default(),
-                asked: false,
-                differs: 0,
+                is_queried: false,
+                mismatches: 0,
             }));
         }
         self.peers = peers;
     }
 
-    fn beaten(&mut self, now: Time, from: &Arc<Record>, beat: &Heartbeat, out: &mut Vec<Action>) {
-        if let Some(serial) = beat.tombstone {
+    fn handle_heartbeat(
+        &mut self,
+        now: Time,
+        from: &Arc<Record>,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(serial) = heartbeat.tombstone {
             return self.refute(now, serial, out);
         }
         let total = self.table.total();
@@ -138,81 +156,89 @@
             .binary_search_by(|p| p.name.cmp(&from.identity.name));
         if let Ok(at) = found {
             let peer = &mut self.peers[at];
-            peer.heard = now;
-            peer.direct = Some(now);
-            peer.asked = false;
-            peer.probe = Some(beat.probe);
-            peer.health = beat.health;
-            let same = beat.digest == total;
-            peer.differs = if same {
+            peer.last_seen = now;
+            peer.last_direct = Some(now);
+            peer.is_queried = false;
+            peer.probe = Some(heartbeat.probe);
+            peer.health = heartbeat.health;
+            let is_same = heartbeat.digest == total;
+            peer.mismatches = if is_same {
                 0
             } else {
-                peer.differs.saturating_add(1)
+                peer.mismatches.saturating_add(1)
             };
-            let differs = peer.differs;
-            self.sync_due(now, from, differs, out);
+            let mismatches = peer.mismatches;
+            self.sync_if_due(now, from, mismatches, out);
         }
-        for seen in &beat.domains_seen {
-            self.hear_of(now, &seen.domain, seen.age);
+        for seen in &heartbeat.domains_seen {
+            self.note_domain_seen(now, &seen.domain, seen.age);
         }
-        if let Some(echo) = beat.echo {
-            self.confirmed(now, echo, beat.health.version, out);
+        if let Some(echo) = heartbeat.echo {
+            self.confirm(now, echo, heartbeat.health.version, out);
         }
-        self.version_heard(now, beat.health.version, from, out);
-        if beat.reply {
-            self.send_beat(now, &from.identity.name, false, out);
+        self.note_version(now, heartbeat.health.version, from, out);
+        if heartbeat.reply {
+            self.send_heartbeat(now, &from.identity.name, false, out);
         }
     }
 
-    /// One heartbeat to every process of the domain.
-    pub(super) fn beat_all(&mut self, now: Time, reply: bool, out: &mut Vec<Action>) {
-        self.own_row(now);
+    /// Sends a heartbeat to every process of the domain. `reply` requests
+    /// immediate answers, which a process that isn't confirmed does in any
+    /// case.
+    pub(super) fn broadcast_heartbeat(&mut self, now: Time, reply: bool, out: &mut Vec<Action>) {
+        self.merge_own_record(now);
         let reply = reply || self.status != MemberStatus::Current;
-        let beat = self.beat(now, reply);
+        let heartbeat = self.new_heartbeat(now, reply);
         for at in 0..self.peers.len() {
             let peer = &self.peers[at];
             let to = peer.addr;
-            let beat = Heartbeat {
+            let heartbeat = Heartbeat {
                 echo: peer.probe,
-                ..beat.clone()
+                ..heartbeat.clone()
             };
-            self.send(to, Content::Heartbeat(beat), out);
+            self.send(to, Content::Heartbeat(heartbeat), out);
         }
     }
 
-    fn send_beat(&mut self, now: Time, name: &str, reply: bool, out: &mut Vec<Action>) {
+    fn send_heartbeat(&mut self, now: Time, name: &str, reply: bool, out: &mut Vec<Action>) {
         let Ok(at) = self.peers.binary_search_by(|p| (*p.name).cmp(name)) else {
             return;
         };
         let peer = &self.peers[at];
         let to = peer.addr;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             echo: peer.probe,
-            ..self.beat(now, reply)
+            ..self.new_heartbeat(now, reply)
         };
-        self.send(to, Content::Heartbeat(beat), out);
+        self.send(to, Content::Heartbeat(heartbeat), out);
     }
 
-    pub(super) fn send_held(&mut self, now: Time, to: &Record, serial: u32, out: &mut Vec<Action>) {
+    pub(super) fn send_tombstone(
+        &mut self,
+        now: Time,
+        to: &Record,
+        serial: u32,
+        out: &mut Vec<Action>,
+    ) {
         let tombstone = Some(serial);
-        let content = if to.identity.domain == self.me.identity.domain {
+        let content = if to.identity.domain == self.own.identity.domain {
             Content::Heartbeat(Heartbeat {
                 tombstone,
-                ..self.beat(now, false)
+                ..self.new_heartbeat(now, false)
             })
         } else {
             Content::DomainHeartbeat(super::message::DomainHeartbeat {
                 tombstone,
-                ..self.across(now, false)
+                ..self.new_domain_heartbeat(now, false)
             })
         };
         self.send(to.identity.peer, content, out);
     }
 
-    fn beat(&self, now: Time, reply: bool) -> Heartbeat {
-        let direct = |far: &super::peer::Far| {
-            let age = now.since(far.direct?);
-            let domain = Arc::clone(&far.name);
+    fn new_heartbeat(&self, now: Time, reply: bool) -> Heartbeat {
+        let direct = |remote: &super::peer::RemoteDomain| {
+            let age = now.since(remote.last_direct?);
+            let domain = Arc::clone(&remote.name);
             (age < DOMAIN_TIMEOUT).then_some(DomainSeen { domain, age })
         };
         Heartbeat {
@@ -222,50 +248,54 @@
             echo: None,
             tombstone: None,
             digest: self.table.total(),
-            domains_seen: self.fars.iter().filter_map(direct).collect(),
+            domains_seen: self.domains.iter().filter_map(direct).collect(),
         }
     }
 
-    /// Drops processes that nobody hears.
+    /// Drops peers that have been silent for [`DROP_TIMEOUT`], and queries
+    /// others about those silent for [`SUSPECT_TIMEOUT`].
     pub(super) fn check_peers(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut dead = Vec::new();
         let mut silent = Vec::new();
         for peer in &mut self.peers {
-            let silence = now.since(peer.heard);
+            let silence = now.since(peer.last_seen);
             if silence > DROP_TIMEOUT {
                 dead.push(Arc::clone(&peer.name));
-            } else if silence > SUSPECT_TIMEOUT && !peer.asked {
-                peer.asked = true;
+            } else if silence > SUSPECT_TIMEOUT && !peer.is_queried {
+                peer.is_queried = true;
                 silent.push(Arc::clone(&peer.name));
             }
         }
         if self.guards.confirm {
             for name in silent {
-                self.ask(&name, out);
+                self.query_peers(&name, out);
             }
         }
         for name in dead {
-            self.bury(now, &name, out);
+            self.mark_dead(now, &name, out);
         }
     }
 
-    fn bury(&mut self, now: Time, name: &Arc<str>, out: &mut Vec<Action>) {
-        let domain = Arc::clone(&self.me.identity.domain);
+    fn mark_dead(&mut self, now: Time, name: &Arc<str>, out: &mut Vec<Action>) {
+        let domain = Arc::clone(&self.own.identity.domain);
         let Some(row) = self.table.get(&domain, name) else {
             return;
         };
         let dead = Arc::new(row.record.with_lifecycle(Lifecycle::Dead));
         self.table.merge(now, &dead, true);
         self.counters.dropped += 1;
-        self.changed(now);
+        self.rebuild_peers(now);
         out.push(Action::Notice(Notice::Dropped(Arc::clone(name))));
     }
 
-    /// Asks others about a silent process, lest a single bad connection make
-    /// every caller of this process miss it.
-    fn ask(&mut self, name: &Arc<str>, out: &mut Vec<Action>) {
+    /// Queries other peers about a silent one, so that a single bad connection
+    /// doesn't make this process drop a live peer.
+    fn query_peers(&mut self, name: &Arc<str>, out: &mut Vec<Action>) {
         self.counters.suspected += 1;
-        let others = self.peers.iter().filter(|p| p.name != *name && !p.asked);
+        let others = self
+            .peers
+            .iter()
+            .filter(|p| p.name != *name && !p.is_queried);
         let others: Vec<_> = others.map(|p| p.addr).collect();
         let few = self.rng.choose_multiple(others, QUERIED_PEERS_MAX);
         for to in few {
@@ -273,11 +303,19 @@
         }
     }
 
-    fn tell(&mut self, now: Time, message: &Message, name: &Arc<str>, out: &mut Vec<Action>) {
+    fn answer_query(
+        &mut self,
+        now: Time,
+        message: &Message,
+        name: &Arc<str>,
+        out: &mut Vec<Action>,
+    ) {
         let found = self.peers.binary_search_by(|p| p.name.cmp(name));
         let Ok(at) = found else { return };
         let peer = &self.peers[at];
-        let Some(direct) = peer.direct else { return };
+        let Some(direct) = peer.last_direct else {
+            return;
+        };
         let content = Content::PeerSeen {
             name: Arc::clone(name),
             stamp: peer.stamp,
@@ -286,33 +324,34 @@
         self.send(message.reply_addr(), content, out);
     }
 
-    fn told(&mut self, now: Time, name: &Arc<str>, stamp: Stamp, age: Duration) {
+    fn handle_peer_seen(&mut self, now: Time, name: &Arc<str>, stamp: Stamp, age: Duration) {
         let found = self.peers.binary_search_by(|p| p.name.cmp(name));
         let Ok(at) = found else { return };
         let peer = &mut self.peers[at];
-        let heard = now - age;
-        if peer.stamp == stamp && heard > peer.heard {
-            peer.heard = heard;
-            peer.asked = now.since(heard) > SUSPECT_TIMEOUT;
+        let last_seen = now - age;
+        if peer.stamp == stamp && last_seen > peer.last_seen {
+            peer.last_seen = last_seen;
+            peer.is_queried = now.since(last_seen) > SUSPECT_TIMEOUT;
         }
     }
 
-    /// Tries one address of this domain at which nobody is known to live: a
-    /// newcomer's way in, and the way back after everybody dropped everybody.
+    /// Sends a heartbeat to one address of this domain at which no live process
+    /// is known. A new process joins this way, and processes that all dropped
+    /// each other find each other again.
     pub(super) fn try_hint(&mut self, now: Time, out: &mut Vec<Action>) {
-        let own = &self.me.identity;
+        let own = &self.own.identity;
         let rows = self.table.domain(&own.domain).iter();
         let dead = rows.filter(|row| !row.record.lifecycle.is_alive());
         let dead = dead.map(|row| row.record.identity.peer);
         let hints = self.hints.in_domain(&own.domain).iter().map(|h| h.peer);
-        let fits = |to: &std::net::SocketAddr| {
+        let is_candidate = |to: &std::net::SocketAddr| {
             *to != own.peer && !self.peers.iter().any(|p| p.addr == *to)
         };
-        let tries: Vec<_> = dead.chain(hints).filter(fits).collect();
-        let Some(to) = self.rng.choice(tries) else {
+        let candidates: Vec<_> = dead.chain(hints).filter(is_candidate).collect();
+        let Some(to) = self.rng.choice(candidates) else {
             return;
         };
-        let beat = self.beat(now, true);
-        self.send(to, Content::Heartbeat(beat), out);
+        let heartbeat = self.new_heartbeat(now, true);
+        self.send(to, Content::Heartbeat(heartbeat), out);
     }
 }
--- a/crates/steer/src/process/control/members.rs
+++ b/crates/steer/src/process/control/members.rs
@@ -1,7 +1,8 @@
-//! The published list of processes that look-ups may name.
+//! Published list of the processes that look-ups may return.
 //!
-//! Invariant: it holds the live ones of the home domain, those of other domains
-//! that are heard, and this process; one for each name, sorted by name.
+//! Invariant: the list holds this process unless it is superseded, the live processes of the local
+//! domain and those of every domain that isn't silent, one for each name,
+//! sorted by name.
 
 use std::sync::Arc;
 
@@ -9,68 +10,68 @@
 use crate::clock::Time;
 use crate::process::member::{HealthSummary, Member, Record};
 
-/// A live record in the order of names, kept until the table changes.
+/// A live record in the sorted list, which is cached until the table changes.
 #[derive(Clone, Debug)]
-pub(super) struct Line {
+pub(super) struct Entry {
     record: Arc<Record>,
-    place: Place,
+    origin: Origin,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum Origin {
     Own,
-    Near,
-    Far(usize),
+    Local,
+    Remote(usize),
 }
 
 impl Control {
     pub(super) fn members(&mut self, now: Time) -> Vec<Member> {
-        let lines = self.sorted.take().unwrap_or_else(|| self.lines());
-        let seen = lines.iter().filter_map(|line| {
-            let health = match line.place {
-                Place::Own => (self.status != MemberStatus::Superseded).then(|| self.health()),
-                Place::Near => self.local_health(&line.record.identity.name),
-                Place::Far(at) => self.remote_health(now, at),
+        let entries = self.sorted_entries.take().unwrap_or_else(|| self.entries());
+        let seen = entries.iter().filter_map(|entry| {
+            let health = match entry.origin {
+                Origin::Own => (self.status != MemberStatus::Superseded).then(|| self.health()),
+                Origin::Local => self.local_health(&entry.record.identity.name),
+                Origin::Remote(at) => self.remote_health(now, at),
             };
-            let record = Arc::clone(&line.record);
+            let record = Arc::clone(&entry.record);
             health.map(|health| Member { record, health })
         });
         let seen = seen.collect();
-        self.sorted = Some(lines);
+        self.sorted_entries = Some(entries);
         seen
     }
 
-    fn lines(&self) -> Vec<Line> {
+    fn entries(&self) -> Vec<Entry> {
         let rows = self.table.rows().iter().map(|row| &row.record);
         let others = rows.filter(|r| r.lifecycle.is_alive() && !self.is_own(r));
-        let own = self.me.lifecycle.is_alive().then_some(&self.me);
-        let mut lines: Vec<Line> = others
+        let own = self.own.lifecycle.is_alive().then_some(&self.own);
+        let mut entries: Vec<Entry> = others
             .chain(own)
             .filter_map(|record| {
-                let place = self.place(record)?;
+                let origin = self.origin(record)?;
                 let record = Arc::clone(record);
-                Some(Line { record, place })
+                Some(Entry { record, origin })
             })
             .collect();
-        lines.sort_by(|a, b| {
+        entries.sort_by(|a, b| {
             let (a, b) = (&a.record, &b.record);
             let names = a.identity.name.cmp(&b.identity.name);
             names.then_with(|| b.stamp.cmp(&a.stamp))
         });
-        lines.dedup_by(|b, a| a.record.identity.name == b.record.identity.name);
-        lines
+        entries.dedup_by(|b, a| a.record.identity.name == b.record.identity.name);
+        entries
     }
 
-    fn place(&self, record: &Record) -> Option<Place> {
+    fn origin(&self, record: &Record) -> Option<Origin> {
         if self.is_own(record) {
-            return Some(Place::Own);
+            return Some(Origin::Own);
         }
         let domain = &record.identity.domain;
-        if *domain == self.me.identity.domain {
-            return Some(Place::Near);
+        if *domain == self.own.identity.domain {
+            return Some(Origin::Local);
         }
-        let found = self.fars.binary_search_by(|f| f.name.cmp(domain));
-        found.ok().map(Place::Far)
+        let found = self.domains.binary_search_by(|d| d.name.cmp(domain));
+        found.ok().map(Origin::Remote)
     }
 
     fn local_health(&self, name: &Arc<str>) -> Option<HealthSummary> {
--- a/crates/steer/src/process/control/remote.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -1,83 +1,87 @@
 //! Heartbeats between failure domains.
 //!
-//! Of a pair of domains one keeps up the contact: [`REPRESENTATIVES`] of its processes
-//! each send a heartbeat to two processes of the other in turn, and are
-//! answered. If the pair is silent the other tries as well.
+//! Of each pair of domains one initiates: [`REPRESENTATIVES`] of its processes
+//! each send heartbeats to [`CONTACTS_PER_DOMAIN`] processes of the other in
+//! turn, which answer. If nothing is heard from the other domain, both
+//! initiate.
 
 use core::time::Duration;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use super::message::{Content, DomainHeartbeat};
-use super::peer::{self, Contact, Far};
+use super::peer::{self, Contact, RemoteDomain};
 use super::{Action, Control, DOMAIN_TIMEOUT, HEARTBEAT_INTERVAL, Notice, REPRESENTATIVES};
 use crate::clock::Time;
 use crate::process::member::{HealthSummary, Record, Summary, hash};
 
-/// Processes of the other domain that one process talks to in turn, so that
-/// the death of one of them costs every second heartbeat.
+/// Number of processes of another domain to which one process sends in turn. If
+/// one of them dies, every second heartbeat is lost.
 const CONTACTS_PER_DOMAIN: usize = 2;
 
-/// Time between two requests for the rows of one domain.
+/// Shortest time between two requests for the records of one domain.
 const RECORDS_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Control {
-    /// One round of heartbeats to the domains that are this process's part.
-    pub(super) fn round_across(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.meet_domains();
-        for at in 0..self.fars.len() {
-            let far = &self.fars[at];
-            let quiet = far
-                .heard
+    /// Sends a heartbeat to each domain for which this process is a
+    /// representative.
+    pub(super) fn domain_round(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.add_domains();
+        for at in 0..self.domains.len() {
+            let remote = &self.domains[at];
+            let is_quiet = remote
+                .last_seen
                 .is_none_or(|t| now.since(t) > HEARTBEAT_INTERVAL * 2);
-            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
-            if ours && (quiet || self.starts(&far.name)) {
-                self.call_far(now, at, quiet, out);
+            let is_ours = remote.rank.is_some_and(|rank| rank < REPRESENTATIVES);
+            if is_ours && (is_quiet || self.is_initiator(&remote.name)) {
+                self.contact_domain(now, at, is_quiet, out);
             }
         }
     }
 
-    /// Whether this domain keeps up the contact with another.
-    fn starts(&self, other: &str) -> bool {
-        let own = &*self.me.identity.domain;
+    /// Whether this domain initiates the heartbeats of its pair with another
+    /// one. A hash of the two names decides, so both sides agree.
+    fn is_initiator(&self, other: &str) -> bool {
+        let own = &*self.own.identity.domain;
         let (low, high) = if own < other {
             (own, other)
         } else {
             (other, own)
         };
-        let low_starts = hash::stable_hash(&[low.as_bytes(), high.as_bytes()]).is_multiple_of(2);
-        (own == low) == low_starts
+        let low_initiates = hash::stable_hash(&[low.as_bytes(), high.as_bytes()]).is_multiple_of(2);
+        (own == low) == low_initiates
     }
 
-    fn call_far(&mut self, now: Time, at: usize, quiet: bool, out: &mut Vec<Action>) {
-        let contacts = self.contacts(at, quiet);
+    fn contact_domain(&mut self, now: Time, at: usize, is_quiet: bool, out: &mut Vec<Action>) {
+        let contacts = self.contacts(at, is_quiet);
         if contacts.is_empty() {
             return;
         }
-        let far = &mut self.fars[at];
-        far.turn = far.turn.wrapping_add(1);
-        let first = far.rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
-        let turn = if quiet {
+        let remote = &mut self.domains[at];
+        remote.turn = remote.turn.wrapping_add(1);
+        let first = remote.rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
+        let turn = if is_quiet {
             self.rng.usize(..contacts.len())
         } else {
-            first + far.turn % CONTACTS_PER_DOMAIN
+            first + remote.turn % CONTACTS_PER_DOMAIN
         };
         let to = contacts[turn % contacts.len()];
-        let answers = self.fars[at].answers.iter();
+        let answers = self.domains[at].outbound.iter();
         let echo = answers.filter(|c| c.addr == to).map(|c| c.probe).next();
-        let across = DomainHeartbeat {
+        let heartbeat = DomainHeartbeat {
             echo,
-            ..self.across(now, true)
+            ..self.new_domain_heartbeat(now, true)
         };
-        self.send(to, Content::DomainHeartbeat(across), out);
+        self.send(to, Content::DomainHeartbeat(heartbeat), out);
     }
 
-    /// Addresses of a domain's processes, in an order that differs from domain
-    /// to domain, so that its processes share the calls; hints if it is silent.
-    fn contacts(&self, at: usize, quiet: bool) -> Vec<SocketAddr> {
-        let far = &self.fars[at];
-        let own = &self.me.identity.domain;
-        let rows = self.table.domain(&far.name).iter();
+    /// Addresses of a domain's live processes. The order depends on both
+    /// domains, so that the load of heartbeats is spread. For a silent domain
+    /// the hints follow.
+    fn contacts(&self, at: usize, is_quiet: bool) -> Vec<SocketAddr> {
+        let remote = &self.domains[at];
+        let own = &self.own.identity.domain;
+        let rows = self.table.domain(&remote.name).iter();
         let alive = rows.filter(|row| row.record.lifecycle.is_alive());
         let mut contacts: Vec<_> = alive
             .map(|row| {
@@ -88,17 +92,17 @@
             .collect();
         contacts.sort_unstable();
         let mut contacts: Vec<_> = contacts.into_iter().map(|(_, peer)| peer).collect();
-        if quiet {
-            let hints = self.hints.in_domain(&far.name).iter();
+        if is_quiet {
+            let hints = self.hints.in_domain(&remote.name).iter();
             contacts.extend(hints.map(|h| h.peer));
         }
         contacts
     }
 
-    pub(super) fn across(&self, now: Time, reply: bool) -> DomainHeartbeat {
+    pub(super) fn new_domain_heartbeat(&self, now: Time, reply: bool) -> DomainHeartbeat {
         DomainHeartbeat {
             summary: self.summary(),
-            digest: self.table.digest(&self.me.identity.domain),
+            digest: self.table.digest(&self.own.identity.domain),
             reply,
             probe: now,
             echo: None,
@@ -124,60 +128,61 @@
         summary
     }
 
-    pub(super) fn hear_across(
+    pub(super) fn handle_domain_heartbeat(
         &mut self,
         now: Time,
         from: &Arc<Record>,
-        across: &DomainHeartbeat,
+        heartbeat: &DomainHeartbeat,
         out: &mut Vec<Action>,
     ) {
-        if let Some(serial) = across.tombstone {
+        if let Some(serial) = heartbeat.tombstone {
             return self.refute(now, serial, out);
         }
         let to = from.identity.peer;
         let domain = &from.identity.domain;
-        let differs = self.table.digest(domain) != across.digest;
-        let far = self.far(domain);
-        far.heard = Some(now);
-        far.direct = Some(now);
-        far.summary = across.summary;
-        let asked = far
-            .wanted
+        let differs = self.table.digest(domain) != heartbeat.digest;
+        let remote = self.domain_mut(domain);
+        remote.last_seen = Some(now);
+        remote.last_direct = Some(now);
+        remote.summary = heartbeat.summary;
+        let is_requested = remote
+            .requested_at
             .is_some_and(|t| now.since(t) < RECORDS_REQUEST_INTERVAL);
-        if differs && !asked {
-            far.wanted = Some(now);
-            self.compare_rows(to, domain, out);
+        if differs && !is_requested {
+            remote.requested_at = Some(now);
+            self.request_records(to, domain, out);
         }
         let contact = Contact {
             addr: to,
-            heard: now,
-            probe: across.probe,
+            last_seen: now,
+            probe: heartbeat.probe,
         };
-        let far = self.far(domain);
-        if across.reply {
-            peer::note(&mut far.callers, contact);
-            self.answer_across(now, contact, out);
-        } else if across.echo.is_some() {
-            peer::note(&mut far.answers, contact);
+        let remote = self.domain_mut(domain);
+        if heartbeat.reply {
+            peer::note(&mut remote.inbound, contact);
+            self.answer_domain(now, contact, out);
+        } else if heartbeat.echo.is_some() {
+            peer::note(&mut remote.outbound, contact);
         }
-        if let Some(echo) = across.echo {
-            self.confirmed(now, echo, across.summary.newest, out);
+        if let Some(echo) = heartbeat.echo {
+            self.confirm(now, echo, heartbeat.summary.newest, out);
         }
-        self.version_heard(now, across.summary.newest, from, out);
+        self.note_version(now, heartbeat.summary.newest, from, out);
     }
 
-    fn answer_across(&mut self, now: Time, contact: Contact, out: &mut Vec<Action>) {
+    fn answer_domain(&mut self, now: Time, contact: Contact, out: &mut Vec<Action>) {
         let answer = DomainHeartbeat {
             echo: Some(contact.probe),
-            ..self.across(now, false)
+            ..self.new_domain_heartbeat(now, false)
         };
         self.send(contact.addr, Content::DomainHeartbeat(answer), out);
     }
 
-    /// Asks a process of another domain for its domain's rows, and tells it
-    /// those known here: when a whole domain restarts at once, and the list
-    /// lags, its processes find each other through the other domains.
-    fn compare_rows(&mut self, to: SocketAddr, domain: &Arc<str>, out: &mut Vec<Action>) {
+    /// Requests a domain's records from one of its processes, and sends it
+    /// those known here. If a whole domain restarts at once while the
+    /// platform's list lags, its processes learn of each other through other
+    /// domains.
+    fn request_records(&mut self, to: SocketAddr, domain: &Arc<str>, out: &mut Vec<Action>) {
         let domains = vec![Arc::clone(domain)];
         self.send(to, Content::RecordsRequest(domains), out);
         let rows = self.table.domain(domain).iter();
@@ -187,99 +192,108 @@
         }
     }
 
-    /// Tells all other domains that this one changed, without waiting for the
-    /// next round: those that this process calls, and those that call it.
-    pub(super) fn tell_across(&mut self, now: Time, out: &mut Vec<Action>) {
-        for at in 0..self.fars.len() {
-            let far = &mut self.fars[at];
-            far.callers
-                .retain(|c| now.since(c.heard) < HEARTBEAT_INTERVAL * 3);
-            let mut to: Vec<_> = far.callers.iter().map(|c| c.addr).collect();
-            let ours = far.rank.is_some_and(|rank| rank < REPRESENTATIVES);
-            if ours && self.starts(&self.fars[at].name) {
-                let first = self.fars[at].rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
+    /// Announces a change of this domain to other domains at once: to those
+    /// that this process initiates heartbeats to, and to those that sent it
+    /// heartbeats lately.
+    pub(super) fn announce_change(&mut self, now: Time, out: &mut Vec<Action>) {
+        for at in 0..self.domains.len() {
+            let remote = &mut self.domains[at];
+            remote
+                .inbound
+                .retain(|c| now.since(c.last_seen) < HEARTBEAT_INTERVAL * 3);
+            let mut to: Vec<_> = remote.inbound.iter().map(|c| c.addr).collect();
+            let is_ours = remote.rank.is_some_and(|rank| rank < REPRESENTATIVES);
+            if is_ours && self.is_initiator(&self.domains[at].name) {
+                let first = self.domains[at].rank.unwrap_or(0) * CONTACTS_PER_DOMAIN;
                 let contacts = self.contacts(at, false);
                 to.extend(contacts.get(first % contacts.len().max(1)));
             }
             for to in to {
-                let across = self.across(now, false);
-                self.send(to, Content::DomainHeartbeat(across), out);
+                let heartbeat = self.new_domain_heartbeat(now, false);
+                self.send(to, Content::DomainHeartbeat(heartbeat), out);
             }
         }
     }
 
-    /// A process of the home domain heard another domain this long ago.
-    pub(super) fn hear_of(&mut self, now: Time, domain: &Arc<str>, age: Duration) {
-        if *domain == self.me.identity.domain {
+    /// Notes that a process of the local domain heard from another domain this
+    /// long ago.
+    pub(super) fn note_domain_seen(&mut self, now: Time, domain: &Arc<str>, age: Duration) {
+        if *domain == self.own.identity.domain {
             return;
         }
-        let heard = now - age;
-        let far = self.far(domain);
-        far.heard = far.heard.max(Some(heard));
+        let last_seen = now - age;
+        let remote = self.domain_mut(domain);
+        remote.last_seen = remote.last_seen.max(Some(last_seen));
     }
 
-    /// Finds this process's part anew, and tells other domains, once the rows
-    /// of the home domain changed.
-    pub(super) fn relink(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.moved {
+    /// Ranks this process anew among the representatives after a change of its
+    /// domain's records, and announces the change to other domains.
+    pub(super) fn update_ranks(&mut self, now: Time, out: &mut Vec<Action>) {
+        if !self.is_rank_stale {
             return;
         }
-        self.moved = false;
-        self.meet_domains();
-        let digest = self.table.digest(&self.me.identity.domain);
-        let unranked = |far: &Far| far.rank.is_none();
-        if digest == self.told && !self.fars.iter().any(unranked) {
+        self.is_rank_stale = false;
+        self.add_domains();
+        let digest = self.table.digest(&self.own.identity.domain);
+        let is_unranked = |remote: &RemoteDomain| remote.rank.is_none();
+        if digest == self.announced_digest && !self.domains.iter().any(is_unranked) {
             return;
         }
-        let own = Arc::clone(&self.me.identity.name);
+        let own = Arc::clone(&self.own.identity.name);
         let peers = &self.peers;
-        for far in &mut self.fars {
-            let weight = |name: &str| hash::stable_hash(&[far.name.as_bytes(), name.as_bytes()]);
+        for remote in &mut self.domains {
+            let weight = |name: &str| hash::stable_hash(&[remote.name.as_bytes(), name.as_bytes()]);
             let mine = weight(&own);
-            far.rank = Some(peers.iter().filter(|p| weight(&p.name) < mine).count());
+            remote.rank = Some(peers.iter().filter(|p| weight(&p.name) < mine).count());
         }
-        if core::mem::replace(&mut self.told, digest) != digest {
-            self.tell_across(now, out);
+        if core::mem::replace(&mut self.announced_digest, digest) != digest {
+            self.announce_change(now, out);
         }
     }
 
-    /// Domains that rows or hints name.
-    fn meet_domains(&mut self) {
+    /// Adds domains that only records or hints name so far.
+    fn add_domains(&mut self) {
         let mut names = self.hints.take_new_domains();
         let digests = self.table.digests().iter().map(|d| &d.domain);
-        let unmet = |name: &&Arc<str>| self.fars.binary_search_by(|f| f.name.cmp(*name)).is_err();
-        names.extend(digests.filter(unmet).map(Arc::clone));
+        let is_unknown = |name: &&Arc<str>| {
+            self.domains
+                .binary_search_by(|d| d.name.cmp(*name))
+                .is_err()
+        };
+        names.extend(digests.filter(is_unknown).map(Arc::clone));
         for name in names {
-            if name != self.me.identity.domain {
-                self.far(&name);
+            if name != self.own.identity.domain {
+                self.domain_mut(&name);
             }
         }
     }
 
-    fn far(&mut self, name: &Arc<str>) -> &mut Far {
-        let at = match self.fars.binary_search_by(|f| f.name.cmp(name)) {
+    fn domain_mut(&mut self, name: &Arc<str>) -> &mut RemoteDomain {
+        let at = match self.domains.binary_search_by(|d| d.name.cmp(name)) {
             Ok(at) => at,
             Err(at) => {
-                self.fars.insert(at, Far::new(name));
-                self.moved = true;
-                self.sorted = None;
+                self.domains.insert(at, RemoteDomain::new(name));
+                self.is_rank_stale = true;
+                self.sorted_entries = None;
                 at
             }
         };
-        &mut self.fars[at]
+        &mut self.domains[at]
     }
 
-    /// Notices domains that fell silent or came back.
-    pub(super) fn check_fars(&mut self, out: &mut Vec<Action>, now: Time) {
-        for far in &mut self.fars {
-            let silent = far.heard.is_none_or(|t| now.since(t) > DOMAIN_TIMEOUT);
-            if silent == far.silent {
+    /// Notes domains that became silent or are heard from again.
+    pub(super) fn check_domains(&mut self, out: &mut Vec<Action>, now: Time) {
+        for remote in &mut self.domains {
+            let is_silent = remote
+                .last_seen
+                .is_none_or(|t| now.since(t) > DOMAIN_TIMEOUT);
+            if is_silent == remote.is_silent {
                 continue;
             }
-            far.silent = silent;
-            self.dirty = true;
-            let name = Arc::clone(&far.name);
-            out.push(Action::Notice(if silent {
+            remote.is_silent = is_silent;
+            self.is_dirty = true;
+            let name = Arc::clone(&remote.name);
+            out.push(Action::Notice(if is_silent {
                 Notice::DomainSilent(name)
             } else {
                 Notice::DomainBack(name)
@@ -287,13 +301,14 @@
         }
     }
 
-    /// A domain's summary as the vitals of its processes; `None` if silent.
+    /// Health of the processes of a domain, derived from its summary; `None` if
+    /// the domain is silent.
     pub(super) fn remote_health(&self, now: Time, at: usize) -> Option<HealthSummary> {
-        let far = self.fars.get(at)?;
-        let heard = far.heard?;
-        (now.since(heard) <= DOMAIN_TIMEOUT).then_some(HealthSummary {
-            version: far.summary.oldest,
-            load: far.summary.load,
+        let remote = self.domains.get(at)?;
+        let last_seen = remote.last_seen?;
+        (now.since(last_seen) <= DOMAIN_TIMEOUT).then_some(HealthSummary {
+            version: remote.summary.oldest,
+            load: remote.summary.load,
             store: false,
         })
     }
--- a/crates/steer/src/process/control/rollout.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -1,4 +1,8 @@
-//! Takes newer versions from the store and from peers.
+//! Fetches newer versions from the store and from peers, and has them
+//! installed.
+//!
+//! Invariant: a version is installed once its head and all its bodies are
+//! present; the [`tracker`] decides which version is next.
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -15,63 +19,64 @@
 use crate::process::member::{Record, hash};
 use crate::version::view::Version;
 
-/// Time that a peer has to answer.
+/// Time within which a peer has to answer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bodies asked for at a time.
+/// Number of bodies requested at a time.
 const FETCHES_MAX: usize = 8;
 
-/// Bytes of bodies in one message, unless one body alone is larger.
+/// Size of the bodies in one message, in bytes, unless a single body is larger.
 const BODIES_MESSAGE_BYTES_MAX: usize = 1 << 20;
 
-/// Troubles with the store's data that were logged already.
+/// Faults of the store's data that were already reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Alarms {
-    /// The store's head is below the version in force.
+    /// Whether the store's head is below the version in force.
     regressed: bool,
-    /// Last version that was met with other files.
+    /// Last version that was received with other content.
     forked: Version,
 }
 
-/// A head asked of a peer.
+/// A head requested from a peer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pull {
+pub(super) struct HeadRequest {
     until: Time,
 }
 
-/// A body asked for.
+/// A requested body.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Fetch {
+pub(super) struct BodyRequest {
     hash: Hash,
-    tries: u32,
+    candidates: u32,
     until: Time,
 }
 
 impl Control {
-    /// A peer has this version in force. The one behind asks.
-    pub(super) fn version_heard(
+    /// Handles the version that a peer has in force, and requests the peer's
+    /// head if the version is newer.
+    pub(super) fn note_version(
         &mut self,
         now: Time,
         version: Version,
         from: &Record,
         out: &mut Vec<Action>,
     ) {
-        self.heard = self.heard.max(version);
+        self.newest_seen = self.newest_seen.max(version);
         if version > self.tracker.version() && version >= self.tracker.known() {
-            self.holder = Some(from.identity.peer);
+            self.body_source = Some(from.identity.peer);
         }
-        let pulling = self.pull.is_some_and(|pull| now < pull.until);
+        let pulling = self.head_request.is_some_and(|pull| now < pull.until);
         if !self.guards.pull || pulling || !self.tracker.should_request(version) {
             return;
         }
         let until = now + FETCH_TIMEOUT;
-        self.pull = Some(Pull { until });
+        self.head_request = Some(HeadRequest { until });
         let known = self.tracker.known();
         self.send(from.identity.peer, Content::Pull(known), out);
     }
 
-    /// Messages that carry heads and bodies.
-    pub(super) fn exchange(&mut self, now: Time, message: &Message, out: &mut Vec<Action>) {
+    /// Handles messages that transfer heads and bodies.
+    pub(super) fn handle_transfer(&mut self, now: Time, message: &Message, out: &mut Vec<Action>) {
         let to = message.reply_addr();
         match &message.content {
             Content::Pull(known) => {
@@ -81,12 +86,12 @@
                 }
             }
             Content::Offer(head) if self.guards.pull => {
-                self.pull = None;
-                self.offered(head, Source::Peer(to), out);
-                self.adopt_step(now, out);
+                self.head_request = None;
+                self.handle_offer(head, Source::Peer(to), out);
+                self.rollout_step(now, out);
             }
             Content::Fetch(hashes) => {
-                let bodies = self.bodies(hashes);
+                let bodies = self.collect_bodies(hashes);
                 if !bodies.is_empty() {
                     self.send(to, Content::Bodies(bodies), out);
                 }
@@ -95,13 +100,13 @@
                 for body in bodies {
                     self.tracker.add_body(body.clone());
                 }
-                self.adopt_step(now, out);
+                self.rollout_step(now, out);
             }
             _ => {}
         }
     }
 
-    fn bodies(&self, hashes: &[Hash]) -> Vec<Body> {
+    fn collect_bodies(&self, hashes: &[Hash]) -> Vec<Body> {
         let mut bodies: Vec<Body> = Vec::new();
         let mut bytes = 0;
         for body in hashes.iter().filter_map(|&h| self.tracker.body(h)) {
@@ -114,10 +119,10 @@
         bodies
     }
 
-    fn offered(&mut self, head: &Arc<Head>, source: Source, out: &mut Vec<Action>) {
-        self.heard = self.heard.max(head.version);
+    fn handle_offer(&mut self, head: &Arc<Head>, source: Source, out: &mut Vec<Action>) {
+        self.newest_seen = self.newest_seen.max(head.version);
         match self.tracker.offer(head, source) {
-            OfferOutcome::Newer => self.fetches.clear(),
+            OfferOutcome::Newer => self.body_requests.clear(),
             OfferOutcome::Same | OfferOutcome::Rejected => {}
             OfferOutcome::Stale => self.counters.stale += 1,
             OfferOutcome::Forked => {
@@ -130,20 +135,22 @@
         }
     }
 
-    /// Installs the next version if all of it is here, else asks for the rest.
-    pub(super) fn adopt_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let newer = self.heard > self.tracker.version() && self.tracker.is_installable(self.heard);
+    /// Has the next version installed if it is complete, otherwise requests
+    /// missing bodies.
+    pub(super) fn rollout_step(&mut self, now: Time, out: &mut Vec<Action>) {
+        let newer = self.newest_seen > self.tracker.version()
+            && self.tracker.is_installable(self.newest_seen);
         self.slot.set_behind(now, newer);
         self.end_doubt(now, out);
         if let Some(tracker::Complete { head, bodies }) = self.tracker.take_complete() {
-            self.fetches.clear();
+            self.body_requests.clear();
             return out.push(Action::Install { head, bodies });
         }
         let missing = self.tracker.missing_bodies();
-        self.fetches.retain(|f| missing.contains(&f.hash));
+        self.body_requests.retain(|f| missing.contains(&f.hash));
         let mut from_peer = Vec::new();
         for &hash in missing.iter().take(FETCHES_MAX) {
-            if self.fetch(now, hash, out) {
+            if self.request_body(now, hash, out) {
                 from_peer.push(hash);
             }
         }
@@ -153,51 +160,54 @@
         }
     }
 
-    /// Asks the store for a body that is due, or returns true if a peer is to
-    /// be asked. Sources alternate, beginning with the one that told of it.
-    fn fetch(&mut self, now: Time, hash: Hash, out: &mut Vec<Action>) -> bool {
-        let found = self.fetches.iter().position(|f| f.hash == hash);
+    /// Requests a body from the store if a request is due. Returns true if a
+    /// peer has to be asked instead. Attempts alternate between the store and a
+    /// peer, starting with the origin of the head.
+    fn request_body(&mut self, now: Time, hash: Hash, out: &mut Vec<Action>) -> bool {
+        let found = self.body_requests.iter().position(|d| d.hash == hash);
         let at = found.unwrap_or_else(|| {
             let until = now;
-            self.fetches.push(Fetch {
+            self.body_requests.push(BodyRequest {
                 hash,
-                tries: 0,
+                candidates: 0,
                 until,
             });
-            self.fetches.len() - 1
+            self.body_requests.len() - 1
         });
-        let Fetch { tries, until, .. } = self.fetches[at];
+        let BodyRequest {
+            candidates, until, ..
+        } = self.body_requests[at];
         if now < until {
             return false;
         }
         let told = u32::from(matches!(self.tracker.source(), Some(Source::Store)));
-        let mut peer = (tries + told).is_multiple_of(2) && self.guards.pull;
+        let mut peer = (candidates + told).is_multiple_of(2) && self.guards.pull;
         if !peer {
             let mut calls = Vec::new();
-            match self.store.body(now, hash, &mut calls) {
+            match self.store.read_body(now, hash, &mut calls) {
                 BodyRead::Started => push_calls(calls, out),
                 BodyRead::Busy => return false,
                 BodyRead::Unavailable => peer = self.guards.pull,
             }
         }
-        let fetch = &mut self.fetches[at];
-        fetch.tries += 1;
+        let fetch = &mut self.body_requests[at];
+        fetch.candidates += 1;
         fetch.until = now + FETCH_TIMEOUT;
         peer
     }
 
-    /// A peer that can be asked for bodies: the last of any domain that was
-    /// heard to have the version in force, or the one that told of it. If the
-    /// store went away between head and bodies, only the former has them.
+    /// The peer to request bodies from: the last one heard to have the newest
+    /// version in force, otherwise the origin of the head. The former has the
+    /// bodies even if the store became unavailable between head and bodies.
     fn body_peer(&self) -> Option<SocketAddr> {
         let told = match self.tracker.source() {
             Some(Source::Peer(addr)) => Some(addr),
             Some(Source::Store) | None => None,
         };
-        self.holder.or(told)
+        self.body_source.or(told)
     }
 
-    pub(super) fn installed(
+    pub(super) fn handle_installed(
         &mut self,
         now: Time,
         version: Version,
@@ -209,28 +219,27 @@
             return;
         }
         self.counters.installed += 1;
-        self.holder = None;
-        self.dirty = true;
+        self.body_source = None;
+        self.is_dirty = true;
         self.slot.configure(now, slots);
         out.push(Action::Notice(Notice::InForce(version)));
-        self.adopt_step(now, out);
-        self.publish_due(now, out);
-        if source.is_some_and(|source| self.is_first(source)) {
-            self.beat_all(now, false, out);
+        self.rollout_step(now, out);
+        self.publish_if_due(now, out);
+        if source.is_some_and(|source| self.is_announcer(source)) {
+            self.broadcast_heartbeat(now, false, out);
         }
     }
 
-    /// Whether this process is among the first of its domain to have a version,
-    /// so that it tells the others at once: it had it from the store or from
-    /// another domain.
-    fn is_first(&self, source: Source) -> bool {
+    /// Whether this process got a version from the store or another domain, and
+    /// so has to announce it within its own domain.
+    fn is_announcer(&self, source: Source) -> bool {
         match source {
             Source::Store => true,
             Source::Peer(addr) => !self.peers.iter().any(|p| p.addr == addr),
         }
     }
 
-    pub(super) fn rejected(&mut self, version: Version, out: &mut Vec<Action>) {
+    pub(super) fn handle_rejected(&mut self, version: Version, out: &mut Vec<Action>) {
         if self.tracker.rejected(version) {
             self.counters.rejected += 1;
             out.push(Action::Notice(Notice::Rejected(version)));
@@ -238,27 +247,28 @@
     }
 
     pub(super) fn store_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let turn = self.store.expire(now, &mut self.rng);
-        turned(turn, out);
-        let need = Demand {
-            watcher: self.is_watcher(),
-            alone: self.peers.is_empty() && self.fars.iter().all(|f| f.silent),
+        let transition = self.store.expire(now, &mut self.rng);
+        notify_transition(transition, out);
+        let demand = Demand {
+            is_watcher: self.is_watcher(),
+            is_alone: self.peers.is_empty() && self.domains.iter().all(|d| d.is_silent),
         };
         let mut calls = Vec::new();
-        self.store.step(now, need, &mut self.rng, &mut calls);
+        self.store.step(now, demand, &mut self.rng, &mut calls);
         push_calls(calls, out);
     }
 
-    /// Whether this process watches for its domain: one of the lowest ranks by
-    /// a hash of name and version among the live ones that reach the store. All
-    /// compute it alike, and the part goes round as versions rise.
+    /// Whether this process watches the head for its domain: it is among the
+    /// [`WATCHERS_PER_DOMAIN`] lowest by a hash of name and version, with
+    /// processes that reach the store first. All processes compute the same
+    /// order, which changes as versions rise.
     pub(super) fn is_watcher(&self) -> bool {
-        let turn = self.tracker.version().0 / WATCHER_ROTATION_VERSIONS;
+        let round = self.tracker.version().0 / WATCHER_ROTATION_VERSIONS;
         let weight = |name: &str, store: bool| {
-            let order = hash::stable_hash(&[name.as_bytes(), &turn.to_le_bytes()]);
+            let order = hash::stable_hash(&[name.as_bytes(), &round.to_le_bytes()]);
             (!store, order)
         };
-        let mine = weight(&self.me.identity.name, !self.store.is_unavailable());
+        let mine = weight(&self.own.identity.name, !self.store.is_unavailable());
         let before = self
             .peers
             .iter()
@@ -266,19 +276,25 @@
         before.take(WATCHERS_PER_DOMAIN).count() < WATCHERS_PER_DOMAIN
     }
 
-    pub(super) fn stored(&mut self, now: Time, id: CallId, reply: Reply, out: &mut Vec<Action>) {
-        let Some(answered) = self.store.answered(now, id, &reply, &mut self.rng) else {
+    pub(super) fn handle_store_reply(
+        &mut self,
+        now: Time,
+        id: CallId,
+        reply: Reply,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(answered) = self.store.take_answer(now, id, &reply, &mut self.rng) else {
             return;
         };
-        turned(answered.turn, out);
+        notify_transition(answered.transition, out);
         match reply {
             Reply::Head(stored) => {
                 let told = stored.as_ref().map_or(Version(0), |s| s.head.version);
-                self.head_read(stored, out);
-                self.confirmed(now, answered.since, told, out);
+                self.check_store_head(stored, out);
+                self.confirm(now, answered.sent_at, told, out);
             }
             Reply::Watched(Some(stored)) => {
-                self.offered(&stored.head, Source::Store, out);
+                self.handle_offer(&stored.head, Source::Store, out);
             }
             Reply::Body(hash, Some(bytes)) if answered.call == Call::Body(hash) => {
                 self.tracker.add_body(Body { hash, bytes });
@@ -288,12 +304,12 @@
             Reply::Watched(None) | Reply::Body(..) => {}
         }
         if self.status != MemberStatus::Superseded {
-            self.adopt_step(now, out);
+            self.rollout_step(now, out);
             self.store_step(now, out);
         }
     }
 
-    fn head_read(&mut self, stored: Option<StoredHead>, out: &mut Vec<Action>) {
+    fn check_store_head(&mut self, stored: Option<StoredHead>, out: &mut Vec<Action>) {
         let force = self.tracker.version();
         let version = stored.as_ref().map_or(Version(0), |s| s.head.version);
         let behind = version < force;
@@ -308,13 +324,13 @@
             }));
         }
         if let Some(stored) = stored {
-            self.offered(&stored.head, Source::Store, out);
+            self.handle_offer(&stored.head, Source::Store, out);
         }
     }
 }
 
-fn turned(turn: Transition, out: &mut Vec<Action>) {
-    match turn {
+fn notify_transition(transition: Transition, out: &mut Vec<Action>) {
+    match transition {
         Transition::None => {}
         Transition::Lost => out.push(Action::Notice(Notice::StoreAway)),
         Transition::Restored => out.push(Action::Notice(Notice::StoreBack)),
--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -1,10 +1,11 @@
-//! When this process calls the store.
+//! Policy of when to call the store, and for what.
 //!
-//! Invariant: at most one call of each kind waits at a time, and while the
-//! store is away only one to its head, so an outage costs each process one call
-//! per backoff and its return is met by calls spread over that backoff. The
-//! platform's list has a backoff of its own: either may be away without the
-//! other.
+//! Invariant: at most one call of each kind is pending, and at most
+//! [`BODY_READS_MAX`] reads of bodies. While the store is unavailable only its
+//! head is read. An outage therefore costs each process one call per backoff,
+//! and the calls that find the store restored are spread over that backoff. The
+//! platform's list has a backoff of its own, as either may be unavailable
+//! without the other.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -13,58 +14,58 @@
 use crate::process::config::{Hash, Head};
 use crate::process::member::Hint;
 
-/// A call of the store; bounded by the driver, answered exactly once.
+/// A call to the store. The driver bounds its time and answers it exactly once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Read the head document.
+    /// Reads the head document.
     Head,
-    /// Wait until the head's revision is above `after`, at most for `wait`.
+    /// Waits until the head's revision is above `after`.
     Watch {
-        /// Revision that is known.
+        /// Highest revision known.
         after: u64,
-        /// Longest wait.
+        /// Longest time to wait.
         wait: Duration,
     },
-    /// Read a body.
+    /// Reads a body.
     Body(Hash),
-    /// Read the platform's list of instances.
+    /// Reads the platform's list of instances.
     List,
 }
 
-/// The head document as the store holds it.
+/// The head document in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredHead {
     /// The document.
     pub head: Arc<Head>,
-    /// The store's revision of it.
+    /// Revision of the document in the store.
     pub revision: u64,
 }
 
-/// The store's answer.
+/// The store's answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Call::Head`]; `None` if there is no head yet.
+    /// Answers [`Call::Head`]; `None` if there is no head yet.
     Head(Option<StoredHead>),
-    /// To [`Call::Watch`]; `None` if the wait ran out.
+    /// Answers [`Call::Watch`]; `None` if the wait ended without a change.
     Watched(Option<StoredHead>),
-    /// To [`Call::Body`]; `None` if there is no such body.
+    /// Answers [`Call::Body`]; `None` if there is no such body.
     Body(Hash, Option<Arc<[u8]>>),
-    /// To [`Call::List`]: the entry instances in it.
+    /// Answers [`Call::List`] with the entry instances of the list.
     Listed(Vec<Hint>),
-    /// No answer within the driver's bound, or an error.
+    /// The call failed, or got no answer within the driver's time limit.
     Unavailable,
-    /// An answer that can't be read.
+    /// The answer can't be parsed.
     Malformed,
 }
 
-/// Names one call; never reused within a process.
+/// Id of a call; never reused within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A call to be made.
+/// A call to be made by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Names it.
+    /// Id of the call, to be returned with its answer.
     pub id: CallId,
     /// The call.
     pub call: Call,
@@ -72,120 +73,124 @@
 
 /// A call that waits for its answer.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingCall {
     id: CallId,
     call: Call,
-    since: Time,
+    sent_at: Time,
 }
 
 /// Longest time of a watch.
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Mean time between two reads of the head by a process that doesn't watch; it
-/// covers events that a watch has missed.
+/// Mean time between two reads of the head by each process, in case a watch
+/// missed a change.
 pub const REREAD_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Mean time between two reads of the list by a watching process.
+/// Mean time between two reads of the list by a watcher. A process without any
+/// peer reads it six times as often, other processes a twentieth as often.
 pub const LIST_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Time after which an unanswered call counts as lost, beyond its own wait. The
-/// driver's bound has to be below it.
+/// Time after which an unanswered call counts as failed, beyond its own wait.
+/// The driver's time limit has to be shorter.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// First wait after a failure; it doubles up to [`BACKOFF_MAX`].
+/// Wait after the first failure; it doubles up to [`BACKOFF_MAX`].
 pub const BACKOFF_MIN: Duration = Duration::from_millis(250);
 
-/// Longest wait between two tries while the store is away, before jitter.
+/// Longest wait between two attempts while the store is unavailable, before
+/// jitter.
 pub const BACKOFF_MAX: Duration = Duration::from_secs(30);
 
-/// Bodies read at a time.
+/// Number of bodies read at a time.
 const BODY_READS_MAX: usize = 4;
 
-/// How the store does, as this process sees it.
+/// Change of the store's availability, as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
     /// No change.
     None,
-    /// It stopped answering.
+    /// The store stopped answering.
     Lost,
-    /// It answers again.
+    /// The store answers again.
     Restored,
 }
 
-/// Whether a body was asked for.
+/// Outcome of [`Policy::read_body`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyRead {
-    /// It was.
+    /// The read was started.
     Started,
-    /// Not yet: enough bodies are being read.
+    /// Not started: this body or enough others are being read.
     Busy,
-    /// No: the store is away.
+    /// Not started: the store is unavailable.
     Unavailable,
 }
 
-/// An answer with the call it is for.
+/// A call with the time at which it was made, once it is answered.
 #[derive(Clone, Debug)]
 pub struct Completed {
-    /// The call.
+    /// The answered call.
     pub call: Call,
-    /// When it was made.
-    pub since: Time,
-    /// Change of the store's state that the answer brought.
-    pub turn: Transition,
+    /// When the call was made.
+    pub sent_at: Time,
+    /// Change of the store's availability that the answer caused.
+    pub transition: Transition,
 }
 
-/// What the process wants of the store just now.
+/// Needs of the process that decide which calls are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Whether this process watches for its domain.
-    pub watcher: bool,
-    /// Whether no peer is heard, so that the list is wanted often.
-    pub alone: bool,
+    /// Whether this process watches the head for its domain.
+    pub is_watcher: bool,
+    /// Whether no peer is heard from, so that the list is needed often.
+    pub is_alone: bool,
 }
 
-/// The policy's state.
+/// State of the policy.
 #[derive(Debug)]
 pub struct Policy {
-    waiting: Vec<Waiting>,
+    pending: Vec<PendingCall>,
     calls: u64,
-    fails: u32,
-    away: bool,
-    retry: Time,
-    reread: Time,
-    list: Time,
-    unlisted: u32,
+    failures: u32,
+    is_unavailable: bool,
+    retry_at: Time,
+    reread_at: Time,
+    list_at: Time,
+    list_failures: u32,
     revision: u64,
-    fresh: bool,
-    slow: bool,
+    is_head_known: bool,
+    is_rereading: bool,
 }
 
 impl Policy {
-    /// A process's policy; its first calls come within a jittered moment.
-    /// `reread` off leaves out the slow re-read: the ablation.
+    /// A policy whose first calls are due within a jittered [`BACKOFF_MIN`]. If
+    /// `reread` is false the head isn't re-read: tests show with it that
+    /// re-reads are needed.
     pub fn new(now: Time, reread: bool, rng: &mut fastrand::Rng) -> Self {
         let first = now + jitter(BACKOFF_MIN, rng);
         Self {
-            waiting: Vec::new(),
+            pending: Vec::new(),
             calls: 0,
-            fails: 0,
-            away: false,
-            retry: now,
-            reread: first,
-            list: first,
-            unlisted: 0,
+            failures: 0,
+            is_unavailable: false,
+            retry_at: now,
+            reread_at: first,
+            list_at: first,
+            list_failures: 0,
             revision: 0,
-            fresh: false,
-            slow: reread,
+            is_head_known: false,
+            is_rereading: reread,
         }
     }
 
-    /// Whether the store is believed to answer.
+    /// Whether the last call to the store failed; failures of the list don't
+    /// count.
     #[must_use]
     pub const fn is_unavailable(&self) -> bool {
-        self.away
+        self.is_unavailable
     }
 
-    /// Calls made so far.
+    /// Number of calls made so far.
     #[must_use]
     pub const fn calls(&self) -> u64 {
         self.calls
@@ -195,23 +200,26 @@
     pub fn step(
         &mut self,
         now: Time,
-        need: Demand,
+        demand: Demand,
         rng: &mut fastrand::Rng,
         out: &mut Vec<Request>,
     ) {
-        if !need.watcher {
-            self.fresh = false;
+        if !demand.is_watcher {
+            self.is_head_known = false;
         }
-        self.read_list(now, need, rng, out);
-        if self.away {
-            return self.probe(now, rng, out);
+        self.read_list(now, demand, rng, out);
+        if self.is_unavailable {
+            return self.retry(now, rng, out);
         }
-        if now >= self.reread || (need.watcher && !self.fresh) {
+        if now >= self.reread_at || (demand.is_watcher && !self.is_head_known) {
             self.read_head(now, rng, out);
         }
-        if need.watcher && self.fresh && !self.waits(|c| matches!(c, Call::Watch { .. })) {
+        if demand.is_watcher
+            && self.is_head_known
+            && !self.is_pending(|c| matches!(c, Call::Watch { .. }))
+        {
             let after = self.revision;
-            self.call(
+            self.start_call(
                 now,
                 Call::Watch {
                     after,
@@ -222,81 +230,88 @@
         }
     }
 
-    /// Reads a body, if that can be done now.
-    pub fn body(&mut self, now: Time, hash: Hash, out: &mut Vec<Request>) -> BodyRead {
-        if self.away {
+    /// Reads a body, unless the store is unavailable or too many reads are
+    /// pending.
+    pub fn read_body(&mut self, now: Time, hash: Hash, out: &mut Vec<Request>) -> BodyRead {
+        if self.is_unavailable {
             return BodyRead::Unavailable;
         }
         let bodies = self
-            .waiting
+            .pending
             .iter()
             .filter(|w| matches!(w.call, Call::Body(_)));
-        if bodies.count() >= BODY_READS_MAX || self.waits(|c| *c == Call::Body(hash)) {
+        if bodies.count() >= BODY_READS_MAX || self.is_pending(|c| *c == Call::Body(hash)) {
             return BodyRead::Busy;
         }
-        self.call(now, Call::Body(hash), out);
+        self.start_call(now, Call::Body(hash), out);
         BodyRead::Started
     }
 
-    /// Matches an answer to its call; `None` if the call was given up.
-    pub fn answered(
+    /// Matches an answer to its call. Returns `None` if the call has expired.
+    pub fn take_answer(
         &mut self,
         now: Time,
         id: CallId,
         reply: &Reply,
         rng: &mut fastrand::Rng,
     ) -> Option<Completed> {
-        let at = self.waiting.binary_search_by_key(&id, |w| w.id).ok()?;
-        let Waiting { call, since, .. } = self.waiting.remove(at);
-        let turn = match reply {
-            Reply::Unavailable | Reply::Malformed => self.failed(now, &call, rng),
+        let at = self.pending.binary_search_by_key(&id, |w| w.id).ok()?;
+        let PendingCall { call, sent_at, .. } = self.pending.remove(at);
+        let transition = match reply {
+            Reply::Unavailable | Reply::Malformed => self.record_failure(now, &call, rng),
             Reply::Listed(_) => {
-                self.unlisted = 0;
+                self.list_failures = 0;
                 Transition::None
             }
-            Reply::Head(_) | Reply::Watched(_) | Reply::Body(..) => self.worked(now, rng),
+            Reply::Head(_) | Reply::Watched(_) | Reply::Body(..) => self.record_success(now, rng),
         };
         if let Reply::Head(Some(stored)) | Reply::Watched(Some(stored)) = reply {
-            self.saw(&call, stored.revision);
+            self.note_revision(&call, stored.revision);
         }
         if matches!(reply, Reply::Head(_)) {
-            self.fresh = true;
+            self.is_head_known = true;
         }
-        Some(Completed { call, since, turn })
+        Some(Completed {
+            call,
+            sent_at,
+            transition,
+        })
     }
 
-    /// Gives up calls without an answer. A driver that keeps its bound never
-    /// lets this happen; a process frozen with calls open does.
+    /// Fails calls that were not answered in time. This doesn't happen with a
+    /// driver that keeps its time limit, unless the process is frozen while
+    /// calls are pending.
     pub fn expire(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
-        let lost = |w: &Waiting| {
+        let is_expired = |w: &PendingCall| {
             let wait = match w.call {
                 Call::Watch { wait, .. } => wait,
                 Call::Head | Call::Body(_) | Call::List => Duration::ZERO,
             };
-            now.since(w.since) > wait + CALL_TIMEOUT
+            now.since(w.sent_at) > wait + CALL_TIMEOUT
         };
-        let mut turn = Transition::None;
-        while let Some(at) = self.waiting.iter().position(lost) {
-            let call = self.waiting.remove(at).call;
-            if self.failed(now, &call, rng) == Transition::Lost {
-                turn = Transition::Lost;
+        let mut transition = Transition::None;
+        while let Some(at) = self.pending.iter().position(is_expired) {
+            let call = self.pending.remove(at).call;
+            if self.record_failure(now, &call, rng) == Transition::Lost {
+                transition = Transition::Lost;
             }
         }
-        turn
+        transition
     }
 
-    /// Reads the head at the next step, whatever was planned: after a freeze.
-    pub fn hurry(&mut self, now: Time) {
-        self.waiting.retain(|w| w.call != Call::Head);
-        self.reread = now;
-        self.retry = now;
+    /// Makes the next read of the head due at once, as after a freeze.
+    pub fn schedule_read(&mut self, now: Time) {
+        self.pending.retain(|w| w.call != Call::Head);
+        self.reread_at = now;
+        self.retry_at = now;
     }
 
-    /// A store that came back with old data has lower revisions; a watch above
-    /// them would wait for ever.
-    fn saw(&mut self, call: &Call, revision: u64) {
-        let read = *call == Call::Head;
-        if read || revision > self.revision {
+    /// Notes the head's revision. A read may lower it: a store that was
+    /// restored from old data has lower revisions, and a watch above them would
+    /// never return.
+    fn note_revision(&mut self, call: &Call, revision: u64) {
+        let is_read = *call == Call::Head;
+        if is_read || revision > self.revision {
             self.revision = revision;
         }
     }
@@ -304,92 +319,95 @@
     fn read_list(
         &mut self,
         now: Time,
-        need: Demand,
+        demand: Demand,
         rng: &mut fastrand::Rng,
         out: &mut Vec<Request>,
     ) {
-        if now < self.list || self.waits(|c| *c == Call::List) {
+        if now < self.list_at || self.is_pending(|c| *c == Call::List) {
             return;
         }
-        let mean = match need {
-            Demand { alone: true, .. } => LIST_INTERVAL / 6,
-            Demand { watcher: true, .. } => LIST_INTERVAL,
+        let mean = match demand {
+            Demand { is_alone: true, .. } => LIST_INTERVAL / 6,
+            Demand {
+                is_watcher: true, ..
+            } => LIST_INTERVAL,
             Demand { .. } => LIST_INTERVAL * 20,
         };
-        self.list = now + jitter(mean, rng);
-        self.call(now, Call::List, out);
+        self.list_at = now + jitter(mean, rng);
+        self.start_call(now, Call::List, out);
     }
 
-    fn probe(&mut self, now: Time, rng: &mut fastrand::Rng, out: &mut Vec<Request>) {
-        if now >= self.retry {
+    fn retry(&mut self, now: Time, rng: &mut fastrand::Rng, out: &mut Vec<Request>) {
+        if now >= self.retry_at {
             self.read_head(now, rng, out);
         }
     }
 
     fn read_head(&mut self, now: Time, rng: &mut fastrand::Rng, out: &mut Vec<Request>) {
-        if self.waits(|c| *c == Call::Head) {
+        if self.is_pending(|c| *c == Call::Head) {
             return;
         }
-        self.reread = if self.slow {
+        self.reread_at = if self.is_rereading {
             now + jitter(REREAD_INTERVAL, rng)
         } else {
             Time::from_micros(u64::MAX)
         };
-        self.call(now, Call::Head, out);
+        self.start_call(now, Call::Head, out);
     }
 
-    fn call(&mut self, now: Time, call: Call, out: &mut Vec<Request>) {
+    fn start_call(&mut self, now: Time, call: Call, out: &mut Vec<Request>) {
         self.calls += 1;
         let id = CallId(self.calls);
-        self.waiting.push(Waiting {
+        self.pending.push(PendingCall {
             id,
             call: call.clone(),
-            since: now,
+            sent_at: now,
         });
         out.push(Request { id, call });
     }
 
-    fn waits(&self, fits: impl Fn(&Call) -> bool) -> bool {
-        self.waiting.iter().any(|w| fits(&w.call))
+    fn is_pending(&self, matches: impl Fn(&Call) -> bool) -> bool {
+        self.pending.iter().any(|w| matches(&w.call))
     }
 
-    fn failed(&mut self, now: Time, call: &Call, rng: &mut fastrand::Rng) -> Transition {
+    fn record_failure(&mut self, now: Time, call: &Call, rng: &mut fastrand::Rng) -> Transition {
         if *call == Call::List {
-            self.list = now + backoff(self.unlisted, rng);
-            self.unlisted = self.unlisted.saturating_add(1);
+            self.list_at = now + backoff(self.list_failures, rng);
+            self.list_failures = self.list_failures.saturating_add(1);
             return Transition::None;
         }
-        self.retry = now + backoff(self.fails, rng);
-        self.fails = self.fails.saturating_add(1);
-        self.fresh = false;
-        if core::mem::replace(&mut self.away, true) {
+        self.retry_at = now + backoff(self.failures, rng);
+        self.failures = self.failures.saturating_add(1);
+        self.is_head_known = false;
+        if core::mem::replace(&mut self.is_unavailable, true) {
             Transition::None
         } else {
             Transition::Lost
         }
     }
 
-    /// After an outage the next slow read is drawn anew, so that processes that
-    /// noticed the return together don't read together again.
-    fn worked(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
-        self.fails = 0;
-        if !core::mem::replace(&mut self.away, false) {
+    /// Notes a successful call. After an outage the next re-read is drawn anew,
+    /// so that processes that noticed the return together don't read together
+    /// again.
+    fn record_success(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
+        self.failures = 0;
+        if !core::mem::replace(&mut self.is_unavailable, false) {
             return Transition::None;
         }
-        if self.slow {
-            self.reread = now + jitter(REREAD_INTERVAL, rng);
+        if self.is_rereading {
+            self.reread_at = now + jitter(REREAD_INTERVAL, rng);
         }
         Transition::Restored
     }
 }
 
-/// Wait after so many failures in a row.
-fn backoff(fails: u32, rng: &mut fastrand::Rng) -> Duration {
-    let doubled = BACKOFF_MIN * 2_u32.saturating_pow(fails.min(10));
+/// Jittered wait after `fails` failures in a row.
+fn backoff(failures: u32, rng: &mut fastrand::Rng) -> Duration {
+    let doubled = BACKOFF_MIN * 2_u32.saturating_pow(failures.min(10));
     jitter(doubled.min(BACKOFF_MAX), rng)
 }
 
-/// A time between half and one and a half of `mean`.
+/// A random time between 0.5 and 1.5 times `mean`.
 pub fn jitter(mean: Duration, rng: &mut fastrand::Rng) -> Duration {
     mean.mul_f64(0.5 + rng.f64())
 }
--- a/crates/steer/src/process/control/sync.rs
+++ b/crates/steer/src/process/control/sync.rs
@@ -1,4 +1,4 @@
-//! Exchange of records: pushed when they change, compared by digests.
+//! Exchange of records: pushed when they change, and synchronized by digests.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -9,34 +9,35 @@
 use crate::process::member::table::{Digest, Merge};
 use crate::process::member::{Lifecycle, Record};
 
-/// Time between two comparisons of digests.
+/// Time between two exchanges of digests.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The same for a process that is still learning who is there.
+/// Time between two exchanges of digests while the process joins.
 const SYNC_INTERVAL_JOINING: Duration = Duration::from_millis(250);
 
-/// Heartbeats with a differing digest before a comparison: a push is under way
-/// more often than it is lost.
+/// Consecutive heartbeats with a different digest before an exchange: the
+/// difference is more often a push under way than a lost one.
 const MISMATCHES_MIN: u8 = 3;
 
-/// Rows in one message, about 50 KB.
+/// Number of records after which a message is closed; about 50 KB.
 const RECORDS_MESSAGE_MAX: usize = 600;
 
 impl Control {
-    /// Compares digests with a peer whose table has differed for a while.
-    pub(super) fn sync_due(
+    /// Starts an exchange of digests with a peer whose table has differed for a
+    /// while.
+    pub(super) fn sync_if_due(
         &mut self,
         now: Time,
         from: &Arc<Record>,
-        differs: u8,
+        mismatches: u8,
         out: &mut Vec<Action>,
     ) {
-        let enough = differs >= MISMATCHES_MIN || (self.joining && differs > 0);
-        if !enough || now < self.sync {
+        let enough = mismatches >= MISMATCHES_MIN || (self.is_joining && mismatches > 0);
+        if !enough || now < self.next_sync {
             return;
         }
-        self.sync = now
-            + if self.joining {
+        self.next_sync = now
+            + if self.is_joining {
                 SYNC_INTERVAL_JOINING
             } else {
                 SYNC_INTERVAL
@@ -46,19 +47,20 @@
         self.send(from.identity.peer, Content::Sync(digests), out);
     }
 
-    /// Keeps this process's own record in its table, so that digests compare.
-    pub(super) fn own_row(&mut self, now: Time) {
-        let me = Arc::clone(&self.me);
-        if self.table.merge(now, &me, true) != Merge::Outdated {
-            self.moved = true;
-            self.dirty = true;
-            self.sorted = None;
+    /// Merges this process's own record into its table, so that its digests are
+    /// comparable with those of its peers.
+    pub(super) fn merge_own_record(&mut self, now: Time) {
+        let own = Arc::clone(&self.own);
+        if self.table.merge(now, &own, true) != Merge::Outdated {
+            self.is_rank_stale = true;
+            self.is_dirty = true;
+            self.sorted_entries = None;
         }
     }
 
-    /// Domains whose digest here differs from the sender's, in an order of its
-    /// own, so that a list cut short doesn't always lack the same ones.
-    pub(super) fn differing(&mut self, digests: &[Digest]) -> Vec<Arc<str>> {
+    /// Domains whose digest differs from the sender's, in random order, so that
+    /// a truncated answer doesn't always lack the same ones.
+    pub(super) fn differing_domains(&mut self, digests: &[Digest]) -> Vec<Arc<str>> {
         let theirs = |domain: &str| {
             digests
                 .binary_search_by(|d| (*d.domain).cmp(domain))
@@ -71,7 +73,7 @@
         domains
     }
 
-    pub(super) fn send_rows(
+    pub(super) fn send_records(
         &mut self,
         message: &Message,
         domains: &[Arc<str>],
@@ -90,22 +92,23 @@
         }
     }
 
-    /// Takes others' rows. What came from another domain is passed on at home.
-    pub(super) fn learn(
+    /// Merges records from a peer. New ones from another domain are forwarded
+    /// within the local domain.
+    pub(super) fn merge_records(
         &mut self,
         now: Time,
         rows: &[Arc<Record>],
-        near: bool,
+        is_local: bool,
         out: &mut Vec<Action>,
     ) {
         let mut fresh = Vec::new();
         for record in rows {
             if self.is_own(record) {
-                self.own_name(now, record, out);
+                self.handle_own_name(now, record, out);
                 continue;
             }
-            if self.contradicts(now, record) {
-                self.send_held(now, record, record.serial, out);
+            if self.is_contradicted(now, record) {
+                self.send_tombstone(now, record, record.serial, out);
                 continue;
             }
             if self.table.merge(now, record, self.guards.stamps) != Merge::Outdated {
@@ -115,19 +118,19 @@
         if fresh.is_empty() {
             return;
         }
-        self.changed(now);
-        if !near {
-            fresh.retain(|r| r.identity.domain != self.me.identity.domain);
-            self.push(&fresh, out);
+        self.rebuild_peers(now);
+        if !is_local {
+            fresh.retain(|r| r.identity.domain != self.own.identity.domain);
+            self.forward_records(&fresh, out);
         }
     }
 
-    /// Whether a tombstone that would be taken is of a process that this one
-    /// hears well. That process has to be told, even if whoever buried it is gone
-    /// or in another domain: only it can refute the tombstone.
-    fn contradicts(&self, now: Time, record: &Record) -> bool {
+    /// Whether a record is a tombstone of a peer that this process still hears
+    /// from. The peer has to be told, as only it can refute the tombstone, and
+    /// the process that wrote it may be gone or in another domain.
+    fn is_contradicted(&self, now: Time, record: &Record) -> bool {
         let identity = &record.identity;
-        if record.lifecycle != Lifecycle::Dead || identity.domain != self.me.identity.domain {
+        if record.lifecycle != Lifecycle::Dead || identity.domain != self.own.identity.domain {
             return false;
         }
         let row = self.table.get(&identity.domain, &identity.name);
@@ -137,13 +140,15 @@
         let found = self.peers.binary_search_by(|p| p.name.cmp(&identity.name));
         found.is_ok_and(|at| {
             let peer = &self.peers[at];
-            let heard = peer.direct.is_some_and(|t| now.since(t) <= DROP_TIMEOUT);
-            peer.stamp == record.stamp && heard
+            let last_seen = peer
+                .last_direct
+                .is_some_and(|t| now.since(t) <= DROP_TIMEOUT);
+            peer.stamp == record.stamp && last_seen
         })
     }
 
-    /// Tells the home domain of records that came from another one.
-    pub(super) fn push(&mut self, records: &[Arc<Record>], out: &mut Vec<Action>) {
+    /// Forwards records from another domain to all local peers.
+    pub(super) fn forward_records(&mut self, records: &[Arc<Record>], out: &mut Vec<Action>) {
         if records.is_empty() {
             return;
         }
--- a/crates/steer/tests/control_store.rs
+++ b/crates/steer/tests/control_store.rs
@@ -7,8 +7,8 @@
 
 const STEP: Duration = Duration::from_millis(100);
 const WATCHING: Demand = Demand {
-    watcher: true,
-    alone: false,
+    is_watcher: true,
+    is_alone: false,
 };
 
 /// A policy with a store that answers each call within one step.
@@ -17,7 +17,7 @@
     rng: fastrand::Rng,
     now: Time,
     open: Vec<Request>,
-    turns: Vec<Transition>,
+    transitions: Vec<Transition>,
 }
 
 impl Process {
@@ -29,7 +29,7 @@
             rng,
             now: Time::ZERO,
             open: Vec::new(),
-            turns: Vec::new(),
+            transitions: Vec::new(),
         }
     }
 
@@ -44,10 +44,10 @@
                 Call::Body(hash) => Reply::Body(hash, None),
                 Call::List => Reply::Listed(Vec::new()),
             };
-            let answered = self.policy.answered(self.now, id, &reply, &mut self.rng);
-            let Completed { turn, .. } = answered.expect("an open call");
-            if turn != Transition::None {
-                self.turns.push(turn);
+            let answered = self.policy.take_answer(self.now, id, &reply, &mut self.rng);
+            let Completed { transition, .. } = answered.expect("an open call");
+            if transition != Transition::None {
+                self.transitions.push(transition);
             }
         }
         let mut calls = Vec::new();
@@ -72,7 +72,10 @@
     for _ in 0..500 {
         process.step(false);
     }
-    assert_eq!(process.turns, [Transition::Lost, Transition::Restored]);
+    assert_eq!(
+        process.transitions,
+        [Transition::Lost, Transition::Restored]
+    );
 }
 
 /// 300 processes meet the store's return after ten minutes. They notice it one by
@@ -118,6 +121,6 @@
     }
     let heads = calls.iter().filter(|r| r.call == Call::Head);
     assert!((10..80).contains(&heads.count()), "{} calls", calls.len());
-    let late = policy.answered(now, calls[0].id, &Reply::Unavailable, &mut rng);
+    let late = policy.take_answer(now, calls[0].id, &Reply::Unavailable, &mut rng);
     assert!(late.is_none(), "the first call was given up");
 }
