--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -297,8 +297,8 @@
     /// it: a process still in quarantine doesn't know whether the previous
     /// holder stopped using it.
     fn stop(&mut self, now: Time, out: &mut Vec<Action>) {
-        let is_held = self.status == MemberStatus::Current && self.slot.is_held(now);
-        let lifecycle = if is_held {
+        let can_release = self.status == MemberStatus::Current && self.slot.is_held(now);
+        let lifecycle = if can_release {
             Lifecycle::Released
         } else {
             Lifecycle::Dead
--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -161,7 +161,7 @@
             peer.is_queried = false;
             peer.probe = Some(heartbeat.probe);
             peer.health = heartbeat.health;
-            let is_same = heartbeat.digest == total;
+            let is_same = heartbeat.table_digest == total;
             peer.mismatches = if is_same {
                 0
             } else {
@@ -247,7 +247,7 @@
             probe: now,
             echo: None,
             tombstone: None,
-            digest: self.table.total(),
+            table_digest: self.table.total(),
             domains_seen: self.domains.iter().filter_map(direct).collect(),
         }
     }
--- a/crates/steer/src/process/control/message.rs
+++ b/crates/steer/src/process/control/message.rs
@@ -55,7 +55,7 @@
     /// receiver refutes it by raising its own serial above.
     pub tombstone: Option<u32>,
     /// Digest of the sender's table over all domains.
-    pub digest: u64,
+    pub table_digest: u64,
     /// Domains that the sender itself heard from lately.
     pub domains_seen: Vec<DomainSeen>,
 }
--- a/crates/wire/src/beat/convert.rs
+++ b/crates/wire/src/beat/convert.rs
@@ -169,7 +169,7 @@
             probe: beat.probe.as_micros(),
             echo: beat.echo.map(Time::as_micros),
             held: beat.tombstone,
-            total: beat.digest.to_le_bytes(),
+            total: beat.table_digest.to_le_bytes(),
             heard: beat.domains_seen.iter().map(Heard::from).collect(),
         }
     }
@@ -186,7 +186,7 @@
             probe: Time::from_micros(beat.probe),
             echo: beat.echo.map(Time::from_micros),
             tombstone: beat.held,
-            digest: u64::from_le_bytes(beat.total),
+            table_digest: u64::from_le_bytes(beat.total),
             domains_seen: heard.collect::<Result<_, _>>()?,
         })
     }
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/beat.rs
@@ -59,7 +59,7 @@
         probe: Time::from_micros(86_400_000_000),
         echo: Some(Time::from_micros(86_400_000_000)),
         tombstone: Some(4),
-        digest: u64::MAX,
+        table_digest: u64::MAX,
         domains_seen: vec![
             DomainSeen {
                 domain: "fnq-2".into(),
