--- a/crates/auburnrouter/src/cmd/apply.rs
+++ b/crates/auburnrouter/src/cmd/apply.rs
@@ -4,7 +4,7 @@
 
 use super::{client, files};
 use crate::cli::{self, Command, Error, Exit};
-use crate::daemon::{Change, ChangeResult, Made};
+use crate::daemon::{Change, ChangeAnswer, ChangeResult};
 
 const NAME: &str = "apply";
 
@@ -118,7 +118,7 @@
     }
 }
 
-fn make(wish: &Wish, path: &std::path::Path) -> Result<Made, Failed> {
+fn make(wish: &Wish, path: &std::path::Path) -> Result<ChangeAnswer, Failed> {
     let operators = wish.client.operators()?;
     let over = match wish.over.or_else(|| files::version(path)) {
         Some(over) => over,
@@ -143,7 +143,7 @@
 }
 
 /// Prints what became of a change, and gives the exit code.
-pub fn report(made: &Made, json: bool) -> Exit {
+pub fn report(made: &ChangeAnswer, json: bool) -> Exit {
     if json {
         cli::print(&format!(
             "{}\n",
--- a/crates/auburnrouter/src/cmd/client.rs
+++ b/crates/auburnrouter/src/cmd/client.rs
@@ -15,7 +15,7 @@
 
 use super::{files, given};
 use crate::cli;
-use crate::daemon::{Change, Made};
+use crate::daemon::{Change, ChangeAnswer};
 
 /// Options that say where to ask.
 #[derive(Debug, Default)]
@@ -186,7 +186,7 @@
 ///
 /// # Errors
 /// If no answer comes or it can't be read.
-pub fn change(operators: &Operators, change: &Change) -> Result<Made, Error> {
+pub fn change(operators: &Operators, change: &Change) -> Result<ChangeAnswer, Error> {
     let body = serde_json::to_string(change).unwrap_or_default();
     let answer = operators.post("/apply", body)?;
     serde_json::from_str(&answer.body).map_err(|_| Error::Garbled(operators.addr))
--- a/crates/auburnrouter/src/cmd/drain.rs
+++ b/crates/auburnrouter/src/cmd/drain.rs
@@ -5,7 +5,7 @@
 
 use super::{apply, client, files};
 use crate::cli::{self, Command, Error, Exit};
-use crate::daemon::{Change, Made};
+use crate::daemon::{Change, ChangeAnswer};
 
 const DRAIN: &str = "drain";
 const UNDRAIN: &str = "undrain";
@@ -150,7 +150,7 @@
     Ok(wish)
 }
 
-fn make(wish: &Wish, what: &What, drain: bool) -> Result<Made, Failed> {
+fn make(wish: &Wish, what: &What, drain: bool) -> Result<ChangeAnswer, Failed> {
     let operators = wish.client.operators()?;
     let files::Config { version, mut files } = client::config(&operators)?;
     let base = files.iter_mut().find(|f| f.name == "base");
--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -32,7 +32,7 @@
 use std::time::{Duration, Instant};
 
 pub use self::control::{
-    Answer as Made, Change, File, Result as ChangeResult, Status, StatusEntry,
+    Answer as ChangeAnswer, Change, File, Result as ChangeResult, Status, StatusEntry,
 };
 
 use arc_swap::ArcSwap;
