--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -172,7 +172,7 @@
         if let Some(link) = self.return_link(&arrival)
             && !self.outbox.admit(now, id, link, self.dispatch.shares())
         {
-            let after = Some(share::window::SPAN);
+            let after = Some(share::window::RATE_PERIOD);
             let refusal = if arrival.origin == arrival::Origin::Peer {
                 outcome::Refusal::not_run(outcome::Reason::Cap, after)
             } else {
@@ -217,7 +217,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn share_rows(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     /// The dispatcher, for counts and dumps.
@@ -228,7 +228,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn caps(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     fn handle_gate(&mut self, now: clock::Time, event: gate::Event) {
@@ -317,11 +317,11 @@
         match action {
             dispatch::Action::Reply { id, answer } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Answered(answer);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             dispatch::Action::Refuse { id, refusal } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Refused(refusal);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             other => out.push(other.into()),
         }
