--- a/crates/measure/src/shift/cost.rs
+++ b/crates/measure/src/shift/cost.rs
@@ -9,7 +9,7 @@
 
 use entity::EntityRef;
 use steer::clock::Time;
-use steer::process::share::{Route, SETTLE, Shares};
+use steer::process::share::{Route, SETTLING_TIME, Shares};
 use steer::version::view::{
     Class, ClassData, Domain, DomainData, EntryData, Link, Region, RegionData, Service,
     ServiceData, Shift, State, Version, View,
@@ -57,14 +57,14 @@
     let clone = time(ROUNDS, || {
         black_box(shares.clone());
     });
-    let now = Time::ZERO + SETTLE;
-    shares.hold(Time::ZERO, true);
+    let now = Time::ZERO + SETTLING_TIME;
+    shares.set_slot_held(Time::ZERO, true);
     let mut held = Time::ZERO;
     while held < now {
         held = held + Duration::from_secs(2);
-        shares.hold(held, true);
+        shares.set_slot_held(held, true);
     }
-    let routes: Vec<Route> = shares.rows(now).into_iter().map(|r| r.0).collect();
+    let routes: Vec<Route> = shares.usage(now).into_iter().map(|r| r.0).collect();
     let mut at = 0;
     let take = time(ROUNDS * 1000, || {
         at = (at + 7) % routes.len();
