--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -35,12 +35,8 @@
         }
         let is_local = from.identity.domain == self.own.identity.domain;
         match &message.content {
-            Content::Heartbeat(heartbeat) if is_local => {
-                self.handle_heartbeat(now, from, heartbeat, out)
-            }
-            Content::DomainHeartbeat(heartbeat) if !is_local => {
-                self.handle_domain_heartbeat(now, from, heartbeat, out)
-            }
+            Content::Heartbeat(beat) if is_local => self.handle_heartbeat(now, from, beat, out),
+            Content::DomainHeartbeat(beat) if !is_local => self.handle_remote(now, from, beat, out),
             Content::Heartbeat(_) | Content::DomainHeartbeat(_) | Content::Superseded(_) => {}
             Content::Sync(digests) => {
                 let domains = self.differing_domains(digests);
@@ -50,9 +46,7 @@
             Content::Records(rows) => self.merge_records(now, rows, is_local, out),
             Content::Succeeded(stamp) => self.slot.note_release(now, *stamp),
             Content::PeerQuery(name) => self.answer_query(now, message, name, out),
-            Content::PeerSeen { name, stamp, age } => {
-                self.handle_peer_seen(now, name, *stamp, *age)
-            }
+            Content::PeerSeen { name, stamp, age } => self.note_peer_seen(now, name, *stamp, *age),
             Content::Pull(_) | Content::Offer(_) | Content::Fetch(_) | Content::Bodies(_) => {
                 self.handle_transfer(now, message, out);
             }
@@ -324,7 +318,7 @@
         self.send(message.reply_addr(), content, out);
     }
 
-    fn handle_peer_seen(&mut self, now: Time, name: &Arc<str>, stamp: Stamp, age: Duration) {
+    fn note_peer_seen(&mut self, now: Time, name: &Arc<str>, stamp: Stamp, age: Duration) {
         let found = self.peers.binary_search_by(|p| p.name.cmp(name));
         let Ok(at) = found else { return };
         let peer = &mut self.peers[at];
--- a/crates/steer/src/process/control/remote.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -128,7 +128,7 @@
         summary
     }
 
-    pub(super) fn handle_domain_heartbeat(
+    pub(super) fn handle_remote(
         &mut self,
         now: Time,
         from: &Arc<Record>,
