--- a/crates/steer/src/process/direct/access.rs
+++ b/crates/steer/src/process/direct/access.rs
@@ -125,10 +125,10 @@
     /// the revocation bound.
     #[must_use]
     pub fn has_current_keys(&self, now: Time) -> bool {
-        let away = self
+        let is_store_failed = self
             .failed_upstreams
             .is_store_failed_within(now, STORE_FAILURE_WINDOW);
-        let lag = self.lag_bound().filter(|_| !away);
+        let lag = self.lag_bound().filter(|_| !is_store_failed);
         self.is_staleness_below(now, |bound| {
             lag.unwrap_or(bound).min(bound).saturating_sub(CLOCK_MARGIN)
         })
@@ -149,16 +149,16 @@
         }
     }
 
-    /// Longest wait of a watch of the store, at most `most`. An answer with changes
+    /// Longest wait of a watch of the store, at most `max`. An answer with changes
     /// doesn't confirm the state at any time after the watch was sent.
     #[must_use]
-    pub fn watch_wait(&self, now: Time, most: Duration) -> Duration {
+    pub fn watch_wait(&self, now: Time, max: Duration) -> Duration {
         let Some(bound) = self.lag_bound() else {
-            return most;
+            return max;
         };
         let age = self.staleness(now).unwrap_or(bound);
         let left = bound.mul_f64(READ_DUE_RATIO).saturating_sub(age);
-        left.clamp(WATCH_WAIT_MIN.min(most), most)
+        left.clamp(WATCH_WAIT_MIN.min(max), max)
     }
 
     /// Checks the key of a request.
@@ -168,16 +168,16 @@
         now: Time,
         routes: &Routes,
         route: &Route,
-        presented: Credential,
+        credential: Credential,
     ) -> Access {
         if routes.teams.is_empty() {
             return Access::Open;
         }
-        let held = match presented {
+        let known = match credential {
             Credential::Key(key) => routes.teams.find(&key).map(|team| (key, team)),
             Credential::Missing | Credential::Malformed => None,
         };
-        match held {
+        match known {
             Some((key, team)) if route.is_public || self.has_current_keys(now) => {
                 Access::Granted(Authorized {
                     team: Arc::clone(team),
@@ -196,11 +196,11 @@
             .authorized
             .as_ref()
             .filter(|_| !request.route.is_public)?;
-        let held = self
+        let known = self
             .routes
             .as_ref()
             .and_then(|r| r.teams.find(&authorized.key));
-        if held.is_none_or(|team| team.name != authorized.team.name) {
+        if known.is_none_or(|team| team.name != authorized.team.name) {
             return Some(Rejection::Denied);
         }
         (!self.has_current_keys(now)).then_some(Rejection::KeysStale)
@@ -215,14 +215,14 @@
     /// Largest allowed lag behind the store while it can be read; `None` without a
     /// revocation bound.
     fn lag_bound(&self) -> Option<Duration> {
-        let revoke = self.revocation_bound()?;
+        let revocation = self.revocation_bound()?;
         let config = self.bounds.access.config;
-        Some(config.map_or(revoke, |config| config.min(revoke)))
+        Some(config.map_or(revocation, |config| config.min(revocation)))
     }
 
-    fn is_staleness_below(&self, now: Time, than: impl Fn(Duration) -> Duration) -> bool {
+    fn is_staleness_below(&self, now: Time, limit: impl Fn(Duration) -> Duration) -> bool {
         match self.revocation_bound() {
-            Some(bound) => self.staleness(now).is_some_and(|age| age < than(bound)),
+            Some(bound) => self.staleness(now).is_some_and(|age| age < limit(bound)),
             None => true,
         }
     }
--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -67,9 +67,9 @@
     /// requests a second, and the span in which they send them.
     fn allowance(&self, rate: f64) -> (usize, Duration) {
         let window = self.window.as_secs_f64();
-        let named = rate * window;
-        let allowed = (named * self.factor + self.slack) * ALLOWANCE_USE_RATIO;
-        let requests = allowed.clamp(named, named * LIMIT_EXCESS_FACTOR_MAX);
+        let within_limit = rate * window;
+        let allowed = (within_limit * self.factor + self.slack) * ALLOWANCE_USE_RATIO;
+        let requests = allowed.clamp(within_limit, within_limit * LIMIT_EXCESS_FACTOR_MAX);
         if requests < 1.0 && rate > 0.0 {
             let span =
                 Duration::try_from_secs_f64(window / requests).unwrap_or(SINGLE_REQUEST_SPAN_MAX);
@@ -114,12 +114,15 @@
 
     /// Limit after an answer to this instance that reports `rate`.
     pub(super) fn updated(&self, now: Time, rate: Option<f64>) -> Self {
-        let same = rate == self.rate;
+        let is_same = rate == self.rate;
         Self {
             rate,
             reported_at: now,
             is_own: true,
-            changed_at: self.changed_at.filter(|_| same).or((!same).then_some(now)),
+            changed_at: self
+                .changed_at
+                .filter(|_| is_same)
+                .or((!is_same).then_some(now)),
         }
     }
 
@@ -132,10 +135,10 @@
     /// if there is no limit and none was lifted recently.
     fn report(&self, now: Time, target_hash: u32) -> Option<LimitReport> {
         let age = now.since(self.reported_at);
-        let lately = self
+        let is_recent_change = self
             .changed_at
             .is_some_and(|at| now.since(at) < LIFTED_REPORT_SPAN);
-        let is_reported = self.rate.is_some() || lately;
+        let is_reported = self.rate.is_some() || is_recent_change;
         (self.is_own && is_reported).then_some(LimitReport {
             target_hash,
             rate: self.rate,
@@ -205,14 +208,14 @@
 
     /// Takes limits reported by another instance.
     pub(super) fn receive_limits(&mut self, now: Time, all: &[LimitReport]) {
-        for named in all {
-            let told = Limit {
-                rate: named.rate,
-                reported_at: now - named.age,
+        for report in all {
+            let limit = Limit {
+                rate: report.rate,
+                reported_at: now - report.age,
                 is_own: false,
                 changed_at: None,
             };
-            self.roster.note_limit(named.target_hash, told);
+            self.roster.note_limit(report.target_hash, limit);
         }
     }
 
--- a/crates/steer/src/process/direct/quota/local.rs
+++ b/crates/steer/src/process/direct/quota/local.rs
@@ -135,12 +135,12 @@
         &mut self,
         now: Time,
         team: &str,
-        first: bool,
+        is_first: bool,
         arrived: Time,
         share: Option<LocalShare>,
     ) -> Verdict {
         let account = self.account(team_hash(team));
-        account.arrived += u32::from(first);
+        account.arrived += u32::from(is_first);
         match share {
             Some(share) => account.fill(now, share),
             None => account.filled_at = None,
@@ -169,9 +169,9 @@
         }
     }
 
-    /// Scales a team's tokens to this fraction, because its quota was lowered.
-    pub fn scale(&mut self, team: &str, part: f64) {
-        self.account(team_hash(team)).tokens *= part;
+    /// Scales a team's tokens to this fraction, as its quota was lowered.
+    pub fn scale(&mut self, team: &str, fraction: f64) {
+        self.account(team_hash(team)).tokens *= fraction;
     }
 
     /// Keeps the accounts of these teams, given sorted, and drops all others.
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Prepares for another pool.
+    /// Starts a session with another pool, whose incarnation is not known yet.
     pub fn change_pool(&mut self, now: Time) {
         if self.last_grant.is_some() {
             self.switched_at = Some(now);
@@ -254,11 +254,11 @@
         count: u32,
     ) -> Report {
         self.report_seq += 1;
-        let settled = self
+        let is_settled = self
             .switched_at
             .is_none_or(|at| now.since(at) >= pool::REPORT_TIMEOUT);
-        let counted = !self.is_without_pool(now) && settled;
-        let full = self.report_seq.is_multiple_of(FULL_REPORT_PERIOD);
+        let is_represented = !self.is_without_pool(now) && is_settled;
+        let is_full = self.report_seq.is_multiple_of(FULL_REPORT_PERIOD);
         // Round robin, so that every team is reported in time if a report can't name
         // them all.
         let start = self.report_cursor.min(all.len());
@@ -271,14 +271,14 @@
             .chain(all.iter().enumerate().take(start))
         {
             let account = self.account(need.team);
-            let due = need.waiting > 0 || account.is_changed(need, full);
-            if due && needs.len() < REPORT_TEAMS_MAX {
+            let is_due = need.waiting > 0 || account.is_changed(need, is_full);
+            if is_due && needs.len() < REPORT_TEAMS_MAX {
                 account.reported = Some((need.held, need.wanted));
                 needs.push(Need {
                     received: account.received,
                     ..*need
                 });
-            } else if due {
+            } else if is_due {
                 left_out.get_or_insert(at);
             }
         }
@@ -290,7 +290,7 @@
             level: Level::Region,
             pool_incarnation: self.pool_incarnation,
             session: self.session,
-            represented: if counted { count } else { 0 },
+            represented: if is_represented { count } else { 0 },
             needs,
         }
     }
@@ -318,14 +318,14 @@
             self.begin_session(grant.incarnation);
             return true;
         }
-        for given in &grant.grants {
-            let account = self.account(given.team);
-            let new = given.total.saturating_sub(account.received);
+        for team_grant in &grant.grants {
+            let account = self.account(team_grant.team);
+            let new = team_grant.total.saturating_sub(account.received);
             account.received += new;
             account.tokens += f64::from(new);
-            account.tokens = account.tokens.min(f64::from(given.held_max.max(new)));
-            account.supply_rate = f64::from(given.rate_milli) / 1000.0;
-            account.exhausted_at = given.is_exhausted.then_some(now);
+            account.tokens = account.tokens.min(f64::from(team_grant.held_max.max(new)));
+            account.supply_rate = f64::from(team_grant.rate_milli) / 1000.0;
+            account.exhausted_at = team_grant.is_exhausted.then_some(now);
         }
         false
     }
@@ -368,15 +368,15 @@
     }
 
     /// Returns whether the tokens held or wanted differ enough from the last report;
-    /// with `full`, any difference counts.
-    fn is_changed(&self, need: &Need, full: bool) -> bool {
+    /// with `is_full`, any difference counts.
+    fn is_changed(&self, need: &Need, is_full: bool) -> bool {
         let Some((held, wanted)) = self.reported else {
             return true;
         };
         let drift = |new: u32, old: u32| new.abs_diff(old) * REPORT_CHANGE_DIVISOR > new.max(old);
-        let low = f64::from(need.held) * WANTED_UNITS_PER_TOKEN * 2.0 < f64::from(need.wanted);
+        let is_low = f64::from(need.held) * WANTED_UNITS_PER_TOKEN * 2.0 < f64::from(need.wanted);
         let changed = need.held != held || need.wanted != wanted;
-        changed && (full || low || drift(need.held, held) || drift(need.wanted, wanted))
+        changed && (is_full || is_low || drift(need.held, held) || drift(need.wanted, wanted))
     }
 
     /// Refills the account from this instance's own fraction of the bucket.
--- a/crates/steer/src/process/direct/quota/pool.rs
+++ b/crates/steer/src/process/direct/quota/pool.rs
@@ -214,34 +214,35 @@
         need: &Need,
         (level, capacity, rate): (Level, f64, f64),
     ) -> TeamGrant {
-        let wanted: f64 = self.holdings(now, need.team).map(|held| held.wanted).sum();
-        let want = f64::from(need.wanted) / WANTED_UNITS_PER_TOKEN;
+        let total_wanted: f64 = self.holdings(now, need.team).map(|held| held.wanted).sum();
+        let client_wanted = f64::from(need.wanted) / WANTED_UNITS_PER_TOKEN;
         let reserve = capacity * reserve_ratio(level);
         // If clients want more than there is, each gets a proportional part. Tokens
         // that no client wants are spread over all; otherwise the first requests of an
         // idle team would wait.
-        let rest = (capacity - reserve - wanted).max(0.0);
-        let spread = rest / f64::from(self.represented(now).max(1))
+        let unwanted = (capacity - reserve - total_wanted).max(0.0);
+        let extra = unwanted / f64::from(self.represented(now).max(1))
             * f64::from(self.clients[at].represented);
-        let fair = want * ((capacity - reserve) / wanted.max(1.0)).min(1.0) + spread;
+        let fair_share =
+            client_wanted * ((capacity - reserve) / total_wanted.max(1.0)).min(1.0) + extra;
         let available = self.tokens(need.team);
         let held = self.clients[at].ensure(need.team);
-        let ahead = (fair - held.tokens).min(available - reserve);
-        let new = ahead.max(held.waiting.min(available)).max(0.0);
-        let new = (new + ROUNDING_SLACK).floor();
-        held.tokens += new;
-        held.waiting = (held.waiting - new).max(0.0);
-        held.granted = held.granted.saturating_add(saturating_u32(new));
+        let ahead = (fair_share - held.tokens).min(available - reserve);
+        let granted = ahead.max(held.waiting.min(available)).max(0.0);
+        let granted = (granted + ROUNDING_SLACK).floor();
+        held.tokens += granted;
+        held.waiting = (held.waiting - granted).max(0.0);
+        held.granted = held.granted.saturating_add(saturating_u32(granted));
         let (total, unmet) = (held.granted, held.waiting);
         if let Ok(at) = self.find(need.team) {
-            self.buckets[at].tokens -= new;
+            self.buckets[at].tokens -= granted;
         }
-        let share = rate * want / wanted.max(want).max(1.0);
+        let supply_rate = rate * client_wanted / total_wanted.max(client_wanted).max(1.0);
         TeamGrant {
             team: need.team,
             total,
-            held_max: saturating_u32(fair.ceil()).saturating_add(1),
-            rate_milli: saturating_u32(share * 1000.0),
+            held_max: saturating_u32(fair_share.ceil()).saturating_add(1),
+            rate_milli: saturating_u32(supply_rate * 1000.0),
             is_exhausted: unmet >= 1.0,
         }
     }
