--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -66,9 +66,9 @@
 }
 
 impl Outbound {
-    /// No connections yet; at most `bound` are opened to each target.
+    /// No connections yet; at most `connections_max` are opened to each target.
     #[must_use]
-    pub fn new(executor: Executor, bound: usize) -> Self {
+    pub fn new(executor: Executor, connections_max: usize) -> Self {
         let limits = pool::Limits {
             connections_max,
             warm_connections: WARM,
