--- a/crates/auburnrouter/src/direct/callers.rs
+++ b/crates/auburnrouter/src/direct/callers.rs
@@ -303,9 +303,13 @@
             let decision = self.run_until(limit, decisions.recv()).await;
             let assignment = match decision {
                 Some(Ok(Decision::Send(assignment))) => assignment,
-                Some(Ok(Decision::Reject { why, after, .. })) => {
+                Some(Ok(Decision::Reject {
+                    reason,
+                    retry_after,
+                    ..
+                })) => {
                     drop(guard);
-                    return self.rejection_response(why, after);
+                    return self.rejection_response(reason, retry_after);
                 }
                 Some(Err(_)) | None => {
                     drop(guard);
@@ -323,9 +327,9 @@
                     drop(guard);
                     return answer.unwrap_or_else(|| self.outcome_unknown());
                 }
-                FollowUp::Reject { after } => {
+                FollowUp::Reject { retry_after } => {
                     drop(guard);
-                    return self.reject("rejected-by-targets", after);
+                    return self.reject("rejected-by-targets", retry_after);
                 }
             }
         }
--- a/crates/emulator/src/world/instance.rs
+++ b/crates/emulator/src/world/instance.rs
@@ -255,8 +255,12 @@
         for order in direct.step(now) {
             match order {
                 Decision::Send(go) => self.go(number, &go),
-                Decision::Reject { ticket, why, after } => {
-                    self.turn_away(number, ticket, why, after);
+                Decision::Reject {
+                    ticket,
+                    reason,
+                    retry_after,
+                } => {
+                    self.turn_away(number, ticket, reason, retry_after);
                 }
             }
         }
@@ -416,8 +420,8 @@
                     }
                 }
             }
-            FollowUp::Reject { after } => {
-                self.turn_away(number, ticket, Rejection::Overload, after);
+            FollowUp::Reject { retry_after } => {
+                self.turn_away(number, ticket, Rejection::Overload, retry_after);
             }
         }
         self.pump(number);
--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -183,7 +183,7 @@
         }
         self.refund_token(now, &job);
         FollowUp::Reject {
-            after: Self::retry_after(&job, 0.0),
+            retry_after: Self::retry_after(&job, 0.0),
         }
     }
 
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -166,9 +166,9 @@
         /// Request to reject.
         ticket: Ticket,
         /// Reason, for the caller.
-        why: Rejection,
+        reason: Rejection,
         /// Time after which the caller may retry.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -206,6 +206,6 @@
     /// The request has not run and is not retried.
     Reject {
         /// Time after which the caller may retry.
-        after: Duration,
+        retry_after: Duration,
     },
 }
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -153,8 +153,8 @@
         self.refund_token(now, &job);
         Decision::Reject {
             ticket: job.ticket,
-            why: job.rejection(reason),
-            after: match after {
+            reason: job.rejection(reason),
+            retry_after: match after {
                 Some(after) => after,
                 None => Self::retry_after(&job, 0.0),
             },
--- a/crates/steer/src/process/direct/quota/local.rs
+++ b/crates/steer/src/process/direct/quota/local.rs
@@ -128,7 +128,7 @@
 }
 
 impl TokenCache {
-    /// Takes a token for a request that arrived at `arrived`; `first` is set the first
+    /// Takes a token for a request that arrived at `arrived`; `is_first` is set the first
     /// time a request asks. `share` is given while no pool answers: the account is then
     /// filled from it.
     pub fn take(
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -197,7 +197,7 @@
     let reasons: Vec<Rejection> = decisions
         .iter()
         .filter_map(|decision| match decision {
-            Decision::Reject { why, .. } => Some(*why),
+            Decision::Reject { reason, .. } => Some(*reason),
             Decision::Send(_) => None,
         })
         .collect();
@@ -230,10 +230,10 @@
         .direct
         .finish_attempt(at(20), assignment.ticket, AttemptOutcome::Withdrawn);
     assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
+    let Some(Decision::Reject { reason, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Rejection::Denied);
+    assert_eq!(reason, Rejection::Denied);
 }
 
 /// A request that may have run is never reported as refused, even if its key is gone.
@@ -260,10 +260,10 @@
             .direct
             .finish_attempt(at(20), assignment.ticket, AttemptOutcome::ConnectionLost);
     assert_eq!(next, FollowUp::Retry);
-    let Some(Decision::Reject { why, .. }) = bench.decide(at(20)) else {
+    let Some(Decision::Reject { reason, .. }) = bench.decide(at(20)) else {
         panic!("it may not go on");
     };
-    assert_eq!(why, Rejection::OutcomeUnknown);
+    assert_eq!(reason, Rejection::OutcomeUnknown);
 }
 
 /// A request runs only in regions that are homes of both its route and its team.
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -141,10 +141,10 @@
     );
     bench.submit(at(0), None);
     assert_eq!(bench.decide(at(0)), None);
-    let Some(Decision::Reject { why, .. }) = bench.decide(at(100)) else {
+    let Some(Decision::Reject { reason, .. }) = bench.decide(at(100)) else {
         panic!("nothing can serve it");
     };
-    assert_eq!(why, Rejection::NoTarget);
+    assert_eq!(reason, Rejection::NoTarget);
 }
 
 #[test]
@@ -165,9 +165,14 @@
     for _ in 0..20 {
         bench.submit(at(10_000), Some(1));
         for decision in bench.direct.step(at(10_000)) {
-            if let Decision::Reject { after, why, .. } = decision {
-                assert_eq!(why, Rejection::Overload);
-                assert!(after >= Duration::from_millis(100));
+            if let Decision::Reject {
+                retry_after,
+                reason,
+                ..
+            } = decision
+            {
+                assert_eq!(reason, Rejection::Overload);
+                assert!(retry_after >= Duration::from_millis(100));
                 rejected += 1;
             }
         }
@@ -190,7 +195,7 @@
         matches!(
             decision,
             Some(Decision::Reject {
-                why: Rejection::Overload,
+                reason: Rejection::Overload,
                 ..
             })
         ),
--- a/crates/steer/tests/direct/quota_fleet.rs
+++ b/crates/steer/tests/direct/quota_fleet.rs
@@ -390,8 +390,8 @@
                         AttemptOutcome::Answered,
                     );
                 }
-                Decision::Reject { why, .. } => {
-                    assert_eq!(why, Rejection::Quota);
+                Decision::Reject { reason, .. } => {
+                    assert_eq!(reason, Rejection::Quota);
                     self.refused.push(self.now);
                 }
             }
--- a/crates/steer/tests/direct/retry.rs
+++ b/crates/steer/tests/direct/retry.rs
@@ -103,10 +103,10 @@
     for id in ["t1", "t2"] {
         assert!(bench.direct.unlist(at(900), id));
     }
-    let Some(Decision::Reject { why, .. }) = bench.decide(at(1_000)) else {
+    let Some(Decision::Reject { reason, .. }) = bench.decide(at(1_000)) else {
         panic!("no target is left");
     };
-    assert_eq!(why, Rejection::OutcomeUnknown);
+    assert_eq!(reason, Rejection::OutcomeUnknown);
 }
 
 /// A request crashes every target that runs it, and its caller sends it again and
--- a/crates/steer/tests/direct/stop.rs
+++ b/crates/steer/tests/direct/stop.rs
@@ -25,8 +25,8 @@
     bench.submit_until(at(1_100), Some(1), at(21_000));
     let mut rejected = None;
     for millis in (1_100..2_500).step_by(25) {
-        if let Some(Decision::Reject { why, .. }) = bench.decide(at(millis)) {
-            assert_eq!(why, Rejection::Overload);
+        if let Some(Decision::Reject { reason, .. }) = bench.decide(at(millis)) {
+            assert_eq!(reason, Rejection::Overload);
             rejected.get_or_insert(millis);
         }
     }
