--- a/crates/measure/src/shift.rs
+++ b/crates/measure/src/shift.rs
@@ -89,7 +89,7 @@
                         span: (WARM_UP, WARM_UP + Duration::from_secs(seconds)),
                         loans,
                         guards: Guards {
-                            part,
+                            allotment: part,
                             ..Guards::default()
                         },
                     });
--- a/crates/steer/src/process/share.rs
+++ b/crates/steer/src/process/share.rs
@@ -1,22 +1,23 @@
-//! This process's part of caps that hold as sums over all instances.
+//! Enforces rate caps that bound the sum over all instances, without a central
+//! counter.
 //!
 //! Each cap is divided among the entry instances that the configuration names,
-//! whether they are alive or not, so that the parts add up to the cap without
-//! anybody counting. An instance that needs more asks another for a loan
-//! ([`loan`]).
+//! whether they are alive or not, so that the allotments add up to the cap. An
+//! instance that needs more borrows from another ([`loan`]).
 //!
-//! Invariant: the parts in use of one route never add up to more than the
-//! largest cap of it that is in force anywhere:
-//! - a process uses its part only while [`slot`](super::slot) says that it
-//!   holds its name's slot, and heard so lately;
-//! - it divides by the smallest part of all layouts of the last [`SETTLING_TIME`], and
-//!   of older ones while some of their instances aren't heard of;
-//! - it uses no part within [`SETTLING_TIME`] of its start or of a lapse, since it
-//!   may know of too few layouts, and its predecessor may have lent;
-//! - what it lends it doesn't use itself.
-
-mod cell;
-mod era;
+//! Invariant: the allotments in use on one route never add up to more than the
+//! largest cap for it that is in force on any instance:
+//! - a process uses its allotment only while [`slot`](super::slot) reports that
+//!   it holds the slot of its name, and that report is recent;
+//! - it uses the smallest allotment of all layouts of the last [`SETTLING_TIME`],
+//!   and of older ones while some of their instances are missing from the view;
+//! - it uses no allotment within [`SETTLING_TIME`] of its start or of a lapse of
+//!   its hold, since it may not know all layouts in use, and its predecessor may
+//!   have lent;
+//! - it does not use what it has lent.
+
+mod cap_state;
+mod generation;
 pub mod loan;
 mod ramp;
 mod route;
@@ -31,112 +32,119 @@
 use crate::process::slot::CONFIRMATION_TTL;
 use crate::version::view::View;
 
-use cell::Cell;
-use era::Era;
-use route::Cap;
+use cap_state::CapState;
+use generation::Generation;
+use route::CapConfig;
 
-/// Time for which a word of control that the slot is held counts. Control says
-/// it every two seconds; one that hangs must not leave the part in use.
+/// Maximum age of control's report that the slot is held. Control repeats it
+/// every two seconds; if control hangs, the allotment must not stay in use.
 pub const HOLD_TTL: Duration = Duration::from_secs(3);
 
-/// Time within which a version is in force at all instances within reach.
+/// Maximum time until a version is in force on all reachable instances.
 pub const ROLLOUT_TIME_MAX: Duration = Duration::from_secs(7);
 
-/// Longest lapse of the hold after which the part counts again at once.
+/// Longest gap between two reports of a held slot after which the allotment may
+/// be used again without waiting for [`SETTLING_TIME`].
 pub const HOLD_LAPSE_MAX: Duration = Duration::from_secs(5);
 
-/// Age that the newest version of an instance that uses its part may have: it
-/// got it within [`ROLLOUT_TIME_MAX`] before its last confirmation, lapsed, and gets
-/// the next within [`ROLLOUT_TIME_MAX`].
+/// Maximum age of the newest version known to an instance that uses its
+/// allotment: it received that version up to [`ROLLOUT_TIME_MAX`] before its last
+/// confirmation, its hold lapsed, and it receives the next version within
+/// [`ROLLOUT_TIME_MAX`].
 pub const VERSION_AGE_MAX: Duration = Duration::from_secs(24);
 
 const _: () = assert!(
     VERSION_AGE_MAX.as_secs()
         == 2 * ROLLOUT_TIME_MAX.as_secs() + CONFIRMATION_TTL.as_secs() + HOLD_LAPSE_MAX.as_secs(),
-    "VERSION_AGE_MAX is the sum of what makes a version stale"
+    "VERSION_AGE_MAX is the sum of all delays that make a version stale"
 );
 
-/// Time for which a layout counts after the next one came: an instance that
-/// missed it may be [`VERSION_AGE_MAX`], and one that divides by it as well.
+/// Time for which a layout still counts after it was replaced. Twice
+/// [`VERSION_AGE_MAX`]: both this instance and another one that divides by the
+/// old layout may lag that far.
 pub const SETTLING_TIME: Duration = Duration::from_secs(2 * VERSION_AGE_MAX.as_secs());
 
-/// Time for which a layout counts after the next one came as long as one of
-/// its instances isn't heard of: it may be cut off with a neighbour and divide
-/// by the old layout still. Longer than regions lose each other for; an
-/// instance that stays away longer is taken for dead.
+/// Maximum time for which a replaced layout still counts while one of its
+/// instances is missing from the view: that instance may be partitioned off
+/// together with a neighbour and still divide by the old layout. Longer than
+/// partitions between regions last; an instance missing for longer is presumed
+/// dead.
 pub const RESERVATION_TIME_MAX: Duration = Duration::from_mins(15);
 
-/// Time between two tries to borrow for the same route.
+/// Minimum time between two loan requests for the same route.
 const LOAN_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Part of what a lender has free that it lends at a time: one in this many.
+/// A lender lends at most its unused allotment divided by this at a time.
 const LOAN_DIVISOR: u64 = 2;
 
-/// Switches of the safeguards, all on in a live process.
+/// Switches for single safeguards, all on in production. Tests turn one off to
+/// show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each switch is turned off alone"
 )]
 pub struct Guards {
-    /// Only the part is used, and not the whole cap.
-    pub part: bool,
-    /// The slot has to be held, and that has to be fresh.
+    /// Only the allotment is used, not the full cap.
+    pub allotment: bool,
+    /// The slot has to be held, by a report no older than [`HOLD_TTL`].
     pub held: bool,
-    /// The smallest part counts for a while after a change of the layout.
+    /// After a change of the layout the smallest allotment of the layouts counts
+    /// for [`SETTLING_TIME`].
     pub transition: bool,
-    /// The part waits after a start or a lapse.
+    /// The allotment is unused for [`SETTLING_TIME`] after a start or a lapse.
     pub settle: bool,
-    /// A layout counts for longer while its instances aren't heard of.
+    /// A replaced layout counts for longer while its instances are missing.
     pub reserve: bool,
-    /// What is lent isn't used.
-    pub terms: bool,
-    /// Each question for a loan takes one answer.
-    pub once: bool,
-    /// A cap that goes and comes back remembers what was used and lent.
-    pub memory: bool,
-    /// A shift grows slowly.
+    /// An amount that is lent is not used until its loan has ended.
+    pub lender_term: bool,
+    /// Each loan request accepts one reply.
+    pub single_reply: bool,
+    /// Use and loans are kept if a cap is removed and added back.
+    pub retain_usage: bool,
+    /// The limit of a shift grows gradually.
     pub ramp: bool,
 }
 
 impl Default for Guards {
     fn default() -> Self {
         Self {
-            part: true,
+            allotment: true,
             held: true,
             transition: true,
             settle: true,
             reserve: true,
-            terms: true,
-            once: true,
-            memory: true,
+            lender_term: true,
+            single_reply: true,
+            retain_usage: true,
             ramp: true,
         }
     }
 }
 
-/// Whether control says that the slot is held.
+/// Control's reports on the slot of this process.
 #[derive(Clone, Copy, Debug, Default)]
-struct Hold {
-    /// What it said last.
-    on: bool,
-    /// When it last said that it is.
-    last: Option<Time>,
+struct SlotHold {
+    /// Newest report.
+    is_held: bool,
+    /// Time of the last report that the slot is held.
+    confirmed_at: Option<Time>,
 }
 
-/// All caps, as this process may use them.
+/// The caps of all routes and this process's allotments of them.
 #[derive(Clone, Debug)]
 pub struct Shares {
     guards: Guards,
     /// Sorted by route.
-    cells: Vec<Cell>,
-    /// Layouts that count, the newest last.
-    eras: Vec<Era>,
-    /// The view that the caps are from.
+    caps: Vec<CapState>,
+    /// Layouts that still count, the newest last.
+    generations: Vec<Generation>,
+    /// View from which the caps were taken.
     view: Option<Arc<View>>,
-    hold: Hold,
-    /// When the part counts; never before the first word of control.
-    settled: Option<Time>,
+    slot_hold: SlotHold,
+    /// Time from which the allotment may be used; `None` before the first
+    /// report of a held slot.
+    settled_at: Option<Time>,
 }
 
 impl Default for Shares {
@@ -146,61 +154,60 @@
 }
 
 impl Shares {
-    /// No caps: nothing may be shifted.
+    /// Creates shares without caps, so nothing may be shifted.
     #[must_use]
     pub const fn new(guards: Guards) -> Self {
         Self {
             guards,
-            cells: Vec::new(),
-            eras: Vec::new(),
+            caps: Vec::new(),
+            generations: Vec::new(),
             view: None,
-            hold: Hold {
-                on: false,
-                last: None,
+            slot_hold: SlotHold {
+                is_held: false,
+                confirmed_at: None,
             },
-            settled: None,
+            settled_at: None,
         }
     }
 
-    /// Takes over the caps of a view for the entry instance `name`. A view in
-    /// which nothing of them has changed costs a comparison.
+    /// Applies the caps of a view for the entry instance `name`. If neither the
+    /// caps nor their division changed, this only compares the two views.
     pub fn configure(&mut self, now: Time, view: &Arc<View>, name: &str) {
         self.expire(now);
-        for era in &mut self.eras {
-            era.look(now, view);
+        for generation in &mut self.generations {
+            generation.update_missing(now, view);
         }
         let old = self.view.replace(Arc::clone(view));
         if old.is_some_and(|old| same_caps(&old, view)) {
             return;
         }
-        self.lay_out(now, Era::new(view, name));
-        self.merge(now, route::caps(view));
+        self.add_layout(now, Generation::new(view, name));
+        self.merge_caps(now, route::caps(view));
         self.divide();
     }
 
-    /// Control says whether this process holds its slot.
+    /// Takes control's report on whether this process holds its slot.
     pub fn set_slot_held(&mut self, now: Time, held: bool) {
         if held {
             let lapsed = |last: Time| now.since(last) > HOLD_LAPSE_MAX;
-            if self.hold.last.is_none_or(lapsed) {
-                self.settled = Some(now + SETTLING_TIME);
+            if self.slot_hold.confirmed_at.is_none_or(lapsed) {
+                self.settled_at = Some(now + SETTLING_TIME);
             }
-            self.hold.last = Some(now);
+            self.slot_hold.confirmed_at = Some(now);
         }
-        self.hold.on = held;
+        self.slot_hold.is_held = held;
     }
 
-    /// Whether `amount` may be used of each route; if so it is taken of all.
-    /// Otherwise the time after which it may be.
+    /// Uses the given amount of every route, or nothing if one lacks room.
     ///
     /// # Errors
-    /// The time to wait.
+    /// The time after which all of them are expected to have room.
     pub fn take(&mut self, now: Time, uses: &[(&Route, u64)]) -> Result<(), Duration> {
         let mut wait = None;
         for &(route, amount) in uses {
             let room = self.available(now, route);
             if room < amount {
-                let after = self.wait(now, route, amount);
+                let after = self.time_until_available(now, route, amount);
                 wait = Some(wait.map_or(after, |w: Duration| w.max(after)));
             }
         }
@@ -208,44 +215,44 @@
             return Err(wait);
         }
         for &(route, amount) in uses {
-            self.add(now, route, amount);
+            self.record_use(now, route, amount);
         }
         Ok(())
     }
 
-    /// Takes what there is room for of a route, up to `most`; returns it.
-    pub fn take_up_to(&mut self, now: Time, route: &Route, most: u64) -> u64 {
-        let amount = self.available(now, route).min(most);
+    /// Uses as much of a route as is available, up to `max`, and returns it.
+    pub fn take_up_to(&mut self, now: Time, route: &Route, max: u64) -> u64 {
+        let amount = self.available(now, route).min(max);
         if amount > 0 {
-            self.add(now, route, amount);
+            self.record_use(now, route, amount);
         }
         amount
     }
 
-    /// What may still be used of a route within this second.
+    /// Amount of a route that is still unused within the last second.
     pub fn available(&mut self, now: Time, route: &Route) -> u64 {
         let limit = self.limit(now, route);
-        let Some(cell) = self.cell(route) else {
+        let Some(cap) = self.cap_state(route) else {
             return 0;
         };
-        limit.saturating_sub(cell.window.used(now))
+        limit.saturating_sub(cap.window.used(now))
     }
 
-    /// What may be used of a route in one second.
+    /// Limit of a route per second; 0 while the slot is not held.
     pub fn limit(&mut self, now: Time, route: &Route) -> u64 {
         self.expire(now);
         let held = self.is_held(now);
         let settled = self.is_settled(now);
         let guards = self.guards;
-        match self.cell(route) {
-            Some(cell) if held => cell.limit(now, settled, guards),
+        match self.cap_state(route) {
+            Some(cap) if held => cap.limit(now, settled, guards),
             _ => 0,
         }
     }
 
-    /// Asks up to `lenders` others for a loan of at least `amount`: when each
-    /// is asked, and for how much. Nothing if none is wanted now: others are
-    /// asked at most once in a while for each route.
+    /// Opens loan requests of at least `amount` to up to `lenders` instances.
+    /// Empty if the slot is not held, the route has no cap, or the last request
+    /// for it is less than [`LOAN_REQUEST_INTERVAL`] ago.
     pub fn request_loan(
         &mut self,
         now: Time,
@@ -254,191 +261,199 @@
         lenders: usize,
     ) -> LoanRequest {
         let held = self.is_held(now);
-        let Some(cell) = self.cell(route).filter(|c| held && c.gone.is_none()) else {
+        let Some(cap) = self
+            .cap_state(route)
+            .filter(|c| held && c.removed_at.is_none())
+        else {
             return LoanRequest::default();
         };
-        let last = cell.asked.last();
+        let last = cap.requests.last();
         if last.is_some_and(|asked| now.since(asked) < LOAN_REQUEST_INTERVAL) {
             return LoanRequest::default();
         }
         LoanRequest {
-            amount: cell.part.max(amount),
-            asked_at: cell.asked.open(now, lenders),
+            amount: cap.allotment.max(amount),
+            asked_at: cap.requests.open(now, lenders),
         }
     }
 
-    /// Another instance asks for a loan; what it gets.
+    /// Handles a loan request of another instance and returns the amount lent.
     pub fn lend(&mut self, now: Time, route: &Route, wanted: u64) -> u64 {
         self.expire(now);
         let free = self.is_held(now) && self.is_settled(now);
-        let terms = self.guards.terms;
-        let Some(cell) = self.cell(route).filter(|_| free) else {
+        let is_deducted = self.guards.lender_term;
+        let Some(cap) = self.cap_state(route).filter(|_| free) else {
             return 0;
         };
-        // One that lacks room itself would lend what it asks others for.
-        let asks = |asked: Time| now.since(asked) < loan::BORROWER_TERM;
-        if cell.asked.last().is_some_and(asks) {
+        // An instance that is borrowing would lend what it needs itself.
+        let is_recent = |asked: Time| now.since(asked) < loan::BORROWER_TERM;
+        if cap.requests.last().is_some_and(is_recent) {
             return 0;
         }
-        // Only its own part: what is borrowed has to go back in time.
-        let own = cell.part.saturating_sub(cell.lent.sum(now));
-        let free = own.saturating_sub(cell.window.used(now));
+        // Only from its own allotment: a borrowed amount ends with its loan.
+        let own = cap.allotment.saturating_sub(cap.lent.sum(now));
+        let free = own.saturating_sub(cap.window.used(now));
         let amount = wanted.min(free.div_ceil(LOAN_DIVISOR));
         if amount > 0 {
-            let away = if terms {
+            let lent_for = if is_deducted {
                 loan::LENDER_TERM
             } else {
                 Duration::ZERO
             };
-            cell.lent.add(amount, now + away);
+            cap.lent.add(amount, now + lent_for);
         }
         amount
     }
 
-    /// A loan came, asked for at `asked`. One that answers no open question
-    /// is a copy, and doesn't count.
+    /// Adds a loan that was requested at `asked`. A reply to a request that is no
+    /// longer open is a duplicate and is ignored.
     pub fn borrow(&mut self, asked: Time, route: &Route, amount: u64) {
-        let once = self.guards.once;
-        let Some(cell) = self.cell(route).filter(|c| c.gone.is_none()) else {
+        let single_reply = self.guards.single_reply;
+        let Some(cap) = self.cap_state(route).filter(|c| c.removed_at.is_none()) else {
             return;
         };
-        if cell.asked.close(asked) || !once {
-            cell.borrowed.add(amount, asked + loan::BORROWER_TERM);
+        if cap.requests.close(asked) || !single_reply {
+            cap.borrowed.add(amount, asked + loan::BORROWER_TERM);
         }
     }
 
-    /// Whether the configuration has a cap on a route.
+    /// Returns whether the configuration has a cap on the route.
     #[must_use]
     pub fn has_cap(&self, route: &Route) -> bool {
-        let found = self.cells.binary_search_by(|c| c.route.cmp(route));
-        found.is_ok_and(|at| self.cells[at].gone.is_none())
+        let found = self.caps.binary_search_by(|c| c.route.cmp(route));
+        found.is_ok_and(|at| self.caps[at].removed_at.is_none())
     }
 
-    /// All routes with their limits and use, for dumps.
+    /// Lists every route with its limit and its use in the last second.
     pub fn usage(&mut self, now: Time) -> Vec<(Route, u64, u64)> {
         self.expire(now);
         let held = self.is_held(now);
         let settled = self.is_settled(now);
         let guards = self.guards;
-        let row = |cell: &mut Cell| {
+        let row = |cap: &mut CapState| {
             let limit = if held {
-                cell.limit(now, settled, guards)
+                cap.limit(now, settled, guards)
             } else {
                 0
             };
-            (cell.route.clone(), limit, cell.window.used(now))
+            (cap.route.clone(), limit, cap.window.used(now))
         };
-        let cells = self.cells.iter_mut().filter(|c| c.gone.is_none());
-        cells.map(row).collect()
+        let caps = self.caps.iter_mut().filter(|c| c.removed_at.is_none());
+        caps.map(row).collect()
     }
 
     fn is_held(&self, now: Time) -> bool {
         let fresh = |last: Time| now.since(last) <= HOLD_TTL;
-        !self.guards.held || (self.hold.on && self.hold.last.is_some_and(fresh))
+        !self.guards.held
+            || (self.slot_hold.is_held && self.slot_hold.confirmed_at.is_some_and(fresh))
     }
 
     fn is_settled(&self, now: Time) -> bool {
-        !self.guards.settle || self.settled.is_some_and(|settled| now >= settled)
+        !self.guards.settle || self.settled_at.is_some_and(|settled| now >= settled)
     }
 
-    fn cell(&mut self, route: &Route) -> Option<&mut Cell> {
-        let at = self.cells.binary_search_by(|c| c.route.cmp(route)).ok()?;
-        Some(&mut self.cells[at])
+    fn cap_state(&mut self, route: &Route) -> Option<&mut CapState> {
+        let at = self.caps.binary_search_by(|c| c.route.cmp(route)).ok()?;
+        Some(&mut self.caps[at])
     }
 
-    fn wait(&mut self, now: Time, route: &Route, amount: u64) -> Duration {
+    fn time_until_available(&mut self, now: Time, route: &Route, amount: u64) -> Duration {
         let limit = self.limit(now, route);
-        match self.cell(route) {
-            Some(cell) if limit >= amount => cell.window.wait(now, limit - amount),
+        match self.cap_state(route) {
+            Some(cap) if limit >= amount => cap.window.wait(now, limit - amount),
             _ => window::RATE_PERIOD,
         }
     }
 
-    fn add(&mut self, now: Time, route: &Route, amount: u64) {
-        if let Some(cell) = self.cell(route) {
-            cell.window.add(now, amount);
+    fn record_use(&mut self, now: Time, route: &Route, amount: u64) {
+        if let Some(cap) = self.cap_state(route) {
+            cap.window.add(now, amount);
         }
     }
 
-    /// A new layout counts at once where its parts are smaller; the one before
-    /// goes on counting where its are. An instance that knows one layout and
-    /// its neighbour that knows another would together pass the cap.
-    fn lay_out(&mut self, now: Time, era: Era) {
-        match self.eras.last_mut() {
-            Some(last) if last.layout == era.layout => return,
-            Some(last) => last.until = Some(now + SETTLING_TIME),
-            // No layout was known before: what others divide by isn't either.
-            None => self.settled = self.settled.map(|s| s.max(now + SETTLING_TIME)),
+    /// Adds a layout. It counts at once where its allotments are smaller; the
+    /// previous one keeps counting for a while where its are. Otherwise two
+    /// instances that know different layouts would together exceed the cap.
+    fn add_layout(&mut self, now: Time, generation: Generation) {
+        match self.generations.last_mut() {
+            Some(last) if last.layout == generation.layout => return,
+            Some(last) => last.counts_until = Some(now + SETTLING_TIME),
+            // No layout was known before, so those of other instances are not
+            // known either.
+            None => self.settled_at = self.settled_at.map(|s| s.max(now + SETTLING_TIME)),
         }
         if !self.guards.transition {
-            self.eras.clear();
+            self.generations.clear();
         }
-        self.eras.push(era);
+        self.generations.push(generation);
     }
 
-    /// Drops the layouts that no longer count.
+    /// Drops layouts that no longer count and recomputes the allotments.
     fn expire(&mut self, now: Time) {
         let Some(view) = &self.view else { return };
-        let before = self.eras.len();
+        let before = self.generations.len();
         let reserve = self.guards.reserve;
-        self.eras.retain_mut(|e| e.counts(now, view, reserve));
-        if self.eras.len() != before {
+        self.generations
+            .retain_mut(|g| g.still_counts(now, view, reserve));
+        if self.generations.len() != before {
             self.divide();
         }
     }
 
     fn divide(&mut self) {
-        for cell in &mut self.cells {
-            let parts = self.eras.iter();
-            let parts = parts.map(|era| era.layout.part(&cell.route, cell.whole));
-            cell.part = if self.guards.part {
-                parts.min().unwrap_or(0)
+        for cap in &mut self.caps {
+            let allotments = self.generations.iter();
+            let allotments =
+                allotments.map(|generation| generation.layout.allotment(&cap.route, cap.total));
+            cap.allotment = if self.guards.allotment {
+                allotments.min().unwrap_or(0)
             } else {
-                cell.whole
+                cap.total
             };
         }
     }
 
-    /// Both lists are sorted by route. A cap that is gone allows nothing at
-    /// once, but its use and loans are remembered in case it comes back.
-    fn merge(&mut self, now: Time, caps: Vec<Cap>) {
-        let old = core::mem::take(&mut self.cells);
+    /// Replaces the caps by the configured ones; both lists are sorted by route.
+    /// A removed cap allows nothing from now on, but its use and loans are kept
+    /// in case it is added back.
+    fn merge_caps(&mut self, now: Time, configs: Vec<CapConfig>) {
+        let old = core::mem::take(&mut self.caps);
         let mut old = old.into_iter().peekable();
-        let memory = self.guards.memory;
-        let mut cells = Vec::with_capacity(caps.len());
-        for cap in caps {
-            while let Some(cell) = old.next_if(|c| c.route < cap.route) {
-                cells.extend(cell.retire(now).filter(|_| memory));
+        let retain_usage = self.guards.retain_usage;
+        let mut merged = Vec::with_capacity(configs.len());
+        for config in configs {
+            while let Some(cap) = old.next_if(|c| c.route < config.route) {
+                merged.extend(cap.retire(now).filter(|_| retain_usage));
             }
-            cells.push(match old.next_if(|c| c.route == cap.route) {
-                Some(cell) => cell.renew(&cap),
-                None => Cell::new(now, &cap),
+            merged.push(match old.next_if(|c| c.route == config.route) {
+                Some(cap) => cap.reconfigure(&config),
+                None => CapState::new(now, &config),
             });
         }
-        cells.extend(old.filter_map(|c| c.retire(now).filter(|_| memory)));
-        self.cells = cells;
+        merged.extend(old.filter_map(|c| c.retire(now).filter(|_| retain_usage)));
+        self.caps = merged;
     }
 }
 
-/// A loan that is wanted.
+/// A loan to request from other instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoanRequest {
-    /// How much each lender is asked for.
+    /// Amount requested from each lender.
     pub amount: u64,
-    /// When each is asked; its answer brings the time back.
+    /// Time of each request, which identifies it in the lender's reply.
     pub asked_at: Vec<Time>,
 }
 
-/// Whether two views have the same caps, divided in the same way.
+/// Returns whether two views have equal caps, divided in the same way.
 fn same_caps(a: &View, b: &View) -> bool {
     a.links == b.links
         && a.shifts == b.shifts
         && a.entries == b.entries
         && a.domains == b.domains
         && a.regions == b.regions
-        && names(a).eq(names(b))
+        && service_names(a).eq(service_names(b))
 }
 
-fn names(view: &View) -> impl Iterator<Item = &Arc<str>> {
+fn service_names(view: &View) -> impl Iterator<Item = &Arc<str>> {
     view.services.values().map(|service| &service.name)
 }
--- a/crates/steer/src/process/share/ramp.rs
+++ b/crates/steer/src/process/share/ramp.rs
@@ -1,55 +1,59 @@
-//! Growth of a shift: the caches at the other end are cold.
+//! Gradual growth of a shift's limit, since the caches of the region that serves
+//! it are cold.
 //!
-//! Invariant: the level rises from [`INITIAL_PPM`] to all over no less than the
-//! ramp's time in use, and only while use presses on it. A trickle doesn't warm
-//! a cache for a flood, so it must not open the way for one.
+//! Invariant: the level rises at most at the rate that takes it from 0 to
+//! [`FULL_PPM`] in the ramp time, starts at [`INITIAL_PPM`], and rises only while
+//! at least half of it is in use. Low traffic does not warm a cache for high
+//! traffic, so it must not raise the limit.
 
 use core::time::Duration;
 
-use super::route::ratio;
+use super::route::mul_div;
 use crate::clock::Time;
 
-/// All of a share, in parts of a million.
+/// The full share, in parts per million.
 const FULL_PPM: u64 = 1_000_000;
 
-/// Part of its share that a route may use when a shift begins.
+/// Level at which a shift begins, and its minimum, in parts per million.
 const INITIAL_PPM: u64 = FULL_PPM / 10;
 
-/// How far a shift has grown.
+/// Current level of a shift's limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Ramp {
-    /// In parts of a million.
-    level: u64,
-    touched: Time,
+    /// Fraction of the share that may be used, in parts per million.
+    level_ppm: u64,
+    updated_at: Time,
 }
 
 impl Ramp {
-    /// A shift that hasn't begun.
+    /// Creates a ramp at the initial level.
     pub const fn new(now: Time) -> Self {
         Self {
-            level: INITIAL_PPM,
-            touched: now,
+            level_ppm: INITIAL_PPM,
+            updated_at: now,
         }
     }
 
-    /// What may be used of `all` at `now`, if `used` was within the last
-    /// second. Half the level in use makes it rise, less makes it fall.
-    pub fn limit(&mut self, now: Time, span: Duration, all: u64, used: u64) -> u64 {
-        if span.is_zero() {
-            return all;
+    /// Updates the level and returns the limit, at least 1 unless `share` is 0.
+    /// `used` is the use within the last second: the level rises if that is at
+    /// least half of the limit and falls otherwise. A `ramp_time` of zero means
+    /// no ramp.
+    pub fn limit(&mut self, now: Time, ramp_time: Duration, share: u64, used: u64) -> u64 {
+        if ramp_time.is_zero() {
+            return share;
         }
-        let passed = u64::try_from(now.since(self.touched).as_micros()).unwrap_or(u64::MAX);
-        let whole = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        let step = ratio(FULL_PPM, passed, whole);
+        let elapsed = u64::try_from(now.since(self.updated_at).as_micros()).unwrap_or(u64::MAX);
+        let ramp_micros = u64::try_from(ramp_time.as_micros()).unwrap_or(u64::MAX);
+        let step = mul_div(FULL_PPM, elapsed, ramp_micros);
         if step > 0 {
-            let presses = used.saturating_mul(2) >= ratio(all, self.level, FULL_PPM);
-            self.level = if presses && used > 0 {
-                self.level.saturating_add(step).min(FULL_PPM)
+            let is_loaded = used.saturating_mul(2) >= mul_div(share, self.level_ppm, FULL_PPM);
+            self.level_ppm = if is_loaded && used > 0 {
+                self.level_ppm.saturating_add(step).min(FULL_PPM)
             } else {
-                self.level.saturating_sub(step).max(INITIAL_PPM)
+                self.level_ppm.saturating_sub(step).max(INITIAL_PPM)
             };
-            self.touched = now;
+            self.updated_at = now;
         }
-        ratio(all, self.level, FULL_PPM).max(1).min(all)
+        mul_div(share, self.level_ppm, FULL_PPM).max(1).min(share)
     }
 }
--- a/crates/steer/src/process/share/route.rs
+++ b/crates/steer/src/process/share/route.rs
@@ -1,9 +1,10 @@
-//! What is capped, and how each cap is divided.
+//! Routes that have a cap, and the division of a cap among instances.
 //!
 //! Invariants:
-//! - the parts of one cap add up to it exactly;
-//! - a part never shrinks when the cap grows, so that instances which know
-//!   different caps, but divide them alike, stay within the larger one.
+//! - the allotments of one cap add up to it exactly, if any instance is entitled
+//!   to a part of it;
+//! - an allotment never shrinks when the cap grows, so that instances that know
+//!   different caps but the same layout stay within the larger cap.
 
 use core::fmt;
 use core::time::Duration;
@@ -13,17 +14,17 @@
 
 use crate::version::view::{Region, View};
 
-/// Part of a link that is kept for control messages, in percent.
+/// Percentage of a link's capacity reserved for control messages.
 const CONTROL_RESERVE_PERCENT: u64 = 5;
 
-/// Part of a shift's cap that the callers' own region has: one in this many.
+/// The callers' own region gets the cap of a shift divided by this.
 const SENDER_DIVISOR: u64 = 4;
 
-/// What a cap is on. Named, so that it outlives a version.
+/// Subject of a cap. Identified by names, which stay valid across versions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Route {
-    /// Requests a second of one service, from callers of one region to sites of
-    /// another.
+    /// Requests per second for one service, from callers in one region to sites
+    /// in another.
     Shift {
         /// Name of the service.
         service: Arc<str>,
@@ -32,7 +33,7 @@
         /// Name of the region that serves them.
         to: Arc<str>,
     },
-    /// Bytes a second between two regions, in one direction.
+    /// Bytes per second between two regions, in one direction.
     Link {
         /// Name of the sending region.
         from: Arc<str>,
@@ -50,39 +51,39 @@
     }
 }
 
-/// A cap as one entry instance sees it.
+/// A cap as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cap {
-    /// What it is on.
+pub struct CapConfig {
+    /// Route that the cap applies to.
     pub route: Route,
-    /// The whole cap, per second.
-    pub whole: u64,
-    /// Time over which use grows.
+    /// Cap over all instances, per second.
+    pub total: u64,
+    /// Time over which the limit grows; zero for none.
     pub ramp: Duration,
 }
 
-/// All caps of a view, sorted by route.
-pub fn caps(view: &View) -> Vec<Cap> {
+/// Returns all caps of a view, sorted by route.
+pub fn caps(view: &View) -> Vec<CapConfig> {
     let mut caps = Vec::with_capacity(view.shifts.len() + view.links.len());
     let region = |region: Region| Arc::clone(&view.regions[region].name);
     for shift in &view.shifts {
-        caps.push(Cap {
+        caps.push(CapConfig {
             route: Route::Shift {
                 service: Arc::clone(&view.services[shift.service].name),
                 from: region(shift.from),
                 to: region(shift.to),
             },
-            whole: shift.cap,
+            total: shift.cap,
             ramp: shift.ramp,
         });
     }
     for link in &view.links {
-        caps.push(Cap {
+        caps.push(CapConfig {
             route: Route::Link {
                 from: region(link.from),
                 to: region(link.to),
             },
-            whole: ratio(link.bits_per_s / 8, 100 - CONTROL_RESERVE_PERCENT, 100),
+            total: mul_div(link.bits_per_s / 8, 100 - CONTROL_RESERVE_PERCENT, 100),
             ramp: Duration::ZERO,
         });
     }
@@ -91,94 +92,97 @@
     caps
 }
 
-/// Entry instances of one region.
+/// Number of entry instances of one region.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Crew {
+struct RegionEntries {
     region: Arc<str>,
     count: u64,
 }
 
-/// This instance among those of its region.
+/// Position of this instance among those of its region.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seat {
+struct Position {
     region: Arc<str>,
-    place: u64,
+    index: u64,
 }
 
-/// Where the entry instances are: all that the division of a cap depends on
-/// besides the cap.
+/// Distribution of the entry instances over regions. With the cap it determines
+/// every allotment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Layout {
     /// Sorted by region.
-    crews: Vec<Crew>,
-    me: Option<Seat>,
+    entries_by_region: Vec<RegionEntries>,
+    own: Option<Position>,
 }
 
 impl Layout {
-    /// The layout of a view, for the entry instance `name`.
+    /// Builds the layout of a view, for the entry instance `name`.
     pub fn new(view: &View, name: &str) -> Self {
         let mut counts = vec![0; view.regions.len()];
-        let mut me = None;
+        let mut own = None;
         for entry in view.entries.values() {
             let region = view.domains[entry.domain].region;
             let count: &mut u64 = &mut counts[region.index()];
             if *entry.name == *name {
-                me = Some(Seat {
+                own = Some(Position {
                     region: Arc::clone(&view.regions[region].name),
-                    place: *count,
+                    index: *count,
                 });
             }
             *count += 1;
         }
         let regions = view.regions.values().zip(counts);
-        let crews = regions.map(|(data, count)| Crew {
+        let entries_by_region = regions.map(|(data, count)| RegionEntries {
             region: Arc::clone(&data.name),
             count,
         });
         Self {
-            crews: crews.collect(),
-            me,
+            entries_by_region: entries_by_region.collect(),
+            own,
         }
     }
 
-    /// This instance's part of a cap. The instances of the sending region
+    /// This instance's allotment of a cap. The instances of the sending region
     /// divide a link. Those of both regions divide a shift, since either the
-    /// callers' own instances pass a request on, or those of the other region
-    /// are asked directly. Most of it is the latter's: the former are lost with
-    /// their region just when the shift is needed most, and while they live
-    /// they reach the others, who lend.
-    pub fn part(&self, route: &Route, whole: u64) -> u64 {
-        let Some(me) = &self.me else { return 0 };
+    /// instances of the callers' region forward a request, or the callers address
+    /// the other region directly. The serving region gets most of it: the
+    /// callers' own instances fail with their region, when the shift is needed
+    /// most, and while they run they can borrow from the others.
+    pub fn allotment(&self, route: &Route, total: u64) -> u64 {
+        let Some(own) = &self.own else { return 0 };
         match route {
-            Route::Link { from, .. } if me.region == *from => self.split(me, whole),
-            Route::Shift { from, to, .. } if me.region == *from => {
-                let senders = whole / SENDER_DIVISOR;
-                let alone = from == to || self.count(to) == 0;
-                self.split(me, if alone { whole } else { senders })
+            Route::Link { from, .. } if own.region == *from => self.divide_in_region(own, total),
+            Route::Shift { from, to, .. } if own.region == *from => {
+                let sender_total = total / SENDER_DIVISOR;
+                let is_sole = from == to || self.count(to) == 0;
+                self.divide_in_region(own, if is_sole { total } else { sender_total })
             }
-            Route::Shift { from, to, .. } if me.region == *to => {
-                let senders = whole / SENDER_DIVISOR;
-                let alone = self.count(from) == 0;
-                self.split(me, if alone { whole } else { whole - senders })
+            Route::Shift { from, to, .. } if own.region == *to => {
+                let sender_total = total / SENDER_DIVISOR;
+                let is_sole = self.count(from) == 0;
+                self.divide_in_region(own, if is_sole { total } else { total - sender_total })
             }
             Route::Link { .. } | Route::Shift { .. } => 0,
         }
     }
 
-    /// What one instance gets of what its region has.
-    fn split(&self, me: &Seat, whole: u64) -> u64 {
-        let count = self.count(&me.region).max(1);
-        whole / count + u64::from(me.place < whole % count)
+    /// Divides the total of a region among its instances; the remainder goes to
+    /// the first ones, one unit each.
+    fn divide_in_region(&self, own: &Position, total: u64) -> u64 {
+        let count = self.count(&own.region).max(1);
+        total / count + u64::from(own.index < total % count)
     }
 
     fn count(&self, region: &str) -> u64 {
-        let found = self.crews.binary_search_by(|c| (*c.region).cmp(region));
-        found.map_or(0, |at| self.crews[at].count)
+        let found = self
+            .entries_by_region
+            .binary_search_by(|c| (*c.region).cmp(region));
+        found.map_or(0, |at| self.entries_by_region[at].count)
     }
 }
 
-/// `whole * part / parts`, rounded down.
-pub(super) fn ratio(whole: u64, part: u64, parts: u64) -> u64 {
-    let share = u128::from(whole) * u128::from(part) / u128::from(parts.max(1));
-    u64::try_from(share).unwrap_or(u64::MAX)
+/// `value * numerator / denominator`, rounded down, without overflow of the product.
+pub(super) fn mul_div(value: u64, numerator: u64, denominator: u64) -> u64 {
+    let quotient = u128::from(value) * u128::from(numerator) / u128::from(denominator.max(1));
+    u64::try_from(quotient).unwrap_or(u64::MAX)
 }
--- a/crates/steer/src/process/share/window.rs
+++ b/crates/steer/src/process/share/window.rs
@@ -1,66 +1,66 @@
-//! What was used within the last second.
+//! Sliding window over the use within the last second.
 //!
-//! Invariant: whatever second one looks at, the sum of what was taken in it is
-//! at most the limit that held when the last of it was taken. A token bucket
-//! would not do: it lets a burst and a refill pass within one second.
+//! Invariant: in any interval of one second the sum of the amounts taken is at
+//! most the limit that applied to the last of them. A token bucket does not
+//! guarantee that: it lets a burst and a refill pass within one second.
 
 use core::time::Duration;
 
 use crate::clock::Time;
 
-/// Time that a sum is over.
+/// Period over which use is summed. Caps are per second.
 pub const RATE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Microseconds whose use is kept in one number.
+/// Length of a slice, in microseconds.
 const SLICE_MICROS: u64 = 50_000;
 
-/// Slices that a sum is over: one more than a second has, since the oldest is
-/// only partly within it.
+/// Number of slices that are summed: one more than fit into a second, since the
+/// oldest one lies only partly within it.
 const SLICE_COUNT: usize = 21;
 
-/// Use within the last second, in slices.
+/// Use within the last second, as a ring of slices.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     slices: [u64; SLICE_COUNT],
-    /// Number of the newest slice since the process's start.
+    /// Number of the newest slice, counted from the start of the clock.
     newest: u64,
 }
 
 impl Window {
-    /// What was used within the last second, and at most a slice more.
+    /// Use within the last second, rounded up to whole slices.
     pub fn used(&mut self, now: Time) -> u64 {
-        self.turn(now);
+        self.advance(now);
         let slices = self.slices.iter();
         slices.fold(0, |sum: u64, slice| sum.saturating_add(*slice))
     }
 
-    /// Counts use.
+    /// Records use of `amount` at `now`.
     pub fn add(&mut self, now: Time, amount: u64) {
-        self.turn(now);
+        self.advance(now);
         let at = index(self.newest);
         self.slices[at] = self.slices[at].saturating_add(amount);
     }
 
-    /// Time until the use has fallen to `limit`, if nothing more is taken.
+    /// Time until use has fallen to `limit` if nothing more is taken.
     pub fn wait(&mut self, now: Time, limit: u64) -> Duration {
         let mut used = self.used(now);
-        let mut ages = 0;
-        while used > limit && ages < SLICE_COUNT {
-            // The oldest slice is the one after the newest in the ring.
-            let oldest = self.slices[index(self.newest + 1 + ages as u64)];
+        let mut expired = 0;
+        while used > limit && expired < SLICE_COUNT {
+            // In the ring the oldest slice follows the newest one.
+            let oldest = self.slices[index(self.newest + 1 + expired as u64)];
             used = used.saturating_sub(oldest);
-            ages += 1;
+            expired += 1;
         }
-        let into = now.as_micros() % SLICE_MICROS;
-        let whole = SLICE_MICROS * ages as u64;
-        Duration::from_micros(whole.saturating_sub(into))
+        let offset = now.as_micros() % SLICE_MICROS;
+        let micros = SLICE_MICROS * expired as u64;
+        Duration::from_micros(micros.saturating_sub(offset))
     }
 
-    /// Drops slices that have left the second.
-    fn turn(&mut self, now: Time) {
+    /// Clears the slices that have left the window.
+    fn advance(&mut self, now: Time) {
         let slice = now.as_micros() / SLICE_MICROS;
-        let passed = slice.saturating_sub(self.newest).min(SLICE_COUNT as u64);
-        for i in 0..passed {
+        let elapsed = slice.saturating_sub(self.newest).min(SLICE_COUNT as u64);
+        for i in 0..elapsed {
             self.slices[index(slice - i)] = 0;
         }
         self.newest = self.newest.max(slice);
--- a/crates/steer/tests/share_fleet.rs
+++ b/crates/steer/tests/share_fleet.rs
@@ -161,7 +161,7 @@
 #[case::off(false)]
 fn transfers_doubled_and_lost(#[case] on: bool) {
     let guards = share::Guards {
-        once: on,
+        single_reply: on,
         ..share::Guards::default()
     };
     let mut bench = settled(3, 6, guards, Safeguards::default());
@@ -190,7 +190,7 @@
 #[case::off(false)]
 fn lenders_turn_busy(#[case] on: bool) {
     let guards = share::Guards {
-        terms: on,
+        lender_term: on,
         ..share::Guards::default()
     };
     let mut bench = settled(3, 6, guards, Safeguards::default());
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -162,10 +162,10 @@
 #[rstest::rstest]
 #[case::on(true, 75)]
 #[case::off(false, 100)]
-fn loan_answered_twice(#[case] once: bool, #[case] limit: u64) {
+fn loan_answered_twice(#[case] single_reply: bool, #[case] limit: u64) {
     let (plan, route) = pair(100);
     let guards = Guards {
-        once,
+        single_reply,
         ..Guards::default()
     };
     let mut borrower = shares(&plan, "e001", guards);
@@ -204,10 +204,10 @@
 #[rstest::rstest]
 #[case::on(true, false)]
 #[case::off(false, true)]
-fn cap_back_remembers(#[case] memory: bool, #[case] again: bool) {
+fn cap_back_remembers(#[case] retain_usage: bool, #[case] again: bool) {
     let (plan, route) = pair(100);
     let guards = Guards {
-        memory,
+        retain_usage,
         ..Guards::default()
     };
     let mut shares = shares(&plan, "e000", guards);
