--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -9,16 +9,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Longest first pause.
-    pub first: Duration,
+    pub initial: Duration,
     /// Longest pause.
-    pub most: Duration,
+    pub max: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            first: Duration::from_millis(50),
-            most: Duration::from_secs(2),
+            initial: Duration::from_millis(50),
+            max: Duration::from_secs(2),
         }
     }
 }
@@ -42,16 +42,16 @@
 
     /// Counts a failure. Returns the pause before the next try: between half
     /// of a span, which doubles with each failure, and the whole span.
-    pub fn failed(&mut self, rng: &mut fastrand::Rng) -> Duration {
+    pub fn record_failure(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let doubled = 1_u32.checked_shl(self.failures).unwrap_or(u32::MAX);
-        let span = self.bounds.first.saturating_mul(doubled);
-        let span = span.min(self.bounds.most);
+        let span = self.bounds.initial.saturating_mul(doubled);
+        let span = span.min(self.bounds.max);
         self.failures = self.failures.saturating_add(1);
         span.mul_f64(0.5 + 0.5 * rng.f64())
     }
 
     /// Counts a success.
-    pub const fn succeeded(&mut self) {
+    pub const fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/store/src/counters.rs
+++ b/crates/store/src/counters.rs
@@ -24,11 +24,11 @@
         self.failures[kind as usize].load(Ordering::Relaxed)
     }
 
-    pub(crate) fn sent(&self) {
+    pub(crate) fn record_call(&self) {
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn failed(&self, error: &Error) {
+    pub(crate) fn record_failure(&self, error: &Error) {
         self.failures[error.kind() as usize].fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -42,7 +42,7 @@
     Busy,
     /// All addresses failed lately and are given a rest.
     #[error("the store failed lately; ask again in {} ms", .after.as_millis())]
-    Resting {
+    BackingOff {
         /// Time until one of them is tried again.
         after: Duration,
     },
@@ -76,8 +76,8 @@
     BadKey,
     /// [`Error::Busy`]
     Busy,
-    /// [`Error::Resting`]
-    Resting,
+    /// [`Error::BackingOff`]
+    BackingOff,
     /// [`Error::Unreachable`]
     Unreachable,
     /// [`Error::TimedOut`]
@@ -96,7 +96,7 @@
         Self::TooLarge,
         Self::BadKey,
         Self::Busy,
-        Self::Resting,
+        Self::BackingOff,
         Self::Unreachable,
         Self::TimedOut,
         Self::Lost,
@@ -112,7 +112,7 @@
             Self::TooLarge => "too-large",
             Self::BadKey => "bad-key",
             Self::Busy => "busy",
-            Self::Resting => "resting",
+            Self::BackingOff => "resting",
             Self::Unreachable => "unreachable",
             Self::TimedOut => "timed-out",
             Self::Lost => "lost",
@@ -131,7 +131,7 @@
             | Self::TooLarge { .. }
             | Self::BadKey { .. }
             | Self::Busy
-            | Self::Resting { .. }
+            | Self::BackingOff { .. }
             | Self::Unreachable => Effect::None,
             Self::TimedOut | Self::Lost | Self::BadAnswer { .. } => Effect::Unknown,
         }
@@ -142,7 +142,7 @@
     pub const fn is_outage(&self) -> bool {
         matches!(
             self,
-            Self::Resting { .. }
+            Self::BackingOff { .. }
                 | Self::Unreachable
                 | Self::TimedOut
                 | Self::Lost
@@ -159,7 +159,7 @@
             Self::TooLarge { .. } => Kind::TooLarge,
             Self::BadKey { .. } => Kind::BadKey,
             Self::Busy => Kind::Busy,
-            Self::Resting { .. } => Kind::Resting,
+            Self::BackingOff { .. } => Kind::BackingOff,
             Self::Unreachable => Kind::Unreachable,
             Self::TimedOut => Kind::TimedOut,
             Self::Lost => Kind::Lost,
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -23,7 +23,7 @@
 use crate::error::{Effect, Error};
 use crate::{Pending, Store};
 
-mod rest;
+mod addresses;
 
 /// How the store is reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,15 +31,15 @@
     /// Where it listens; the first that answers is kept.
     pub addrs: Vec<SocketAddr>,
     /// Time for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Time for a whole call; a watch has its own wait besides.
-    pub timeout: Duration,
+    pub call_timeout: Duration,
     /// Calls under way at a time, watches apart.
-    pub calls: usize,
+    pub calls_max: usize,
     /// Watches under way at a time.
-    pub watches: usize,
+    pub watches_max: usize,
     /// Pauses of an address that failed.
-    pub rest: Bounds,
+    pub backoff: Bounds,
 }
 
 impl Config {
@@ -48,11 +48,11 @@
     pub fn new(addrs: Vec<SocketAddr>) -> Self {
         Self {
             addrs,
-            connect: Duration::from_millis(200),
-            timeout: Duration::from_secs(1),
-            calls: 64,
-            watches: 8,
-            rest: Bounds::default(),
+            connect_timeout: Duration::from_millis(200),
+            call_timeout: Duration::from_secs(1),
+            calls_max: 64,
+            watches_max: 8,
+            backoff: Bounds::default(),
         }
     }
 }
@@ -61,14 +61,14 @@
 pub struct Client {
     config: Config,
     pool: Arc<pool::Pool>,
-    rests: rest::Rests,
+    addresses: addresses::Addresses,
     calls: Semaphore,
     watches: Semaphore,
     counters: Counters,
 }
 
 /// Largest answer read, in bytes: a listing holds many values.
-const ANSWER_MAX: usize = 64 << 20;
+const RESPONSE_BYTES_MAX: usize = 64 << 20;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
@@ -96,15 +96,15 @@
     pub fn new(config: Config, executor: pool::Executor, rng: fastrand::Rng) -> Self {
         let limits = pool::Limits {
             // Watches hold a connection each, for as long as they wait.
-            connections_max: config.calls + config.watches,
+            connections_max: config.calls_max + config.watches_max,
             warm_connections: 0,
-            connect_timeout: config.connect,
+            connect_timeout: config.connect_timeout,
         };
         Self {
             pool: pool::Pool::new(executor, limits),
-            rests: rest::Rests::new(&config.addrs, config.rest, rng),
-            calls: Semaphore::new(config.calls),
-            watches: Semaphore::new(config.watches),
+            addresses: addresses::Addresses::new(&config.addrs, config.backoff, rng),
+            calls: Semaphore::new(config.calls_max),
+            watches: Semaphore::new(config.watches_max),
             counters: Counters::default(),
             config,
         }
@@ -117,31 +117,31 @@
     }
 
     async fn call(&self, call: Call<'_>) -> Result<Reply, Error> {
-        let result = self.bounded(&call).await;
-        result.inspect_err(|error| self.counters.failed(error))
+        let result = self.call_any(&call).await;
+        result.inspect_err(|error| self.counters.record_failure(error))
     }
 
-    async fn bounded(&self, call: &Call<'_>) -> Result<Reply, Error> {
-        let (pool, wait) = match call.kind {
+    async fn call_any(&self, call: &Call<'_>) -> Result<Reply, Error> {
+        let (permits, wait) = match call.kind {
             Kind::Watch(wait) => (&self.watches, wait),
             Kind::Read | Kind::Write => (&self.calls, Duration::ZERO),
         };
-        let _permit = pool.try_acquire().ok_or(Error::Busy)?;
-        let until = Instant::now() + wait + self.config.timeout;
+        let _permit = permits.try_acquire().ok_or(Error::Busy)?;
+        let deadline = Instant::now() + wait + self.config.call_timeout;
         let mut failure = None;
         for _ in 0..self.config.addrs.len() {
-            let addr = match self.rests.pick(Instant::now()) {
+            let addr = match self.addresses.pick(Instant::now()) {
                 Ok(addr) => addr,
-                Err(after) => return Err(failure.unwrap_or(Error::Resting { after })),
+                Err(after) => return Err(failure.unwrap_or(Error::BackingOff { after })),
             };
-            let error = match self.attempt(call, addr, until).await {
+            let error = match self.attempt(call, addr, deadline).await {
                 Ok(reply) => {
-                    self.rests.succeeded(addr);
+                    self.addresses.record_success(addr);
                     return Ok(reply);
                 }
                 Err(error) => error,
             };
-            self.rests.failed(addr, Instant::now());
+            self.addresses.record_failure(addr, Instant::now());
             if call.kind == Kind::Write && error.effect() == Effect::Unknown {
                 return Err(error);
             }
@@ -154,25 +154,25 @@
         &self,
         call: &Call<'_>,
         addr: SocketAddr,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Reply, Error> {
-        self.counters.sent();
-        let late = async {
-            Timer::at(until).await;
+        self.counters.record_call();
+        let timeout = async {
+            Timer::at(deadline).await;
             Err(Error::TimedOut)
         };
-        self.exchange(call, addr).or(late).await
+        self.exchange(call, addr).or(timeout).await
     }
 
     async fn exchange(&self, call: &Call<'_>, addr: SocketAddr) -> Result<Reply, Error> {
         let request = call.request(addr)?;
-        let exchange = self.pool.send(addr, request).await.map_err(broken)?;
-        let (response, rest) = exchange.split();
+        let exchange = self.pool.send(addr, request).await.map_err(send_error)?;
+        let (response, connection) = exchange.split();
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), ANSWER_MAX);
+        let body = Limited::new(response.into_body(), RESPONSE_BYTES_MAX);
         // A half-read answer drops its connection with it.
         let body = body.collect().await.map_err(|_| Error::Lost)?.to_bytes();
-        rest.put_back();
+        connection.put_back();
         if status >= 500 {
             return Err(Error::BadAnswer { status });
         }
@@ -205,7 +205,7 @@
             404 => Error::LeaseLapsed,
             status => Error::BadAnswer { status },
         };
-        self.counters.failed(&error);
+        self.counters.record_failure(&error);
         Err(error)
     }
 }
@@ -258,7 +258,7 @@
 
     fn list<'a>(&'a self, prefix: &'a str) -> Pending<'a, Vec<kv::Entry>> {
         Box::pin(async move {
-            check(prefix)?;
+            check_key(prefix)?;
             let path = format!("/kv?prefix={prefix}");
             let listing = self.read::<kv::Listing>(&path).await?;
             Ok(listing.unwrap_or_default().entries)
@@ -319,7 +319,7 @@
     }
 }
 
-const fn broken(error: pool::Error) -> Error {
+const fn send_error(error: pool::Error) -> Error {
     match error {
         pool::Error::Unsent => Error::Unreachable,
         pool::Error::Full => Error::Busy,
@@ -333,13 +333,13 @@
 }
 
 fn path(key: &str) -> Result<String, Error> {
-    check(key)?;
+    check_key(key)?;
     Ok(format!("/kv/{key}"))
 }
 
-fn check(key: &str) -> Result<(), Error> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
-    if key.chars().all(fits) && !key.contains("./") {
+fn check_key(key: &str) -> Result<(), Error> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-' | '/');
+    if key.chars().all(is_allowed) && !key.contains("./") {
         return Ok(());
     }
     let key = key.to_owned();
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -25,10 +25,10 @@
 /// Times that tests need not wait long for, yet ample for a busy machine.
 fn config(addrs: &[SocketAddr]) -> Config {
     Config {
-        timeout: Duration::from_millis(500),
-        rest: Bounds {
-            first: Duration::from_millis(1),
-            most: Duration::from_millis(1),
+        call_timeout: Duration::from_millis(500),
+        backoff: Bounds {
+            initial: Duration::from_millis(1),
+            max: Duration::from_millis(1),
         },
         ..Config::new(addrs.to_vec())
     }
@@ -227,20 +227,20 @@
         let store = start();
         store.fault(Fault::Outage);
         let span = Duration::from_secs(50);
-        let rest = Bounds {
-            first: span,
-            most: span,
+        let backoff = Bounds {
+            initial: span,
+            max: span,
         };
         let client = client(
             executor,
             Config {
-                rest,
+                backoff,
                 ..config(&[store.addr()])
             },
         );
         client.get("a").await.unwrap_err();
         let error = client.get("a").await.unwrap_err();
-        let Error::Resting { after } = error else {
+        let Error::BackingOff { after } = error else {
             panic!("{error:?}");
         };
         assert!(after > span / 3 && after <= span, "{after:?}");
@@ -256,14 +256,14 @@
         let store = start();
         store.fault(Fault::Outage);
         let first = Duration::from_secs(5);
-        let rest = Bounds {
-            first,
-            most: Duration::from_secs(500),
+        let backoff = Bounds {
+            initial: first,
+            max: Duration::from_secs(500),
         };
         let client = client(
             executor,
             Config {
-                rest,
+                backoff,
                 ..config(&[store.addr()])
             },
         );
@@ -278,7 +278,7 @@
             let _ = call.await;
         }
         let error = client.get("a").await.unwrap_err();
-        let Error::Resting { after } = error else {
+        let Error::BackingOff { after } = error else {
             panic!("{error:?}");
         };
         assert!(after <= first, "{after:?}");
@@ -293,7 +293,7 @@
         let client = client(
             executor,
             Config {
-                calls: 1,
+                calls_max: 1,
                 ..config(&[store.addr()])
             },
         );
@@ -319,18 +319,18 @@
 #[test]
 fn backoff_grows_to_its_bound() {
     let bounds = Bounds {
-        first: Duration::from_millis(10),
-        most: Duration::from_millis(50),
+        initial: Duration::from_millis(10),
+        max: Duration::from_millis(50),
     };
     let mut rng = fastrand::Rng::with_seed(SEED);
     let mut backoff = Backoff::new(bounds);
     for span in [10, 20, 40, 50, 50] {
         let span = Duration::from_millis(span);
-        let pause = backoff.failed(&mut rng);
+        let pause = backoff.record_failure(&mut rng);
         assert!(pause >= span / 2 && pause <= span, "{pause:?}");
     }
-    backoff.succeeded();
-    assert!(backoff.failed(&mut rng) <= bounds.first);
+    backoff.record_success();
+    assert!(backoff.record_failure(&mut rng) <= bounds.initial);
 }
 
 #[test]
--- a/crates/store/tests/garbled.rs
+++ b/crates/store/tests/garbled.rs
@@ -37,7 +37,7 @@
 
 fn client(executor: &pool::Executor, addr: SocketAddr) -> Client {
     let config = Config {
-        timeout: Duration::from_secs(5),
+        call_timeout: Duration::from_secs(5),
         ..Config::new(vec![addr])
     };
     Client::new(config, Arc::clone(executor), fastrand::Rng::with_seed(SEED))
