--- a/crates/auburnrouter/src/direct/connection.rs
+++ b/crates/auburnrouter/src/direct/connection.rs
@@ -19,9 +19,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::{Stream, future};
 use futures_util::stream::FuturesUnordered;
-use http1::answer::{self, Manner};
-use http1::pipeline::{self, Pipeline, Place};
-use http1::reader::{self, Reader, Step, Whole};
+use http1::answer::{self, Options};
+use http1::pipeline::{self, Pipeline, Slot};
+use http1::reader::{self, CompleteRequest, Reader, Step};
 use hyper::{Method, Version};
 use smol::net;
 
@@ -97,7 +97,7 @@
     pub connection_id: u64,
 }
 
-type RunningRequest = Pin<Box<dyn Future<Output = (Place, Response)> + Send>>;
+type RunningRequest = Pin<Box<dyn Future<Output = (Slot, Response)> + Send>>;
 
 /// A caller's connection and its requests.
 pub struct Connection<S: Service> {
@@ -150,13 +150,13 @@
     pub fn new(service: S, stream: net::TcpStream, caller: Caller) -> Self {
         let limits = service.limits();
         let bounds = pipeline::Bounds {
-            requests: PIPELINED_REQUESTS_MAX,
-            bytes: limits.head.saturating_add(limits.body),
-            answers: QUEUED_ANSWER_BYTES_MAX,
+            requests_max: PIPELINED_REQUESTS_MAX,
+            waiting_bytes_max: limits.head.saturating_add(limits.body),
+            answer_bytes_max: QUEUED_ANSWER_BYTES_MAX,
         };
         let reader = Reader::new(reader::Limits {
-            head: limits.head,
-            body: limits.body,
+            head_bytes_max: limits.head,
+            body_bytes_max: limits.body,
         });
         Self {
             service,
@@ -275,9 +275,12 @@
                 self.refresh_limits();
             }
             match self.reader.step() {
-                Step::More => break,
-                Step::Body { length, expects } => self.start_body(length, expects),
-                Step::Whole(whole) => self.enqueue(whole),
+                Step::NeedMore => break,
+                Step::Body {
+                    length,
+                    expects_continue,
+                } => self.start_body(length, expects_continue),
+                Step::Request(complete) => self.enqueue(complete),
                 Step::Fault(fault) => self.fail_read(ReadError::Fault(fault)),
             }
         }
@@ -287,33 +290,33 @@
         }
         if self.expects_continue && self.pipeline.is_empty() && self.reader.is_partial() {
             self.expects_continue = false;
-            self.out.extend_from_slice(answer::GO_ON);
+            self.out.extend_from_slice(answer::CONTINUE);
         }
     }
 
     /// Applies the current limits to the next request.
     fn refresh_limits(&mut self) {
         self.limits = self.service.limits();
-        self.reader.limit(reader::Limits {
-            head: self.limits.head,
-            body: self.limits.body,
+        self.reader.set_limits(reader::Limits {
+            head_bytes_max: self.limits.head,
+            body_bytes_max: self.limits.body,
         });
     }
 
     /// Reserves memory for the body that follows; without it, nothing more is read.
-    fn start_body(&mut self, length: Option<u64>, expects: bool) {
+    fn start_body(&mut self, length: Option<u64>, expects_continue: bool) {
         self.timeouts.head_read = Some(Instant::now());
         self.reservation = self.service.reserve_body(length);
-        self.expects_continue = expects;
+        self.expects_continue = expects_continue;
         if self.reservation.is_none() {
             self.fail_read(ReadError::NoMemory);
         }
     }
 
     /// Adds a complete request to the pipeline.
-    fn enqueue(&mut self, whole: Whole) {
+    fn enqueue(&mut self, complete: CompleteRequest) {
         let now = Instant::now();
-        let request = whole.request;
+        let request = complete.request;
         let context = AnswerContext {
             is_head: request.method() == Method::HEAD,
             is_http10: request.version() == Version::HTTP_10,
@@ -329,7 +332,7 @@
         };
         self.expects_continue = false;
         self.pipeline
-            .push(incoming, context, whole.bytes, whole.closes);
+            .push(incoming, context, complete.bytes, complete.is_closing);
     }
 
     /// Stops reading for good, and queues the error's answer behind the others.
@@ -344,29 +347,29 @@
             is_head: false,
             is_http10: false,
         };
-        self.pipeline.refuse(answer, context);
+        self.pipeline.reject(answer, context);
     }
 
     /// Starts each request whose turn has come.
     fn start_requests(&mut self) {
         let service = &self.service;
         let is_idempotent = |a: &IncomingRequest<S::Reservation>| service.is_idempotent(&a.request);
-        while let Some(start) = self.pipeline.start(is_idempotent) {
+        while let Some(start) = self.pipeline.start_next(is_idempotent) {
             let mut incoming = start.request;
             incoming.ahead = start.ahead;
             let answer = service.answer(incoming);
-            let place = start.place;
+            let slot = start.slot;
             self.running
-                .push(Box::pin(async move { (place, answer.await) }));
+                .push(Box::pin(async move { (slot, answer.await) }));
         }
     }
 
     /// Collects answers that are ready; returns whether there were any.
     fn poll_answers(&mut self, cx: &mut Context<'_>) -> bool {
         let mut progressed = false;
-        while let Poll::Ready(Some((place, answer))) = Pin::new(&mut self.running).poll_next(cx) {
+        while let Poll::Ready(Some((slot, answer))) = Pin::new(&mut self.running).poll_next(cx) {
             let bytes = answer.body().len();
-            self.pipeline.answered(place, answer, bytes);
+            self.pipeline.record_answer(slot, answer, bytes);
             progressed = true;
         }
         progressed
@@ -375,21 +378,21 @@
     /// Encodes the answers whose turn has come, until the output buffer is filled.
     fn queue_answers(&mut self) {
         while self.body_tail.is_empty() && self.out.len() < OUTPUT_BUFFER_BYTES {
-            let Some(due) = self.pipeline.due() else {
+            let Some(due) = self.pipeline.next_answer() else {
                 return;
             };
-            let manner = Manner {
-                closes: due.closes,
-                head_only: due.note.is_head,
-                old: due.note.is_http10,
+            let options = Options {
+                is_closing: due.is_closing,
+                is_head_only: due.context.is_head,
+                is_http10: due.context.is_http10,
             };
-            let body = date::with(|date| answer::encode(&mut self.out, due.answer, manner, date));
+            let body = date::with(|date| answer::encode(&mut self.out, due.answer, options, date));
             if body.len() <= COPIED_BODY_BYTES_MAX {
                 self.out.extend_from_slice(&body);
             } else {
                 self.body_tail = body;
             }
-            if due.closes {
+            if due.is_closing {
                 self.reader.end();
             }
             self.timeouts.idle_since = Instant::now();
--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/answer.rs
@@ -8,10 +8,10 @@
 use http::{Response, StatusCode};
 
 /// Tells a caller that its body may come.
-pub const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Fields that only the connection's own end may set.
-const OWN: [HeaderName; 5] = [
+const CONNECTION_FIELDS: [HeaderName; 5] = [
     CONNECTION,
     CONTENT_LENGTH,
     HeaderName::from_static("keep-alive"),
@@ -21,18 +21,18 @@
 
 /// What the request and the connection say about its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Manner {
+pub struct Options {
     /// The connection closes behind it.
-    pub closes: bool,
+    pub is_closing: bool,
     /// The request wanted the head only.
-    pub head_only: bool,
+    pub is_head_only: bool,
     /// The caller speaks HTTP/1.0 and must be told that the connection stays.
-    pub old: bool,
+    pub is_http10: bool,
 }
 
 /// Writes the head of an answer; gives the body that follows it.
 #[must_use]
-pub fn encode(out: &mut BytesMut, answer: Response<Bytes>, manner: Manner, date: &str) -> Bytes {
+pub fn encode(out: &mut BytesMut, answer: Response<Bytes>, options: Options, date: &str) -> Bytes {
     let (head, body) = answer.into_parts();
     let reason = head.status.canonical_reason().unwrap_or("Unknown");
     out.put_slice(b"HTTP/1.1 ");
@@ -41,32 +41,32 @@
     out.put_slice(reason.as_bytes());
     out.put_slice(b"\r\n");
     for (name, value) in &head.headers {
-        if !OWN.contains(name) {
-            field(out, name, value.as_bytes());
+        if !CONNECTION_FIELDS.contains(name) {
+            put_field(out, name, value.as_bytes());
         }
     }
     if !head.headers.contains_key(DATE) {
-        field(out, &DATE, date.as_bytes());
+        put_field(out, &DATE, date.as_bytes());
     }
-    if manner.closes {
-        field(out, &CONNECTION, b"close");
-    } else if manner.old {
-        field(out, &CONNECTION, b"keep-alive");
+    if options.is_closing {
+        put_field(out, &CONNECTION, b"close");
+    } else if options.is_http10 {
+        put_field(out, &CONNECTION, b"keep-alive");
     }
-    let bare = matches!(
+    let has_no_body = matches!(
         head.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
     );
-    if bare || manner.head_only {
+    if has_no_body || options.is_head_only {
         out.put_slice(b"\r\n");
         return Bytes::new();
     }
-    field(out, &CONTENT_LENGTH, body.len().to_string().as_bytes());
+    put_field(out, &CONTENT_LENGTH, body.len().to_string().as_bytes());
     out.put_slice(b"\r\n");
     body
 }
 
-fn field(out: &mut BytesMut, name: &HeaderName, value: &[u8]) {
+fn put_field(out: &mut BytesMut, name: &HeaderName, value: &[u8]) {
     out.put_slice(name.as_str().as_bytes());
     out.put_slice(b": ");
     out.put_slice(value);
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -9,10 +9,10 @@
 use crate::head::Framing;
 
 /// Longest line that gives a chunk's size; callers' lines have under ten bytes.
-const LINE: usize = 1024;
+const CHUNK_LINE_BYTES_MAX: usize = 1024;
 
 /// Most fields behind the last chunk.
-const TRAILERS: usize = 32;
+const TRAILER_FIELDS_MAX: usize = 32;
 
 /// The body of one request while it arrives.
 #[derive(Debug)]
@@ -21,9 +21,9 @@
     /// What has arrived.
     bytes: BytesMut,
     /// Longest body.
-    most: usize,
+    body_max: usize,
     /// Longest fields behind the last chunk.
-    fields: usize,
+    trailers_max: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -31,39 +31,39 @@
     /// So many bytes are due.
     Length(usize),
     /// A line with a chunk's size is due.
-    Size,
+    ChunkSize,
     /// So many bytes of a chunk are due.
-    Data(usize),
+    ChunkData(usize),
     /// The end of a chunk's line is due.
-    End,
+    ChunkEnd,
     /// Fields behind the last chunk, up to an empty line.
     Trailers,
 }
 
 impl Body {
-    /// A body of at most `most` bytes, with at most `fields` behind its chunks.
+    /// A body of at most `body_max` bytes, with at most `trailers_max` behind its chunks.
     ///
     /// # Errors
     /// If its head says that it is longer.
-    pub fn new(framing: Framing, most: usize, fields: usize) -> Result<Self, Fault> {
+    pub fn new(framing: Framing, body_max: usize, trailers_max: usize) -> Result<Self, Fault> {
         let stage = match framing {
             Framing::Length(length) => match usize::try_from(length) {
-                Ok(length) if length <= most => Stage::Length(length),
+                Ok(length) if length <= body_max => Stage::Length(length),
                 _ => return Err(Fault::LongBody),
             },
-            Framing::Chunked => Stage::Size,
+            Framing::Chunked => Stage::ChunkSize,
         };
         Ok(Self {
             stage,
             bytes: BytesMut::new(),
-            most,
-            fields,
+            body_max,
+            trailers_max,
         })
     }
 
     /// Bytes held.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.bytes.len()
     }
 
@@ -82,15 +82,15 @@
                     self.stage = Stage::Length(left);
                     None
                 }
-                Stage::Size => self.take_size(input)?,
-                Stage::Data(left) => match self.take_data(input, left) {
-                    0 => Some(Stage::End),
+                Stage::ChunkSize => self.take_size(input)?,
+                Stage::ChunkData(left) => match self.take_data(input, left) {
+                    0 => Some(Stage::ChunkEnd),
                     left => {
-                        self.stage = Stage::Data(left);
+                        self.stage = Stage::ChunkData(left);
                         None
                     }
                 },
-                Stage::End => take_end(input)?,
+                Stage::ChunkEnd => take_end(input)?,
                 Stage::Trailers if self.take_trailers(input)? => {
                     return Ok(Some(self.finish()));
                 }
@@ -116,16 +116,18 @@
     }
 
     fn take_size(&mut self, input: &mut BytesMut) -> Result<Option<Stage>, Fault> {
-        let within = &input[..input.len().min(LINE)];
+        let window = &input[..input.len().min(CHUNK_LINE_BYTES_MAX)];
         // The parser lets any byte pass behind a semicolon, also a line's end
         // that other readers would take for one.
-        let line = within.iter().position(|b| *b == b'\n');
-        if line.is_some_and(|at| at == 0 || within[at - 1] != b'\r') {
+        let line = window.iter().position(|b| *b == b'\n');
+        if line.is_some_and(|at| at == 0 || window[at - 1] != b'\r') {
             return Err(Fault::Chunk);
         }
-        let (length, size) = match httparse::parse_chunk_size(within) {
+        let (length, size) = match httparse::parse_chunk_size(window) {
             Ok(httparse::Status::Complete(found)) => found,
-            Ok(httparse::Status::Partial) if within.len() < LINE => return Ok(None),
+            Ok(httparse::Status::Partial) if window.len() < CHUNK_LINE_BYTES_MAX => {
+                return Ok(None);
+            }
             Ok(httparse::Status::Partial) | Err(_) => return Err(Fault::Chunk),
         };
         // A line without a digit is no size, though the parser takes it for 0.
@@ -137,23 +139,23 @@
             return Ok(Some(Stage::Trailers));
         }
         let size = usize::try_from(size).map_err(|_| Fault::LongBody)?;
-        if size > self.most - self.bytes.len() {
+        if size > self.body_max - self.bytes.len() {
             return Err(Fault::LongBody);
         }
-        Ok(Some(Stage::Data(size)))
+        Ok(Some(Stage::ChunkData(size)))
     }
 
     /// Whether the fields behind the last chunk have ended. They are dropped:
     /// nothing that matters may come behind the body.
     fn take_trailers(&self, input: &mut BytesMut) -> Result<bool, Fault> {
-        let within = &input[..input.len().min(self.fields)];
-        let mut fields = [httparse::EMPTY_HEADER; TRAILERS];
-        match httparse::parse_headers(within, &mut fields) {
+        let window = &input[..input.len().min(self.trailers_max)];
+        let mut fields = [httparse::EMPTY_HEADER; TRAILER_FIELDS_MAX];
+        match httparse::parse_headers(window, &mut fields) {
             Ok(httparse::Status::Complete((length, _))) => {
                 input.advance(length);
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if within.len() < self.fields => Ok(false),
+            Ok(httparse::Status::Partial) if window.len() < self.trailers_max => Ok(false),
             Ok(httparse::Status::Partial) => Err(Fault::LongHead),
             Err(_) => Err(Fault::Chunk),
         }
@@ -164,7 +166,7 @@
     match input.as_ref() {
         [b'\r', b'\n', ..] => {
             input.advance(2);
-            Ok(Some(Stage::Size))
+            Ok(Some(Stage::ChunkSize))
         }
         [] | [b'\r'] => Ok(None),
         _ => Err(Fault::Chunk),
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -9,7 +9,7 @@
 use crate::fault::Fault;
 
 /// Most fields of a head; the callers' own have fewer than ten.
-const FIELDS: usize = 100;
+const HEADER_FIELDS_MAX: usize = 100;
 
 /// How the body behind a head is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,39 +28,39 @@
     /// What follows.
     pub framing: Framing,
     /// Whether the caller wants the connection closed behind the answer.
-    pub closes: bool,
+    pub is_closing: bool,
     /// Whether the caller sends its body only once it is told to go on.
-    pub expects: bool,
+    pub expects_continue: bool,
 }
 
-/// Reads a head at the start of `bytes`, of which `most` may belong to it.
+/// Reads a head at the start of `bytes`, of which `head_max` may belong to it.
 /// Gives it with its length, or nothing while it isn't whole.
 ///
 /// # Errors
 /// If it isn't a head, is too long, or leaves its body's length in doubt.
-pub fn parse(bytes: &[u8], most: usize) -> Result<Option<(Head, usize)>, Fault> {
-    let within = &bytes[..bytes.len().min(most)];
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+pub fn parse(bytes: &[u8], head_max: usize) -> Result<Option<(Head, usize)>, Fault> {
+    let window = &bytes[..bytes.len().min(head_max)];
+    let mut fields = [httparse::EMPTY_HEADER; HEADER_FIELDS_MAX];
     let mut parsed = httparse::Request::new(&mut fields);
-    let length = match parsed.parse(within) {
+    let length = match parsed.parse(window) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if within.len() < most => return Ok(None),
+        Ok(httparse::Status::Partial) if window.len() < head_max => return Ok(None),
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
             return Err(Fault::LongHead);
         }
         Err(_) => return Err(Fault::Head),
     };
     // One copy for all values, which share it.
-    let text = Bytes::copy_from_slice(&within[..length]);
-    let request = request(&parsed, within, &text)?;
+    let text = Bytes::copy_from_slice(&window[..length]);
+    let request = request(&parsed, window, &text)?;
     let framing = framing(&request)?;
-    let closes = closes(&request);
-    let expects = is_listed(request.headers(), &header::EXPECT, "100-continue");
+    let is_closing = is_closing(&request);
+    let expects_continue = is_listed(request.headers(), &header::EXPECT, "100-continue");
     let head = Head {
         request,
         framing,
-        closes,
-        expects,
+        is_closing,
+        expects_continue,
     };
     Ok(Some((head, length)))
 }
@@ -117,18 +117,18 @@
     }
     let mut codings = fields.get_all(header::TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else {
-        return length.map_or(Ok(Framing::Length(0)), digits);
+        return length.map_or(Ok(Framing::Length(0)), content_length);
     };
-    let alone = length.is_none() && codings.next().is_none();
-    let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
-    if alone && chunked && request.version() == Version::HTTP_11 {
+    let is_only = length.is_none() && codings.next().is_none();
+    let is_chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
+    if is_only && is_chunked && request.version() == Version::HTTP_11 {
         return Ok(Framing::Chunked);
     }
     Err(Fault::Length)
 }
 
 /// A length is digits only: a sign or a list would be read by some as another.
-fn digits(value: &HeaderValue) -> Result<Framing, Fault> {
+fn content_length(value: &HeaderValue) -> Result<Framing, Fault> {
     let text = value.to_str().map_err(|_| Fault::Length)?;
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(Fault::Length);
@@ -136,18 +136,18 @@
     text.parse().map(Framing::Length).map_err(|_| Fault::Length)
 }
 
-fn closes(request: &Request<()>) -> bool {
+fn is_closing(request: &Request<()>) -> bool {
     let fields = request.headers();
     if is_listed(fields, &header::CONNECTION, "close") {
         return true;
     }
-    let keeps = is_listed(fields, &header::CONNECTION, "keep-alive");
-    request.version() == Version::HTTP_10 && !keeps
+    let is_kept = is_listed(fields, &header::CONNECTION, "keep-alive");
+    request.version() == Version::HTTP_10 && !is_kept
 }
 
-/// Whether a list in a field has `word`.
-fn is_listed(fields: &HeaderMap, name: &HeaderName, word: &str) -> bool {
+/// Whether a list in a field has `token`.
+fn is_listed(fields: &HeaderMap, name: &HeaderName, token: &str) -> bool {
     let values = fields.get_all(name).iter().filter_map(|v| v.to_str().ok());
-    let mut words = values.flat_map(|v| v.split(','));
-    words.any(|w| w.trim().eq_ignore_ascii_case(word))
+    let mut tokens = values.flat_map(|v| v.split(','));
+    tokens.any(|w| w.trim().eq_ignore_ascii_case(token))
 }
--- a/crates/http1/src/pipeline.rs
+++ b/crates/http1/src/pipeline.rs
@@ -21,24 +21,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Requests that are not answered yet.
-    pub requests: usize,
+    pub requests_max: usize,
     /// Bytes of requests that haven't started.
-    pub bytes: usize,
+    pub waiting_bytes_max: usize,
     /// Bytes of answers that wait for their turn. Beyond them nothing more
     /// starts, so that a slow first request doesn't gather the answers of a
     /// whole pipeline in memory.
-    pub answers: usize,
+    pub answer_bytes_max: usize,
 }
 
 /// Names a request among those of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(u64);
+pub struct Slot(u64);
 
 /// A request that starts.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Start<R> {
+pub struct StartedRequest<R> {
     /// Its place.
-    pub place: Place,
+    pub slot: Slot,
     /// The request.
     pub request: R,
     /// Requests ahead of it that aren't answered.
@@ -47,13 +47,13 @@
 
 /// An answer whose turn has come.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Due<A, M> {
+pub struct DueAnswer<A, M> {
     /// The answer.
     pub answer: A,
     /// What was noted of its request.
-    pub note: M,
+    pub context: M,
     /// Whether it closes the connection.
-    pub closes: bool,
+    pub is_closing: bool,
 }
 
 #[derive(Debug)]
@@ -66,25 +66,25 @@
 #[derive(Debug)]
 struct Entry<R, A, M> {
     stage: Stage<R, A>,
-    note: M,
-    idempotent: bool,
-    closes: bool,
+    context: M,
+    is_idempotent: bool,
+    is_closing: bool,
 }
 
 /// The requests of one connection that aren't answered yet: of type `R`, with
-/// answers of type `A` and a note `M` on each that its answer needs.
+/// answers of type `A` and a context `M` on each that its answer needs.
 #[derive(Debug)]
 pub struct Pipeline<R, A, M> {
     bounds: Bounds,
     entries: VecDeque<Entry<R, A, M>>,
-    /// Place of the first entry.
-    first: u64,
+    /// Slot of the first entry.
+    first_slot: u64,
     /// How many entries have started; the others stand behind them.
-    started: usize,
+    started_count: usize,
     waiting_bytes: usize,
     answer_bytes: usize,
-    stopping: bool,
-    closed: bool,
+    is_stopping: bool,
+    is_closed: bool,
 }
 
 impl<R, A, M> Pipeline<R, A, M> {
@@ -94,21 +94,21 @@
         Self {
             bounds,
             entries: VecDeque::new(),
-            first: 0,
-            started: 0,
+            first_slot: 0,
+            started_count: 0,
             waiting_bytes: 0,
             answer_bytes: 0,
-            stopping: false,
-            closed: false,
+            is_stopping: false,
+            is_closed: false,
         }
     }
 
     /// Whether another request may be taken.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        !self.closed
-            && self.entries.len() < self.bounds.requests
-            && self.waiting_bytes < self.bounds.bytes
+        !self.is_closed
+            && self.entries.len() < self.bounds.requests_max
+            && self.waiting_bytes < self.bounds.waiting_bytes_max
     }
 
     /// Whether every request is answered.
@@ -120,75 +120,80 @@
     /// Whether an answer has closed the connection.
     #[must_use]
     pub const fn is_closed(&self) -> bool {
-        self.closed
+        self.is_closed
     }
 
     /// Takes a request of about `bytes`; `closes` if none is read behind it.
-    pub fn push(&mut self, request: R, note: M, bytes: usize, closes: bool) {
+    pub fn push(&mut self, request: R, context: M, bytes: usize, is_closing: bool) {
         self.waiting_bytes += bytes;
         self.entries.push_back(Entry {
             stage: Stage::Waiting { request, bytes },
-            note,
-            idempotent: false,
-            closes,
+            context,
+            is_idempotent: false,
+            is_closing,
         });
     }
 
     /// Takes the answer to something that was no request; it closes the
     /// connection, in its turn.
-    pub fn refuse(&mut self, answer: A, note: M) {
+    pub fn reject(&mut self, answer: A, context: M) {
         self.entries.push_back(Entry {
             stage: Stage::Answered { answer, bytes: 0 },
-            note,
-            idempotent: true,
-            closes: true,
+            context,
+            is_idempotent: true,
+            is_closing: true,
         });
     }
 
     /// From now on nothing starts but what has nothing ahead of it, and the
     /// last answer of what has started closes the connection.
     pub const fn stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     /// The next request that may start, if there is one. `is_idempotent` says
     /// whether it may repeat.
-    pub fn start(&mut self, is_idempotent: impl FnOnce(&R) -> bool) -> Option<Start<R>> {
-        let ahead = self.started;
-        if self.closed || (ahead > 0 && !self.takes_more()) {
+    pub fn start_next(
+        &mut self,
+        is_idempotent: impl FnOnce(&R) -> bool,
+    ) -> Option<StartedRequest<R>> {
+        let ahead = self.started_count;
+        if self.is_closed || (ahead > 0 && !self.can_start_more()) {
             return None;
         }
         let entry = self.entries.get_mut(ahead)?;
         let Stage::Waiting { request, .. } = &entry.stage else {
             return None;
         };
-        let idempotent = is_idempotent(request);
-        if ahead > 0 && !idempotent {
+        let is_repeatable = is_idempotent(request);
+        if ahead > 0 && !is_repeatable {
             return None;
         }
-        entry.idempotent = idempotent;
+        entry.is_idempotent = is_repeatable;
         let stage = core::mem::replace(&mut entry.stage, Stage::Running);
         let Stage::Waiting { request, bytes } = stage else {
             return None;
         };
         self.waiting_bytes -= bytes;
-        self.started += 1;
-        Some(Start {
-            place: Place(self.first + ahead as u64),
+        self.started_count += 1;
+        Some(StartedRequest {
+            slot: Slot(self.first_slot + ahead as u64),
             request,
             ahead,
         })
     }
 
     /// Whether something may start beside what has started.
-    fn takes_more(&self) -> bool {
-        let mut started = self.entries.iter().take(self.started);
-        !self.stopping && self.answer_bytes < self.bounds.answers && started.all(|e| e.idempotent)
+    fn can_start_more(&self) -> bool {
+        let mut started = self.entries.iter().take(self.started_count);
+        !self.is_stopping
+            && self.answer_bytes < self.bounds.answer_bytes_max
+            && started.all(|e| e.is_idempotent)
     }
 
     /// A request that has started is answered, by `bytes`.
-    pub fn answered(&mut self, place: Place, answer: A, bytes: usize) {
-        let at = place.0.checked_sub(self.first);
+    pub fn record_answer(&mut self, slot: Slot, answer: A, bytes: usize) {
+        let at = slot.0.checked_sub(self.first_slot);
         let at = at.and_then(|at| usize::try_from(at).ok());
         let entry = at.and_then(|at| self.entries.get_mut(at));
         if let Some(entry) = entry
@@ -200,33 +205,33 @@
     }
 
     /// The answer that is due next, if it is there.
-    pub fn due(&mut self) -> Option<Due<A, M>> {
+    pub fn next_answer(&mut self) -> Option<DueAnswer<A, M>> {
         let front = self.entries.front()?;
-        if self.closed || !matches!(front.stage, Stage::Answered { .. }) {
+        if self.is_closed || !matches!(front.stage, Stage::Answered { .. }) {
             return None;
         }
         let Entry {
             stage,
-            note,
-            closes,
+            context,
+            is_closing,
             ..
         } = self.entries.pop_front()?;
         let Stage::Answered { answer, bytes } = stage else {
             return None;
         };
-        self.first += 1;
-        self.started = self.started.saturating_sub(1);
+        self.first_slot += 1;
+        self.started_count = self.started_count.saturating_sub(1);
         self.answer_bytes -= bytes;
         // What has started behind it must still be answered.
-        let closes = closes || (self.stopping && self.started == 0);
-        if closes {
-            self.closed = true;
+        let is_closing = is_closing || (self.is_stopping && self.started_count == 0);
+        if is_closing {
+            self.is_closed = true;
             self.entries.clear();
         }
-        Some(Due {
+        Some(DueAnswer {
             answer,
-            note,
-            closes,
+            context,
+            is_closing,
         })
     }
 }
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest head in bytes.
-    pub head: usize,
+    pub head_bytes_max: usize,
     /// Longest body in bytes.
-    pub body: usize,
+    pub body_bytes_max: usize,
 }
 
 /// What can be done next.
@@ -27,28 +27,28 @@
 )]
 pub enum Step {
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// A head is there, and a body follows: of this length, if the head says
     /// it. [`Reader::end`] refuses it, [`Reader::step`] goes on.
     Body {
         /// Bytes of the body.
         length: Option<u64>,
         /// Whether the caller waits to be told to send it.
-        expects: bool,
+        expects_continue: bool,
     },
     /// A request is there.
-    Whole(Whole),
+    Request(CompleteRequest),
     /// What came is no request, and nothing behind it is.
     Fault(Fault),
 }
 
 /// A request, whole.
 #[derive(Debug)]
-pub struct Whole {
+pub struct CompleteRequest {
     /// The request.
     pub request: Request<Bytes>,
     /// Whether nothing is read behind it.
-    pub closes: bool,
+    pub is_closing: bool,
     /// Bytes that it takes, about.
     pub bytes: usize,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Bounds requests that begin from now on.
-    pub const fn limit(&mut self, limits: Limits) {
+    pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
@@ -93,9 +93,9 @@
 
     /// Bytes held that belong to no whole request yet.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         let body = match &self.stage {
-            Stage::Body(parts) => parts.1.held() + parts.2,
+            Stage::Body(parts) => parts.1.buffered() + parts.2,
             Stage::Head | Stage::Ended => 0,
         };
         self.input.len() + body
@@ -122,10 +122,10 @@
     /// Goes on as far as the bytes allow.
     pub fn step(&mut self) -> Step {
         let step = match &mut self.stage {
-            Stage::Ended => return Step::More,
+            Stage::Ended => return Step::NeedMore,
             Stage::Head => self.next_head(),
             Stage::Body(parts) => match parts.1.take(&mut self.input) {
-                Ok(None) => Ok(Step::More),
+                Ok(None) => Ok(Step::NeedMore),
                 Ok(Some(body)) => Ok(self.finish(body)),
                 Err(fault) => Err(fault),
             },
@@ -139,23 +139,27 @@
     fn next_head(&mut self) -> Result<Step, Fault> {
         self.skip_empty_lines();
         if self.input.is_empty() {
-            return Ok(Step::More);
+            return Ok(Step::NeedMore);
         }
-        let Some((head, length)) = head::parse(&self.input, self.limits.head)? else {
-            return Ok(Step::More);
+        let Some((head, length)) = head::parse(&self.input, self.limits.head_bytes_max)? else {
+            return Ok(Step::NeedMore);
         };
         self.input.advance(length);
-        let body = Body::new(head.framing, self.limits.body, self.limits.head)?;
-        let said = match head.framing {
-            Framing::Length(0) => return Ok(self.whole(head, Bytes::new(), length)),
+        let body = Body::new(
+            head.framing,
+            self.limits.body_bytes_max,
+            self.limits.head_bytes_max,
+        )?;
+        let declared = match head.framing {
+            Framing::Length(0) => return Ok(self.complete(head, Bytes::new(), length)),
             Framing::Length(bytes) => Some(bytes),
             Framing::Chunked => None,
         };
-        let expects = head.expects;
+        let expects_continue = head.expects_continue;
         self.stage = Stage::Body(Box::new((head, body, length)));
         Ok(Step::Body {
-            length: said,
-            expects,
+            length: declared,
+            expects_continue,
         })
     }
 
@@ -171,20 +175,20 @@
         match core::mem::replace(&mut self.stage, Stage::Head) {
             Stage::Body(parts) => {
                 let (head, _, length) = *parts;
-                self.whole(head, body, length)
+                self.complete(head, body, length)
             }
-            Stage::Head | Stage::Ended => Step::More,
+            Stage::Head | Stage::Ended => Step::NeedMore,
         }
     }
 
-    fn whole(&mut self, head: Head, body: Bytes, length: usize) -> Step {
-        if head.closes {
+    fn complete(&mut self, head: Head, body: Bytes, length: usize) -> Step {
+        if head.is_closing {
             self.end();
         }
         let bytes = length + body.len();
-        Step::Whole(Whole {
+        Step::Request(CompleteRequest {
             request: head.request.map(|()| body),
-            closes: head.closes,
+            is_closing: head.is_closing,
             bytes,
         })
     }
--- a/crates/http1/tests/answer.rs
+++ b/crates/http1/tests/answer.rs
@@ -2,14 +2,14 @@
 
 use bytes::{Bytes, BytesMut};
 use http::Response;
-use http1::answer::{Manner, encode};
+use http1::answer::{Options, encode};
 use rstest::rstest;
 
 const DATE: &str = "Thu, 01 Jan 1970 00:00:00 GMT";
 
-fn print(answer: Response<Bytes>, manner: Manner) -> String {
+fn print_answer(answer: Response<Bytes>, options: Options) -> String {
     let mut out = BytesMut::new();
-    let body = encode(&mut out, answer, manner, DATE);
+    let body = encode(&mut out, answer, options, DATE);
     let head = String::from_utf8_lossy(&out).replace("\r\n", "|");
     head + &String::from_utf8_lossy(&body)
 }
@@ -24,27 +24,27 @@
         .expect("its fields are sound")
 }
 
-const KEEPS: Manner = Manner {
-    closes: false,
-    head_only: false,
-    old: false,
+const KEEP_ALIVE: Options = Options {
+    is_closing: false,
+    is_head_only: false,
+    is_http10: false,
 };
 
 #[rstest]
-#[case::plain(answer(200, &[("own", "x")], "body"), KEEPS,
+#[case::plain(answer(200, &[("own", "x")], "body"), KEEP_ALIVE,
     "HTTP/1.1 200 OK|own: x|date: Thu, 01 Jan 1970 00:00:00 GMT|content-length: 4||body")]
-#[case::closing(answer(503, &[], ""), Manner { closes: true, ..KEEPS },
+#[case::closing(answer(503, &[], ""), Options { is_closing: true, ..KEEP_ALIVE },
     "HTTP/1.1 503 Service Unavailable|date: Thu, 01 Jan 1970 00:00:00 GMT|connection: close|content-length: 0||")]
-#[case::old(answer(200, &[], "b"), Manner { old: true, ..KEEPS },
+#[case::old(answer(200, &[], "b"), Options { is_http10: true, ..KEEP_ALIVE },
     "HTTP/1.1 200 OK|date: Thu, 01 Jan 1970 00:00:00 GMT|connection: keep-alive|content-length: 1||b")]
-#[case::head_only(answer(200, &[], "body"), Manner { head_only: true, ..KEEPS },
+#[case::head_only(answer(200, &[], "body"), Options { is_head_only: true, ..KEEP_ALIVE },
     "HTTP/1.1 200 OK|date: Thu, 01 Jan 1970 00:00:00 GMT||")]
-#[case::no_content(answer(204, &[], "body"), KEEPS,
+#[case::no_content(answer(204, &[], "body"), KEEP_ALIVE,
     "HTTP/1.1 204 No Content|date: Thu, 01 Jan 1970 00:00:00 GMT||")]
 // A target's own words on its connection and its framing say nothing of this one.
 #[case::others_framing(answer(200, &[("content-length", "9"), ("transfer-encoding", "chunked"),
-    ("connection", "close"), ("date", "today")], "body"), KEEPS,
+    ("connection", "close"), ("date", "today")], "body"), KEEP_ALIVE,
     "HTTP/1.1 200 OK|date: today|content-length: 4||body")]
-fn encode_answer(#[case] answer: Response<Bytes>, #[case] manner: Manner, #[case] text: &str) {
-    assert_eq!(print(answer, manner), text);
+fn encode_answer(#[case] answer: Response<Bytes>, #[case] options: Options, #[case] text: &str) {
+    assert_eq!(print_answer(answer, options), text);
 }
--- a/crates/http1/tests/fuzz.rs
+++ b/crates/http1/tests/fuzz.rs
@@ -6,14 +6,14 @@
 #[path = "reader/bench.rs"]
 mod bench;
 
-use http1::pipeline::{Bounds, Pipeline, Place};
+use http1::pipeline::{Bounds, Pipeline, Slot};
 use http1::reader::Limits;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits {
-    head: 160,
-    body: 24,
+    head_bytes_max: 160,
+    body_bytes_max: 24,
 };
 
 /// A request that callers send, and what is read of it.
@@ -172,16 +172,16 @@
 }
 
 const BOUNDS: Bounds = Bounds {
-    requests: 5,
-    bytes: 40,
-    answers: 300,
+    requests_max: 5,
+    waiting_bytes_max: 40,
+    answer_bytes_max: 300,
 };
 
 /// Requests by number, and what became of them.
 struct World {
     pipeline: Pipeline<usize, usize, ()>,
     puts: Vec<bool>,
-    running: Vec<(usize, Place)>,
+    running: Vec<(usize, Slot)>,
     left: Vec<usize>,
     ended: bool,
     closed: bool,
@@ -192,15 +192,16 @@
         let number = self.puts.len();
         match event {
             Event::Answer(at, bytes) if !self.running.is_empty() => {
-                let (number, place) = self.running.remove(usize::from(at) % self.running.len());
-                self.pipeline.answered(place, number, usize::from(bytes));
+                let (number, slot) = self.running.remove(usize::from(at) % self.running.len());
+                self.pipeline
+                    .record_answer(slot, number, usize::from(bytes));
             }
             Event::Answer(..) => {}
             Event::Stop => self.pipeline.stop(),
             _ if self.ended || !self.pipeline.has_room() => {}
             Event::Malformed => {
                 self.puts.push(false);
-                self.pipeline.refuse(number, ());
+                self.pipeline.reject(number, ());
                 self.ended = true;
             }
             Event::Get | Event::Put | Event::Last => {
@@ -214,7 +215,7 @@
     fn step(&mut self) -> Result<(), TestCaseError> {
         loop {
             let puts = &self.puts;
-            if let Some(start) = self.pipeline.start(|n| !puts[*n]) {
+            if let Some(start) = self.pipeline.start_next(|n| !puts[*n]) {
                 let number = start.request;
                 prop_assert!(!self.closed, "{number} started behind the end");
                 let open = number - self.left.len();
@@ -224,14 +225,14 @@
                     alone,
                     "{number} started beside a request that must not repeat"
                 );
-                self.running.push((number, start.place));
-            } else if let Some(due) = self.pipeline.due() {
+                self.running.push((number, start.slot));
+            } else if let Some(due) = self.pipeline.next_answer() {
                 prop_assert!(!self.closed, "{} left behind the end", due.answer);
                 prop_assert_eq!(due.answer, self.left.len(), "out of order");
                 self.left.push(due.answer);
-                self.closed = due.closes;
+                self.closed = due.is_closing;
                 prop_assert!(
-                    !due.closes || self.running.is_empty(),
+                    !due.is_closing || self.running.is_empty(),
                     "closed with requests at work"
                 );
             } else {
--- a/crates/http1/tests/order.rs
+++ b/crates/http1/tests/order.rs
@@ -6,11 +6,11 @@
 //! graceful stop. Each prints what starts and which answers leave.
 
 use datadriven::TestCase;
-use http1::pipeline::{Bounds, Pipeline, Place};
+use http1::pipeline::{Bounds, Pipeline, Slot};
 
 struct Bench {
     pipeline: Pipeline<(bool, String), String, ()>,
-    running: Vec<(String, Place)>,
+    running: Vec<(String, Slot)>,
 }
 
 impl Bench {
@@ -21,9 +21,9 @@
         };
         Self {
             pipeline: Pipeline::new(Bounds {
-                requests: number("requests", 8),
-                bytes: number("bytes", 100),
-                answers: number("answers", 100),
+                requests_max: number("requests", 8),
+                waiting_bytes_max: number("bytes", 100),
+                answer_bytes_max: number("answers", 100),
             }),
             running: Vec::new(),
         }
@@ -36,13 +36,13 @@
             "get" => self.pipeline.push((true, name), (), 10, false),
             "put" => self.pipeline.push((false, name), (), 10, false),
             "last" => self.pipeline.push((true, name), (), 10, true),
-            "malformed" => self.pipeline.refuse("400".into(), ()),
+            "malformed" => self.pipeline.reject("400".into(), ()),
             "stop" => self.pipeline.stop(),
             "answer" => {
                 let bytes = words.get(2).map_or(1, |b| b.parse().expect("a number"));
                 let at = self.running.iter().position(|r| r.0 == name);
-                let (name, place) = self.running.remove(at.expect("it runs"));
-                self.pipeline.answered(place, name, bytes);
+                let (name, slot) = self.running.remove(at.expect("it runs"));
+                self.pipeline.record_answer(slot, name, bytes);
             }
             other => panic!("no such line: {other}"),
         }
@@ -52,11 +52,11 @@
     fn step(&mut self, line: &str) -> String {
         let mut seen = Vec::new();
         loop {
-            if let Some(start) = self.pipeline.start(|r| r.0) {
+            if let Some(start) = self.pipeline.start_next(|r| r.0) {
                 seen.push(format!("{} starts behind {}", start.request.1, start.ahead));
-                self.running.push((start.request.1, start.place));
-            } else if let Some(due) = self.pipeline.due() {
-                let closes = if due.closes { ", closes" } else { "" };
+                self.running.push((start.request.1, start.slot));
+            } else if let Some(due) = self.pipeline.next_answer() {
+                let closes = if due.is_closing { ", closes" } else { "" };
                 seen.push(format!("{} leaves{closes}", due.answer));
             } else {
                 break;
--- a/crates/http1/tests/reader.rs
+++ b/crates/http1/tests/reader.rs
@@ -26,8 +26,8 @@
         file.run(|case| {
             assert_eq!(case.directive, "read");
             let limits = Limits {
-                head: number(case, "head", 256),
-                body: number(case, "body", 64),
+                head_bytes_max: number(case, "head", 256),
+                body_bytes_max: number(case, "body", 64),
             };
             let input = bytes(&case.input);
             let whole = bench::read(&input, limits, &[]);
--- a/crates/http1/tests/reader/bench.rs
+++ b/crates/http1/tests/reader/bench.rs
@@ -11,8 +11,12 @@
         reader.push(&input[from..to]);
         from = to;
         take(&mut reader, &mut lines);
-        let most = limits.head + limits.body + input.len();
-        assert!(reader.held() <= most, "{} bytes are held", reader.held());
+        let bytes_max = limits.head_bytes_max + limits.body_bytes_max + input.len();
+        assert!(
+            reader.buffered() <= bytes_max,
+            "{} bytes are held",
+            reader.buffered()
+        );
     }
     let left = match (reader.has_ended(), reader.is_partial()) {
         (true, _) => "ended",
@@ -26,16 +30,16 @@
 fn take(reader: &mut Reader, lines: &mut Vec<String>) {
     loop {
         match reader.step() {
-            Step::More => return,
+            Step::NeedMore => return,
             // Told at a moment that depends on the cuts, and only to make room.
             Step::Body { .. } => {}
-            Step::Whole(whole) => {
-                let request = &whole.request;
+            Step::Request(complete) => {
+                let request = &complete.request;
                 let fields = request.headers().iter().map(|(name, value)| {
                     format!(" {name}={:?}", String::from_utf8_lossy(value.as_bytes()))
                 });
                 let fields: String = fields.collect();
-                let closes = if whole.closes { " closes" } else { "" };
+                let closes = if complete.is_closing { " closes" } else { "" };
                 lines.push(format!(
                     "{} {}{fields} body={:?}{closes}",
                     request.method(),
