--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -65,7 +65,7 @@
 pub fn refused(mut conn: Conn, refusal: &outcome::Refusal) -> Conn {
     append(&mut conn, headers::OUTCOME, refusal.outcome.as_str());
     append(&mut conn, headers::REASON, refusal.reason.as_str());
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         append(
             &mut conn,
             headers::RETRY_AFTER,
@@ -81,7 +81,7 @@
         outcome: refusal.outcome.as_str(),
         reason: refusal.reason.as_str(),
         remedy: refusal.reason.remedy(),
-        retry_after_ms: refusal.after.map(millis),
+        retry_after_ms: refusal.retry_after.map(millis),
     };
     json(conn, status(refusal.reason.status()), &body)
 }
--- a/crates/steer/src/process/dispatch/completion.rs
+++ b/crates/steer/src/process/dispatch/completion.rs
@@ -159,7 +159,7 @@
                 }
             }
             AttemptOutcome::PeerRefused(refusal) => {
-                let after = refusal.after.unwrap_or_default();
+                let after = refusal.retry_after.unwrap_or_default();
                 endpoint
                     .window
                     .record_refusal(now, sent_at, after, &mut self.rng);
--- a/crates/steer/src/process/gate/chosen.rs
+++ b/crates/steer/src/process/gate/chosen.rs
@@ -35,7 +35,7 @@
         if arrival.origin == arrival::Origin::Forward {
             // Whoever holds the key in the store won't run it any more.
             let refusal = outcome::Refusal {
-                after: None,
+                retry_after: None,
                 ..self.elsewhere(outcome::Reason::Forgotten)
             };
             return gate::refuse(id, refusal, out);
--- a/crates/steer/src/request/outcome.rs
+++ b/crates/steer/src/request/outcome.rs
@@ -219,27 +219,27 @@
     /// Whether the request may have run: [`Outcome::NotRun`] or [`Outcome::Unknown`].
     pub outcome: Outcome,
     /// Time after which to retry; `None` if a retry can't help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// Creates the refusal of a request that has not run and never will.
     #[must_use]
-    pub const fn not_run(reason: Reason, after: Option<Duration>) -> Self {
+    pub const fn not_run(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
             outcome: Outcome::NotRun,
-            after,
+            retry_after,
         }
     }
 
     /// Creates the refusal of a request that may have run.
     #[must_use]
-    pub const fn unknown(reason: Reason, after: Option<Duration>) -> Self {
+    pub const fn unknown(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
             outcome: Outcome::Unknown,
-            after,
+            retry_after,
         }
     }
 }
@@ -247,7 +247,7 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ({})", self.reason, self.outcome)?;
-        match self.after {
+        match self.retry_after {
             Some(after) => write!(f, ", come back after {} ms", after.as_millis()),
             None => Ok(()),
         }
--- a/crates/steer/tests/dispatch_invariants.rs
+++ b/crates/steer/tests/dispatch_invariants.rs
@@ -299,7 +299,7 @@
         AttemptOutcome::PeerRefused(Refusal {
             reason: Reason::Overloaded,
             outcome,
-            after: Some(Duration::from_millis(20)),
+            retry_after: Some(Duration::from_millis(20)),
         })
     };
     match how {
--- a/crates/steer/tests/dispatch_scenarios/script.rs
+++ b/crates/steer/tests/dispatch_scenarios/script.rs
@@ -224,7 +224,7 @@
                 } else {
                     Outcome::NotRun
                 },
-                after: option("after=").map(span_of),
+                retry_after: option("after=").map(span_of),
             }),
             "unreachable" => AttemptOutcome::Unreachable,
             "break" => AttemptOutcome::Broken,
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -207,7 +207,7 @@
             }
             traffic::Action::Refuse { id, refusal } => {
                 // How long is the dispatcher's choice, and jittered.
-                let after = refusal.after.map_or("", |_| ", come back");
+                let after = refusal.retry_after.map_or("", |_| ", come back");
                 let outcome::Refusal {
                     reason, outcome, ..
                 } = refusal;
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -216,7 +216,7 @@
     assert_eq!((at, refused), (engine.now, id));
     assert_eq!(refusal.reason, Reason::Cap);
     assert_eq!(refusal.outcome, Outcome::NotRun);
-    assert!(refusal.after.is_some_and(|after| after >= SECOND / 2));
+    assert!(refusal.retry_after.is_some_and(|after| after >= SECOND / 2));
     assert!(engine.log.local.is_empty());
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -103,7 +103,7 @@
             Err(refusal) => Self::Refusal {
                 reason: refusal.reason.as_str().to_owned(),
                 outcome: refusal.outcome.as_str().to_owned(),
-                after_ms: refusal.after.map(millis),
+                after_ms: refusal.retry_after.map(millis),
             },
         }
     }
@@ -130,7 +130,7 @@
             } => Ok(Err(outcome::Refusal {
                 reason: parse_reason(reason)?,
                 outcome: parse_outcome(outcome)?,
-                after: after_ms.map(Duration::from_millis),
+                retry_after: after_ms.map(Duration::from_millis),
             })),
         }
     }
