--- a/crates/steer/examples/fleet.rs
+++ b/crates/steer/examples/fleet.rs
@@ -66,19 +66,21 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let events = args.first().is_some_and(|a| a == "events");
-    let sizes = args.iter().skip(usize::from(events));
-    let sizes: Vec<usize> = sizes.map(|a| a.parse().expect("a number")).collect();
+    let has_events = args.first().is_some_and(|a| a == "events");
+    let sizes = args.iter().skip(usize::from(has_events));
+    let sizes: Vec<usize> = sizes
+        .map(|a| a.parse().expect("a size is a number"))
+        .collect();
     println!(
         "{}",
-        if events {
+        if has_events {
             EVENTS_HEADER
         } else {
             ORDINARY_HEADER
         }
     );
     for nodes in sizes {
-        if events {
+        if has_events {
             measure_events(nodes);
         } else {
             measure_ordinary(nodes);
@@ -128,6 +130,7 @@
     (fleet, files)
 }
 
+/// Prints the row of one size with events.
 fn measure_events(nodes: usize) {
     let (mut fleet, files) = start_fleet(nodes);
     let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
@@ -217,6 +220,7 @@
     (rates.bytes + rates.messages * OVERHEAD_BYTES, back, force)
 }
 
+/// Returns whether a snapshot lists the current processes of all `slots`.
 fn names_restarted(fleet: &Fleet, shown: &Snapshot, slots: &[usize]) -> bool {
     slots.iter().all(|&slot| {
         let node = &fleet.nodes[fleet.slots[slot]];
@@ -230,12 +234,14 @@
     })
 }
 
+/// Returns the mean and the maximum of calls per second.
 fn mean_and_max(calls: &[u32]) -> (f64, u32) {
     let sum: u32 = calls.iter().sum();
     let max = calls.iter().max().copied().unwrap_or(0);
     (f64::from(sum) / as_f64(calls.len().max(1)), max)
 }
 
+/// Prints the row of one size in ordinary operation.
 fn measure_ordinary(nodes: usize) {
     let start = Instant::now();
     let domains = (nodes * FULL_DOMAINS).div_ceil(FULL_NODES).max(6);
@@ -292,7 +298,7 @@
 
 /// Makes one change. Returns the time until it is in force, for each process.
 fn change_once(fleet: &mut Fleet, change: usize, files: &mut [File]) -> Vec<Duration> {
-    let version = u64::try_from(change + 2).expect("small");
+    let version = u64::try_from(change + 2).expect("a version fits in 64 bits");
     let body = fleet::body(&format!("{change:0>CHANGED_BYTES$}"));
     let at = change % files.len();
     files[at].hash = body.hash;
@@ -325,7 +331,10 @@
     for _ in 0..150 {
         fleet.run(Duration::from_millis(100));
         waiting.retain(|&at| {
-            let shown = fleet.nodes[at].shown.as_ref().expect("published");
+            let shown = fleet.nodes[at]
+                .shown
+                .as_ref()
+                .expect("a live process has published a snapshot");
             let members = &shown.members;
             let found = members.binary_search_by(|s| (*s.record.identity.name).cmp(&name));
             let is_named = found.is_ok_and(|i| members[i].record.stamp.incarnation == incarnation);
@@ -351,7 +360,9 @@
         recent: recent.collect(),
         files,
     };
-    fleet.write(&Arc::new(head), None).expect("no condition");
+    fleet
+        .write(&Arc::new(head), None)
+        .expect("an unconditional write succeeds");
 }
 
 fn totals(fleet: &Fleet) -> Totals {
@@ -389,11 +400,13 @@
     }
 }
 
+/// Returns the calls to the store in each second since `from`.
 fn calls(fleet: &Fleet, from: Time) -> &[u32] {
-    let from = usize::try_from(from.as_micros() / 1_000_000).expect("small");
+    let from = usize::try_from(from.as_micros() / 1_000_000).expect("seconds fit in a usize");
     fleet.store.calls.get(from..).unwrap_or_default()
 }
 
+/// Formats the median, the 99th percentile and the maximum in seconds.
 fn quantiles(delays: &mut [Duration]) -> String {
     delays.sort_unstable();
     let at = |part: usize| delays[(delays.len() - 1) * part / 100].as_secs_f64();
@@ -407,7 +420,7 @@
 }
 
 fn as_f64(number: usize) -> f64 {
-    f64::from(u32::try_from(number).expect("small"))
+    f64::from(u32::try_from(number).expect("the number fits in 32 bits"))
 }
 
 /// Returns the resident memory of this process in bytes.
