--- a/crates/explorer/src/random.rs
+++ b/crates/explorer/src/random.rs
@@ -67,10 +67,10 @@
         return usual;
     }
     gate::Limits {
-        records: rng.usize(1..=2),
-        held: rng.usize(1..=3),
-        waiters: rng.usize(..=1),
-        answers: rng.u64(..=4),
+        records_max: rng.usize(1..=2),
+        held_max: rng.usize(1..=3),
+        waiters_max: rng.usize(..=1),
+        answer_bytes: rng.u64(..=4),
         ..usual
     }
 }
--- a/crates/explorer/src/scene.rs
+++ b/crates/explorer/src/scene.rs
@@ -26,11 +26,11 @@
 #[must_use]
 pub fn limits() -> gate::Limits {
     gate::Limits {
-        accept: 2,
-        keep: 4,
-        records: 16,
-        held: 16,
-        waiters: 2,
+        accept_epochs: 2,
+        keep_epochs: 4,
+        records_max: 16,
+        held_max: 16,
+        waiters_max: 2,
         ..gate::Limits::default()
     }
 }
--- a/crates/explorer/src/speed.rs
+++ b/crates/explorer/src/speed.rs
@@ -181,7 +181,7 @@
 #[must_use]
 pub fn fill(work: Work) -> gate::Gate {
     let mut bench = Bench::new(work);
-    let count = gate::Limits::default().records as u64;
+    let count = gate::Limits::default().records_max as u64;
     for number in 1..=count {
         bench.request(clock::Time::ZERO, number);
     }
--- a/crates/explorer/src/world/step.rs
+++ b/crates/explorer/src/world/step.rs
@@ -42,13 +42,13 @@
 impl Span {
     fn length(self) -> Duration {
         let limits = scene::limits();
-        let epochs = |count: u64| limits.epoch * u32::try_from(count).unwrap_or(u32::MAX);
+        let epochs = |count: u64| limits.epoch_length * u32::try_from(count).unwrap_or(u32::MAX);
         match self {
             Self::Tick => Duration::from_millis(10),
-            Self::Wait => limits.ask + Duration::from_millis(1),
+            Self::Wait => limits.ask_timeout + Duration::from_millis(1),
             Self::Deadline => scene::DEADLINE + Duration::from_millis(1),
-            Self::Accept => epochs(limits.accept + 1),
-            Self::Keep => epochs(limits.keep + 1),
+            Self::Accept => epochs(limits.accept_epochs + 1),
+            Self::Keep => epochs(limits.keep_epochs + 1),
         }
     }
 }
--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -87,8 +87,8 @@
             safe,
             view: Arc::default(),
             peers: Vec::new(),
-            book: book::Book::new(limits.records),
-            kept: kept::Kept::new(limits.answers),
+            book: book::Book::new(limits.records_max),
+            kept: kept::Kept::new(limits.answer_bytes),
             registry: witness::Registry::new(me, &limits, safe),
             issue: issue::Issue::new(me),
             held: held::HeldSet::default(),
@@ -228,10 +228,10 @@
 
     /// Why no further request of this caller can be held, if none can.
     fn crowded(&self, caller: &str) -> Option<outcome::Reason> {
-        if self.held.len() >= self.limits.held {
+        if self.held.len() >= self.limits.held_max {
             return Some(outcome::Reason::Overloaded);
         }
-        (self.held.of(caller) >= self.limits.caller).then_some(outcome::Reason::CallerLimit)
+        (self.held.of(caller) >= self.limits.caller_max).then_some(outcome::Reason::CallerLimit)
     }
 
     fn peer(&self, incarnation: view::Incarnation) -> Option<Peer> {
@@ -325,7 +325,7 @@
             .due(now, &self.limits, &self.view, &self.home.domain);
         if let Some(peer) = due {
             let incarnation = peer.incarnation;
-            let ask = self.ask(peer, record::Question::Epoch, self.limits.ask, out);
+            let ask = self.ask(peer, record::Question::Epoch, self.limits.ask_timeout, out);
             self.issue.asked(now, &self.limits, ask, incarnation);
         }
     }
@@ -360,7 +360,7 @@
         self.swept = epoch;
         self.registry.forget(epoch);
         let keep = if self.safe.keep_window {
-            self.limits.keep
+            self.limits.keep_epochs
         } else {
             0
         };
--- a/crates/steer/src/process/gate/chosen.rs
+++ b/crates/steer/src/process/gate/chosen.rs
@@ -126,7 +126,7 @@
             id,
             key: Arc::clone(&held.name.key),
             call: next,
-            budget: self.limits.store,
+            budget: self.limits.store_timeout,
         });
     }
 
--- a/crates/steer/src/process/gate/entry.rs
+++ b/crates/steer/src/process/gate/entry.rs
@@ -140,7 +140,7 @@
             return gate::refuse(id, self.elsewhere(outcome::Reason::OwnerGone), out);
         };
         self.tally.seals += 1;
-        let ask = self.ask(peer, question, self.limits.ask, out);
+        let ask = self.ask(peer, question, self.limits.ask_timeout, out);
         self.held.insert(held::Held {
             id,
             caller: lost.caller,
@@ -148,7 +148,7 @@
             until: lost.until,
             stage: held::Stage::Sealing {
                 ask,
-                wait: now + self.limits.ask,
+                wait: now + self.limits.ask_timeout,
             },
         });
     }
--- a/crates/steer/src/process/gate/issue.rs
+++ b/crates/steer/src/process/gate/issue.rs
@@ -92,7 +92,7 @@
         incarnation: view::Incarnation,
     ) {
         self.suspects.retain(|&(who, _)| who != incarnation);
-        self.suspects.push((incarnation, now + limits.suspect));
+        self.suspects.push((incarnation, now + limits.suspect_time));
         if self.witness.as_ref().map(|w| w.incarnation) == Some(incarnation) {
             self.drop_witness();
         }
@@ -133,7 +133,7 @@
         if self.probe.is_some() || now < self.due {
             return None;
         }
-        self.due = now + limits.probe;
+        self.due = now + limits.probe_interval;
         let best = self.best(view, home);
         if best.is_none() {
             self.witness = None;
@@ -152,7 +152,7 @@
         self.probe = Some(Probe {
             ask,
             incarnation,
-            until: now + limits.ask,
+            until: now + limits.ask_timeout,
         });
     }
 
--- a/crates/steer/src/process/gate/limits.rs
+++ b/crates/steer/src/process/gate/limits.rs
@@ -8,46 +8,46 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Length of an epoch by the process's own clock.
-    pub epoch: Duration,
+    pub epoch_length: Duration,
     /// Age in epochs up to which a key may start to run.
-    pub accept: u64,
+    pub accept_epochs: u64,
     /// Age in epochs up to which records are kept; larger than `accept`.
-    pub keep: u64,
+    pub keep_epochs: u64,
     /// Records of keys, for each of the roles of owner and witness.
-    pub records: usize,
+    pub records_max: usize,
     /// Requests held at a time.
-    pub held: usize,
+    pub held_max: usize,
     /// Requests held at a time for one caller, so that none takes all the room.
-    pub caller: usize,
+    pub caller_max: usize,
     /// Resends that wait for one first run.
-    pub waiters: usize,
+    pub waiters_max: usize,
     /// Memory in bytes for answers that a resend may ask for.
-    pub answers: u64,
+    pub answer_bytes: u64,
     /// Time given to a peer for its word.
-    pub ask: Duration,
+    pub ask_timeout: Duration,
     /// Time between two questions to the witness for its epoch.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Time for which a silent witness is not chosen again.
-    pub suspect: Duration,
+    pub suspect_time: Duration,
     /// Time given to the platform's store for one call.
-    pub store: Duration,
+    pub store_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            epoch: Duration::from_secs(30),
-            accept: 10,
-            keep: 20,
-            records: 131_072,
-            held: 8_192,
-            caller: 512,
-            waiters: 4,
-            answers: 8 << 20,
-            ask: Duration::from_millis(400),
-            probe: Duration::from_secs(3),
-            suspect: Duration::from_secs(10),
-            store: Duration::from_secs(1),
+            epoch_length: Duration::from_secs(30),
+            accept_epochs: 10,
+            keep_epochs: 20,
+            records_max: 131_072,
+            held_max: 8_192,
+            caller_max: 512,
+            waiters_max: 4,
+            answer_bytes: 8 << 20,
+            ask_timeout: Duration::from_millis(400),
+            probe_interval: Duration::from_secs(3),
+            suspect_time: Duration::from_secs(10),
+            store_timeout: Duration::from_secs(1),
         }
     }
 }
@@ -56,9 +56,9 @@
     /// The same with records that outlive what is accepted. If they didn't, a
     /// key whose record is forgotten would pass for a new one and run again.
     #[must_use]
-    pub fn sound(self) -> Self {
+    pub fn with_valid_ages(self) -> Self {
         Self {
-            keep: self.keep.max(self.accept.saturating_add(1)),
+            keep_epochs: self.keep_epochs.max(self.accept_epochs.saturating_add(1)),
             ..self
         }
     }
@@ -66,7 +66,7 @@
     /// The epoch that a process counts at `now`.
     #[must_use]
     pub fn epoch_at(&self, now: clock::Time) -> u64 {
-        let span = u64::try_from(self.epoch.as_micros()).unwrap_or(u64::MAX);
+        let span = u64::try_from(self.epoch_length.as_micros()).unwrap_or(u64::MAX);
         now.as_micros() / span.max(1)
     }
 }
--- a/crates/steer/src/process/gate/owner.rs
+++ b/crates/steer/src/process/gate/owner.rs
@@ -92,10 +92,10 @@
                 None,
             ));
         };
-        if age > self.limits.keep {
+        if age > self.limits.keep_epochs {
             return Some(outcome::Refusal::unknown(outcome::Reason::KeyExpired, None));
         }
-        if age > self.limits.accept {
+        if age > self.limits.accept_epochs {
             return Some(outcome::Refusal::not_run(outcome::Reason::KeyExpired, None));
         }
         if self.leaving {
@@ -142,7 +142,7 @@
             self.tally.replays += 1;
             return gate::answer(id, &again(verdict), out);
         }
-        if crowd || record.waiters.len() >= self.limits.waiters {
+        if crowd || record.waiters.len() >= self.limits.waiters_max {
             let refusal =
                 outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(gate::COME_BACK));
             return gate::refuse(id, refusal, out);
@@ -171,7 +171,7 @@
         };
         let question = record::Question::Claim(name.key.clone());
         self.tally.claims += 1;
-        let ask = self.ask(peer, question, self.limits.ask, out);
+        let ask = self.ask(peer, question, self.limits.ask_timeout, out);
         if !self.safe.wait_word {
             return self.run(now, arrival, name, out);
         }
@@ -183,7 +183,7 @@
             stage: held::Stage::Claiming {
                 ask,
                 witness: witness.incarnation,
-                wait: now + self.limits.ask,
+                wait: now + self.limits.ask_timeout,
                 arrival,
             },
         });
--- a/crates/steer/src/process/gate/witness.rs
+++ b/crates/steer/src/process/gate/witness.rs
@@ -43,10 +43,10 @@
     ) -> Self {
         Self {
             me,
-            accept: limits.accept,
-            keep: limits.keep,
+            accept: limits.accept_epochs,
+            keep: limits.keep_epochs,
             safe,
-            marks: book::Book::new(limits.records),
+            marks: book::Book::new(limits.records_max),
         }
     }
 
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/bench.rs
@@ -266,13 +266,13 @@
 fn limits(line: &line::Line<'_>) -> gate::Limits {
     let usual = gate::Limits::default();
     gate::Limits {
-        records: line.count("records", usual.records),
-        held: line.count("held", usual.held),
-        caller: line.count("caller", usual.caller),
-        waiters: line.count("waiters", usual.waiters),
-        answers: line.number("answers").unwrap_or(usual.answers),
+        records_max: line.count("records", usual.records_max),
+        held_max: line.count("held", usual.held_max),
+        caller_max: line.count("caller", usual.caller_max),
+        waiters_max: line.count("waiters", usual.waiters_max),
+        answer_bytes: line.number("answers").unwrap_or(usual.answer_bytes),
         // Later probes would clutter the scenarios.
-        probe: Duration::from_hours(24),
+        probe_interval: Duration::from_hours(24),
         ..usual
     }
 }
