--- a/crates/auburnrouter/src/direct/metrics.rs
+++ b/crates/auburnrouter/src/direct/metrics.rs
@@ -77,17 +77,17 @@
         };
         let limited_attempts = IntCounter::new(
             "auburnrouter_attempts_limited_total",
-            "Attempts at targets that were known to have a request limit",
+            "Attempts at targets that were known to name a limit",
         )?;
         registry.register(Box::new(limited_attempts.clone()))?;
         let dropped_lines = IntCounter::new(
             "auburnrouter_log_lines_left_out_total",
-            "Log lines dropped by the bound per second",
+            "Log lines left out, by the bound a second or a slow reader",
         )?;
         registry.register(Box::new(dropped_lines.clone()))?;
         let rejected_connections = IntCounter::new(
             "auburnrouter_connections_turned_away_total",
-            "Callers' connections rejected for lack of file descriptors",
+            "Callers' connections beyond what the process's descriptors allow",
         )?;
         registry.register(Box::new(rejected_connections.clone()))?;
         let store_calls = IntGaugeVec::new(
@@ -101,7 +101,7 @@
         Ok(Self {
             attempts: counters(
                 "auburnrouter_attempts_total",
-                "Attempts at targets, by outcome",
+                "Attempts at targets, by ending",
                 &["ending"],
             )?,
             own_answers: counters(
@@ -111,46 +111,28 @@
             )?,
             hold_time: histogram(
                 "auburnrouter_held_seconds",
-                "Time from a request's arrival to the start of each attempt",
-            )?,
-            attempt_time: histogram(
-                "auburnrouter_attempt_seconds",
-                "Duration of attempts at targets",
+                "Time from a request's arrival to its being sent",
             )?,
+            attempt_time: histogram("auburnrouter_attempt_seconds", "Time that attempts took")?,
             limited_attempts,
             dropped_lines,
             rejected_connections,
-            requests: gauge(
-                "auburnrouter_requests",
-                "Requests in progress at this instance",
-            )?,
-            waiting: gauge("auburnrouter_waiting", "Requests that wait to be sent")?,
+            requests: gauge("auburnrouter_requests", "Requests that are here")?,
+            waiting: gauge("auburnrouter_waiting", "Requests that wait for a target")?,
             targets: gauge("auburnrouter_targets", "Targets listed")?,
             targets_limited: gauge(
                 "auburnrouter_targets_limited",
-                "Targets with a limit of requests per second",
-            )?,
-            instances: gauge(
-                "auburnrouter_instances",
-                "Instances present, including this one",
-            )?,
-            version: gauge(
-                "auburnrouter_config_version",
-                "Configuration version in force; 0 before the first",
-            )?,
-            revision: gauge(
-                "auburnrouter_store_revision",
-                "Revision up to which the store's content is known",
-            )?,
-            in_touch: gauge(
-                "auburnrouter_store_in_touch",
-                "1 while the store is in touch, else 0",
+                "Targets that name a limit of requests a second",
             )?,
+            instances: gauge("auburnrouter_instances", "Instances there, this one too")?,
+            version: gauge("auburnrouter_config_version", "Configuration in force")?,
+            revision: gauge("auburnrouter_store_revision", "Revision known whole")?,
+            in_touch: gauge("auburnrouter_store_in_touch", "1 while the store answers")?,
             staleness: gauge(
                 "auburnrouter_staleness_milliseconds",
-                "Upper bound on the time since the store's content was known in full; -1 before the first read",
+                "Time since all that the store held is known, at most; -1 before",
             )?,
-            teams: gauge("auburnrouter_teams", "Teams in the configuration")?,
+            teams: gauge("auburnrouter_teams", "Teams of the configuration")?,
             connections: gauge("auburnrouter_connections", "Callers' open connections")?,
             store_calls,
             registry,
