--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -11,7 +11,7 @@
 use rustix::process::Signal;
 
 use super::harness::{
-    Entry, HOST, Harness, MS, ROUTES, read_answer, request, send_raw, wait_until,
+    Entry, HOST, Harness, MS, ROUTES, WAIT_TIMEOUT, read_answer, request, send_raw, wait_until,
 };
 
 #[test]
@@ -70,25 +70,29 @@
     wait_until("the new limits are in force", || {
         harness.entry.dump().contains("\"version\":9")
     });
-    let send_head = |id: &str| {
+    let send_head = |id: &str, expect: &str| {
         let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("the timeout is not zero");
         let length = 40 << 20;
         let head = format!(
-            "PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nContent-Length: {length}\r\n\r\n"
+            "PUT /pay/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\n{expect}Content-Length: {length}\r\n\r\n"
         );
         stream
             .write_all(head.as_bytes())
             .expect("the connection is open");
         stream
     };
-    let _held = send_head("r1");
-    wait_until("there is no room for a second body", || {
-        let mut stream = send_head("r2");
-        stream
-            .set_read_timeout(Some(100 * MS))
-            .expect("the timeout is not zero");
-        read_answer(&mut stream).is_some_and(|a| a.status == 503)
-    });
+    // Heads on two connections may be read in either order. The first body's memory is
+    // reserved once its head is answered with `100 Continue`, so the second head follows
+    // only then.
+    let mut first = send_head("r1", "Expect: 100-continue\r\n");
+    let answer = read_answer(&mut first).expect("the first head is answered");
+    assert_eq!(answer.status, 100, "{answer:?}");
+    let mut second = send_head("r2", "");
+    let answer = read_answer(&mut second).expect("the second head is answered");
+    assert_eq!(answer.status, 503, "{answer:?}");
     assert_eq!(harness.entry.send("GET", "/view/x", "r3", "").status, 200);
 }
 
