--- a/crates/steer/src/process/direct/completion.rs
+++ b/crates/steer/src/process/direct/completion.rs
@@ -183,12 +183,12 @@
         }
         self.refund_token(now, &job);
         FollowUp::Reject {
-            after: Self::retry_after(&job, 0.0),
+            retry_after: Self::retry_after(&job, 0.0),
         }
     }
 
     /// Records for the service's spillover whether an answer met its latency
-    /// objective. Answers for cold objects are left out: they are as late at home as
+    /// objective. Answers for cold objects are left out: they are as late locally as
     /// in other regions.
     fn record_punctuality(&mut self, now: Time, at: usize, target: &str, warm: bool) {
         let job = &self.jobs[at];
--- a/crates/steer/src/process/traffic.rs
+++ b/crates/steer/src/process/traffic.rs
@@ -172,7 +172,7 @@
         if let Some(link) = self.return_link(&arrival)
             && !self.outbox.admit(now, id, link, self.dispatch.shares())
         {
-            let after = Some(share::window::SPAN);
+            let after = Some(share::window::RATE_PERIOD);
             let refusal = if arrival.origin == arrival::Origin::Peer {
                 outcome::Refusal::not_run(outcome::Reason::Cap, after)
             } else {
@@ -217,7 +217,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn share_rows(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     /// The dispatcher, for counts and dumps.
@@ -228,7 +228,7 @@
 
     /// Caps with this process's limit and use per second, for dumps.
     pub fn caps(&mut self, now: clock::Time) -> Vec<(share::Route, u64, u64)> {
-        self.dispatch.shares().rows(now)
+        self.dispatch.shares().usage(now)
     }
 
     fn handle_gate(&mut self, now: clock::Time, event: gate::Event) {
@@ -252,22 +252,22 @@
     fn apply_link_limits(&mut self, now: clock::Time, start: usize, out: &mut Vec<Action>) {
         for action in out.split_off(start) {
             match action {
-                Action::Reply { id, answer } if self.outbox.holds(id) => {
-                    self.outbox.put(id, outbox::Last::Reply(answer));
+                Action::Reply { id, answer } if self.outbox.contains(id) => {
+                    self.outbox.put(id, outbox::FinalResponse::Reply(answer));
                 }
-                Action::Refuse { id, refusal } if self.outbox.holds(id) => {
-                    self.outbox.put(id, outbox::Last::Refuse(refusal));
+                Action::Refuse { id, refusal } if self.outbox.contains(id) => {
+                    self.outbox.put(id, outbox::FinalResponse::Refuse(refusal));
                 }
                 other => out.push(other),
             }
         }
         let released = self.outbox.release(now, self.dispatch.shares());
-        if let Some((link, bytes)) = self.outbox.lacking() {
+        if let Some((link, bytes)) = self.outbox.blocked() {
             self.dispatch.request_link_loan(now, link, *bytes);
         }
-        out.extend(released.into_iter().map(|(id, last)| match last {
-            outbox::Last::Reply(answer) => Action::Reply { id, answer },
-            outbox::Last::Refuse(refusal) => Action::Refuse { id, refusal },
+        out.extend(released.into_iter().map(|(id, response)| match response {
+            outbox::FinalResponse::Reply(answer) => Action::Reply { id, answer },
+            outbox::FinalResponse::Refuse(refusal) => Action::Refuse { id, refusal },
         }));
     }
 
@@ -317,11 +317,11 @@
         match action {
             dispatch::Action::Reply { id, answer } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Answered(answer);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             dispatch::Action::Refuse { id, refusal } if self.gate.holds(id) => {
                 let verdict = gate::Verdict::Refused(refusal);
-                self.handle_gate(now, gate::Event::Settled { id, verdict });
+                self.handle_gate(now, gate::Event::Completed { id, verdict });
             }
             other => out.push(other.into()),
         }
