--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -21,7 +21,7 @@
     /// What has arrived.
     bytes: BytesMut,
     /// Longest body.
-    body_max: usize,
+    bytes_max: usize,
     /// Longest fields behind the last chunk.
     trailers_max: usize,
 }
@@ -41,14 +41,14 @@
 }
 
 impl Body {
-    /// A body of at most `body_max` bytes, with at most `trailers_max` behind its chunks.
+    /// A body of at most `bytes_max` bytes, with at most `trailers_max` behind its chunks.
     ///
     /// # Errors
     /// If its head says that it is longer.
-    pub fn new(framing: Framing, body_max: usize, trailers_max: usize) -> Result<Self, Fault> {
+    pub fn new(framing: Framing, bytes_max: usize, trailers_max: usize) -> Result<Self, Fault> {
         let stage = match framing {
             Framing::Length(length) => match usize::try_from(length) {
-                Ok(length) if length <= body_max => Stage::Length(length),
+                Ok(length) if length <= bytes_max => Stage::Length(length),
                 _ => return Err(Fault::LongBody),
             },
             Framing::Chunked => Stage::ChunkSize,
@@ -56,7 +56,7 @@
         Ok(Self {
             stage,
             bytes: BytesMut::new(),
-            body_max,
+            bytes_max,
             trailers_max,
         })
     }
@@ -139,7 +139,7 @@
             return Ok(Some(Stage::Trailers));
         }
         let size = usize::try_from(size).map_err(|_| Fault::LongBody)?;
-        if size > self.body_max - self.bytes.len() {
+        if size > self.bytes_max - self.bytes.len() {
             return Err(Fault::LongBody);
         }
         Ok(Some(Stage::ChunkData(size)))
