--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -18,7 +18,7 @@
 use steer::request::{arrival, record};
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, serde_transport};
-use wire::{beat, peer};
+use wire::{heartbeat, peer};
 
 use super::{Lane, PeerClient, context, frames, handshake};
 use crate::daemon::inbound::Inbound;
@@ -146,7 +146,7 @@
 
     /// Sends a message of control; it may be lost.
     pub fn tell(self: &Arc<Self>, to: SocketAddr, message: &message::Message) {
-        let Ok(bytes) = beat::Message::from(message).encode() else {
+        let Ok(bytes) = heartbeat::Message::from(message).encode() else {
             return;
         };
         self.counts.sent(bytes.len());
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -18,7 +18,7 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{context, serde_transport};
 use trillium_http::Stopper;
-use wire::{beat, peer, witness};
+use wire::{heartbeat, peer, witness};
 
 use super::{Lane, Peer, frames, handshake};
 use crate::daemon::control;
@@ -123,7 +123,7 @@
 
     async fn tell(self, _: context::Context, message: Vec<u8>) {
         // What can't be read is as good as lost.
-        let Ok(message) = beat::Message::decode(&message) else {
+        let Ok(message) = heartbeat::Message::decode(&message) else {
             return;
         };
         if let Ok(message) = message::Message::try_from(message)
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -11,7 +11,7 @@
 use smol::net;
 use steer::process::direct::members;
 use steer::process::direct::quota;
-use wire::near::{Beat, DATAGRAM, Message};
+use wire::direct::{Beat, DATAGRAM, Message};
 
 use super::{Shared, events, lock};
 
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -18,7 +18,7 @@
 use tarpc::server::{self, Channel};
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, serde_transport};
-use wire::near::Changes;
+use wire::direct::Changes;
 
 use super::{Executor, Shared, lock};
 use crate::daemon::peers;
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -19,7 +19,7 @@
 use steer::process::direct::replica::{Item, Update};
 use steer::process::direct::upstream::{UPSTREAM_STALE_AGE, Upstream, reader_rank};
 use steer::process::direct::{Direct, StoreContact};
-use wire::near;
+use wire::direct;
 
 use super::peer::Connection;
 use super::{Executor, Shared, events, lock, member};
@@ -160,7 +160,7 @@
         };
         let peer = |item: &platform::store::Item| {
             let name = item.key.strip_prefix(member::KEY_PREFIX)?;
-            let registration: near::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
+            let registration: direct::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
             let is_local =
                 *registration.domain == *shared.settings.domain && *name != *shared.settings.name;
             is_local.then(|| (Arc::from(name), registration.peers))
@@ -222,7 +222,7 @@
         &mut self,
         addr: SocketAddr,
         wait: Duration,
-        accept: impl Fn(&Shared, (&near::Changes, Time)) -> bool,
+        accept: impl Fn(&Shared, (&direct::Changes, Time)) -> bool,
     ) -> bool {
         if self
             .connection
@@ -326,7 +326,7 @@
 /// First answer at the start.
 enum FirstAnswer {
     /// Everything that the named instance knows, and when it was queried.
-    Peer(Arc<str>, Connection, near::Changes, Time),
+    Peer(Arc<str>, Connection, direct::Changes, Time),
     /// Result of reading the store.
     Store(Result<Snapshot, Error>),
 }
@@ -337,7 +337,7 @@
     shared: &Shared,
     addr: SocketAddr,
     executor: &Executor,
-) -> Option<(Connection, near::Changes)> {
+) -> Option<(Connection, direct::Changes)> {
     let connection = Connection::open(addr, executor).await?;
     let known = lock(&shared.replica).revision();
     let changes = connection.changes(known, Duration::ZERO).await?;
@@ -345,13 +345,13 @@
 }
 
 /// Whether a peer has a store revision that the store has confirmed lately.
-fn is_fresh(changes: &near::Changes) -> bool {
+fn is_fresh(changes: &direct::Changes) -> bool {
     changes.revision > 0 && changes.age().is_some_and(|age| age < UPSTREAM_STALE_AGE)
 }
 
 /// Whether an answer to a query sent at `sent_at` is recent enough to go on reading
 /// from that instance.
-fn is_useful(shared: &Shared, (changes, sent_at): (&near::Changes, Time)) -> bool {
+fn is_useful(shared: &Shared, (changes, sent_at): (&direct::Changes, Time)) -> bool {
     let useful = |now: Time, direct: &Direct| {
         let stale = changes.staleness(now.since(sent_at));
         // A cached snapshot that lacks changes has no staleness; they are read at once.
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -10,13 +10,13 @@
 use steer::clock::Time;
 use steer::process::direct::StoreContact;
 use steer::process::direct::replica::Update;
-use wire::near;
+use wire::direct;
 
 use super::super::{Shared, events, lock, member};
 
 /// Applies the answer of another instance to a query sent at `sent_at`. Returns
 /// whether it could be decoded.
-pub(super) fn apply_changes(shared: &Shared, changes: near::Changes, sent_at: Time) -> bool {
+pub(super) fn apply_changes(shared: &Shared, changes: direct::Changes, sent_at: Time) -> bool {
     let contact = changes.contact();
     let now = shared.now();
     let stale = changes.staleness(now.since(sent_at));
@@ -148,7 +148,7 @@
 /// Adds, updates or removes the registration of an instance. One that can't be read
 /// counts as removed.
 fn put_member(shared: &Shared, name: &str, value: Option<&[u8]>) {
-    let registration = match value.map(serde_json::from_slice::<near::Row>) {
+    let registration = match value.map(serde_json::from_slice::<direct::Row>) {
         Some(Ok(registration)) => Some(registration.into()),
         Some(Err(error)) => {
             events::input_rejected(shared, name, &error.to_string());
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -361,7 +361,7 @@
             return;
         }
         let clock = self.clock();
-        let message = wire::beat::Message::decode(bytes).expect("as encoded");
+        let message = wire::heartbeat::Message::decode(bytes).expect("as encoded");
         let message = Message::try_from(message).expect("as made");
         self.count(clock);
         let node = &mut self.nodes[to];
@@ -415,7 +415,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &Message) {
         let clock = self.clock();
-        let bytes = wire::beat::Message::from(message)
+        let bytes = wire::heartbeat::Message::from(message)
             .encode()
             .expect("messages can be written");
         self.count(clock);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,11 +4,11 @@
 //! here converts to its inner twin by `From`, or by `TryFrom` where the bytes
 //! may lie.
 
-pub mod beat;
+pub mod direct;
 pub mod headers;
+pub mod heartbeat;
 pub mod instance;
 pub mod kv;
-pub mod near;
 pub mod peer;
 pub mod share;
 pub mod target;
--- a/crates/wire/tests/near.rs
+++ b/crates/wire/tests/direct.rs
@@ -6,7 +6,7 @@
 use steer::process::direct::health::Observation;
 use steer::process::direct::limit::LimitReport;
 use steer::process::direct::members::{Heartbeat, Registration};
-use wire::near::Message;
+use wire::direct::Message;
 
 fn row() -> Registration {
     let addr = |port| ([10, 1, 0, 15], port).into();
--- a/crates/wire/tests/beat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -11,7 +11,7 @@
 use steer::process::member::table::Digest;
 use steer::process::member::{HealthSummary, Identity, Lifecycle, Record, Stamp, Summary};
 use steer::version::view::{Incarnation, Version};
-use wire::beat::{self, Malformed};
+use wire::heartbeat::{self, Malformed};
 
 const STAMP: Stamp = Stamp {
     generation: 1_700_000_000_000,
@@ -127,14 +127,14 @@
         from: record("seq-1-a"),
         content,
     };
-    let sent = beat::Message::from(&message);
+    let sent = heartbeat::Message::from(&message);
     let bytes = sent.encode().expect("it can be written");
     assert_eq!(bytes.len() as u64, sent.wire_size());
-    let read = beat::Message::decode(&bytes).expect("it can be read");
+    let read = heartbeat::Message::decode(&bytes).expect("it can be read");
     assert_eq!(Message::try_from(read), Ok(message));
     // A message cut short is refused, wherever it ends.
     for end in 0..bytes.len() {
-        let cut = beat::Message::decode(&bytes[..end]);
+        let cut = heartbeat::Message::decode(&bytes[..end]);
         assert!(matches!(cut, Err(Malformed::Bytes(_))), "cut at {end}");
     }
 }
@@ -146,7 +146,7 @@
         from: record("seq-1-a"),
         content: Content::Heartbeat(heartbeat()),
     };
-    let size = beat::Message::from(&message).wire_size();
+    let size = heartbeat::Message::from(&message).wire_size();
     assert!(size <= 150, "{size} bytes");
 }
 
@@ -159,6 +159,6 @@
         from: record(name),
         content: Content::Offer(Arc::new(head(files))),
     };
-    let sent = beat::Message::from(&message);
+    let sent = heartbeat::Message::from(&message);
     assert_eq!(Message::try_from(sent), Err(error));
 }
