--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -71,7 +71,7 @@
     /// priority is compared first, then the route's.
     #[must_use]
     pub fn priority(&self) -> (u32, u32) {
-        let team = self.authorized.as_ref().and_then(|pass| pass.team.priority);
+        let team = self.authorized.as_ref().and_then(|a| a.team.priority);
         let route = self.route.priority;
         (team.unwrap_or(route), route)
     }
@@ -82,7 +82,7 @@
         let team = self
             .authorized
             .as_ref()
-            .is_none_or(|p| p.team.home_regions.is_empty());
+            .is_none_or(|a| a.team.home_regions.is_empty());
         team && self.route.home_regions.is_empty()
     }
 
@@ -93,7 +93,7 @@
         let team = self
             .authorized
             .as_ref()
-            .is_none_or(|p| p.team.allows(region));
+            .is_none_or(|a| a.team.allows(region));
         team && self.route.allows(region)
     }
 }
--- a/crates/steer/tests/direct/access.rs
+++ b/crates/steer/tests/direct/access.rs
@@ -85,7 +85,7 @@
     bench.direct.confirm_up_to(at(1_000));
     let name = |access| match access {
         Access::Open => "open",
-        Access::Granted(pass) if &*pass.team.name == "masons" => "granted",
+        Access::Granted(authorized) if &*authorized.team.name == "masons" => "granted",
         Access::Granted(_) => "another team's",
         Access::Denied => "denied",
         Access::KeysStale => "unsure",
--- a/crates/steer/tests/direct/limit.rs
+++ b/crates/steer/tests/direct/limit.rs
@@ -34,20 +34,20 @@
 }
 
 /// Submits a request every 100 ms in this span and returns the number sent.
-fn sent(bench: &mut Bench, from: u64, until: u64) -> usize {
-    let mut sent = 0;
+fn requests_sent(bench: &mut Bench, from: u64, until: u64) -> usize {
+    let mut count = 0;
     for now in (from..until).step_by(100) {
         bench.submit(at(now), None);
         for decision in bench.direct.step(at(now)) {
             if let Decision::Send(assignment) = decision {
-                sent += 1;
+                count += 1;
                 bench
                     .direct
                     .finish_attempt(at(now), assignment.ticket, AttemptOutcome::Answered);
             }
         }
     }
-    sent
+    count
 }
 
 #[rstest]
@@ -59,7 +59,7 @@
 fn send_what_limit_allows(#[case] limit: f64, #[case] expected: usize) {
     let mut bench = one_of(1);
     report_limit(&mut bench, at(2_000), Some(limit));
-    assert_eq!(sent(&mut bench, 2_100, 10_300), expected);
+    assert_eq!(requests_sent(&mut bench, 2_100, 10_300), expected);
 }
 
 /// The allowance beyond a limit went unused while callers were rejected. A target gets
@@ -93,16 +93,16 @@
     for _ in 0..3 {
         bench.submit(at(now), None);
     }
-    let mut sent = 0;
+    let mut count = 0;
     for decision in bench.direct.step(at(now)) {
         if let Decision::Send(assignment) = decision {
-            sent += 1;
+            count += 1;
             bench
                 .direct
                 .finish_attempt(at(now), assignment.ticket, AttemptOutcome::Answered);
         }
     }
-    sent
+    count
 }
 
 /// All targets of a region reported limits, and the excess was rejected while other
@@ -112,8 +112,8 @@
     let targets = [wide("t1"), entry("t9", "far-a")];
     let mut bench = Bench::new(route(), &targets);
     report_limit(&mut bench, at(2_000), Some(0.0));
-    sent(&mut bench, 2_100, 20_000);
-    let served = sent(&mut bench, 20_000, 30_000);
+    requests_sent(&mut bench, 2_100, 20_000);
+    let served = requests_sent(&mut bench, 20_000, 30_000);
     assert!(served >= 60, "{served} of 100");
 }
 
@@ -122,8 +122,11 @@
 fn keep_to_allotment_of_limit() {
     let mut bench = one_of(7);
     report_limit(&mut bench, at(2_000), Some(2.0));
-    let sent = sent(&mut bench, 2_100, 6_100);
-    assert!((1..=2).contains(&sent), "{sent} of 8 sent by one of seven");
+    let count = requests_sent(&mut bench, 2_100, 6_100);
+    assert!(
+        (1..=2).contains(&count),
+        "{count} of 8 sent by one of seven"
+    );
 }
 
 /// A lifted limit was still enforced.
@@ -131,16 +134,16 @@
 fn send_freely_once_limit_is_lifted() {
     let mut bench = one_of(7);
     report_limit(&mut bench, at(2_000), Some(1.0));
-    assert!(sent(&mut bench, 2_100, 6_000) <= 1);
+    assert!(requests_sent(&mut bench, 2_100, 6_000) <= 1);
     bench.direct.store_answered(at(6_000), 1);
     report_limit(&mut bench, at(6_000), None);
-    assert!(sent(&mut bench, 6_000, 7_000) >= 10);
+    assert!(requests_sent(&mut bench, 6_000, 7_000) >= 10);
 }
 
 fn limit_report(rate: Option<f64>, age: Duration) -> LimitReport {
-    let mark = members::name_hash("t1");
+    let target_hash = members::name_hash("t1");
     LimitReport {
-        target_hash: mark,
+        target_hash,
         rate,
         age,
     }
@@ -160,11 +163,11 @@
     bench
         .direct
         .receive_heartbeat(at(2_000), limit_heartbeat(Some(1.0), MS * 100, 2));
-    assert!(sent(&mut bench, 2_100, 6_000) <= 1);
+    assert!(requests_sent(&mut bench, 2_100, 6_000) <= 1);
     bench
         .direct
         .receive_heartbeat(at(6_000), limit_heartbeat(None, MS * 100, 3));
-    assert!(sent(&mut bench, 6_000, 7_000) >= 10);
+    assert!(requests_sent(&mut bench, 6_000, 7_000) >= 10);
 }
 
 /// An older report of another instance replaced the limit of a later answer.
@@ -175,18 +178,18 @@
     bench
         .direct
         .receive_heartbeat(at(2_100), limit_heartbeat(None, MS * 900, 2));
-    assert!(sent(&mut bench, 2_100, 6_000) <= 1);
+    assert!(requests_sent(&mut bench, 2_100, 6_000) <= 1);
 }
 
 #[test]
 fn report_limits_in_heartbeats() {
     let mut bench = one_of(7);
     report_limit(&mut bench, at(2_000), Some(1.0));
-    let beat = bench.direct.heartbeat(at(2_300), false);
-    assert_eq!(beat.limits, [limit_report(Some(1.0), MS * 300)]);
+    let report = bench.direct.heartbeat(at(2_300), false);
+    assert_eq!(report.limits, [limit_report(Some(1.0), MS * 300)]);
     report_limit(&mut bench, at(3_000), None);
-    let beat = bench.direct.heartbeat(at(4_000), false);
-    assert_eq!(beat.limits, [limit_report(None, MS * 1_000)]);
+    let report = bench.direct.heartbeat(at(4_000), false);
+    assert_eq!(report.limits, [limit_report(None, MS * 1_000)]);
     assert!(bench.direct.heartbeat(at(9_000), false).limits.is_empty());
 }
 
@@ -222,11 +225,11 @@
         };
         bench.direct.apply_feedback(at(1_000), &target.id, feedback);
     }
-    let beats = (0..3).flat_map(|_| bench.direct.heartbeat(at(1_100), false).limits);
-    let mut marks: Vec<u32> = beats.map(|n| n.target_hash).collect();
-    marks.sort_unstable();
-    marks.dedup();
-    assert_eq!(marks.len(), 25);
+    let reports = (0..3).flat_map(|_| bench.direct.heartbeat(at(1_100), false).limits);
+    let mut hashes: Vec<u32> = reports.map(|n| n.target_hash).collect();
+    hashes.sort_unstable();
+    hashes.dedup();
+    assert_eq!(hashes.len(), 25);
 }
 
 /// Nobody probed a target again after it had reported a limit and its few senders
@@ -235,9 +238,13 @@
 fn probe_limit_once() {
     let mut bench = one_of(7);
     report_limit(&mut bench, at(2_000), Some(0.0));
-    assert_eq!(sent(&mut bench, 2_100, 12_000), 0, "the report is recent");
-    let sent = sent(&mut bench, 12_000, 42_000);
-    assert!((1..=3).contains(&sent), "{sent} in 30 s");
+    assert_eq!(
+        requests_sent(&mut bench, 2_100, 12_000),
+        0,
+        "the report is recent"
+    );
+    let count = requests_sent(&mut bench, 12_000, 42_000);
+    assert!((1..=3).contains(&count), "{count} in 30 s");
 }
 
 /// A target that restarted under its old name was held to the limit of its former
@@ -246,12 +253,12 @@
 fn forget_limit_with_target() {
     let mut bench = one_of(7);
     report_limit(&mut bench, at(2_000), Some(0.0));
-    let anew = Entry {
+    let restarted = Entry {
         incarnation: 2,
         ..wide("t1")
     };
-    bench.direct.roster.put(at(3_000), anew);
-    assert_eq!(sent(&mut bench, 3_000, 4_000), 10);
+    bench.direct.roster.put(at(3_000), restarted);
+    assert_eq!(requests_sent(&mut bench, 3_000, 4_000), 10);
 }
 
 #[test]
@@ -259,5 +266,5 @@
     let targets = [wide("t1"), wide("t2")];
     let mut bench = Bench::new(route(), &targets);
     report_limit(&mut bench, at(2_000), Some(0.0));
-    assert_eq!(sent(&mut bench, 2_100, 3_100), 10);
+    assert_eq!(requests_sent(&mut bench, 2_100, 3_100), 10);
 }
--- a/crates/steer/tests/direct/members.rs
+++ b/crates/steer/tests/direct/members.rs
@@ -23,7 +23,7 @@
     #[case] listed: bool,
     #[case] silent: Option<u64>,
     #[case] store: bool,
-    #[case] there: bool,
+    #[case] expected: bool,
 ) {
     let mut members = Members::default();
     members.add(at(0), "a", registration("near"));
@@ -34,7 +34,7 @@
         members.receive(at(10_000), heartbeat("a", 1));
     }
     let now = 10_000 + silent.unwrap_or_default();
-    assert_eq!(!names(&members, now, store).is_empty(), there);
+    assert_eq!(!names(&members, now, store).is_empty(), expected);
 }
 
 /// An older heartbeat arrives after the one that says its sender leaves. Callers must
@@ -51,11 +51,11 @@
     members.receive(at(10), leaving);
     members.receive(at(20), heartbeat("a", 2));
     assert!(names(&members, 30, true).is_empty());
-    let anew = Heartbeat {
+    let restarted = Heartbeat {
         incarnation: 8,
         ..heartbeat("a", 1)
     };
-    members.receive(at(40), anew);
+    members.receive(at(40), restarted);
     assert_eq!(names(&members, 50, true), ["a"]);
 }
 
@@ -169,8 +169,8 @@
             ..heartbeat("near-2", 1)
         },
     );
-    let go = other.send(at(1_010), Some(object));
-    assert_eq!((go.target, go.warm), (target, true));
+    let assignment = other.send(at(1_010), Some(object));
+    assert_eq!((assignment.target, assignment.warm), (target, true));
     assert!(
         other
             .direct
--- a/crates/steer/tests/direct/recipients.rs
+++ b/crates/steer/tests/direct/recipients.rs
@@ -30,7 +30,7 @@
                 port += 1;
                 let domain = format!("{region}-{domain}");
                 let addr: SocketAddr = ([127, 0, 0, 1], port).into();
-                let row = Registration {
+                let registration = Registration {
                     region: region.into(),
                     domain: domain.as_str().into(),
                     callers: addr,
@@ -39,7 +39,7 @@
                 };
                 bench
                     .direct
-                    .set_member(at(0), &format!("{domain}-{i}"), Some(row));
+                    .set_member(at(0), &format!("{domain}-{i}"), Some(registration));
                 locations.push(Location {
                     port,
                     region,
@@ -62,11 +62,11 @@
     const RECIPIENTS_MAX: usize = 24;
     let (bench, locations) = fleet(per_domain);
     let Recipients {
-        local: near,
+        local,
         region,
-        remote: far,
+        remote,
     } = bench.direct.recipients(at(10));
-    let all: Vec<&SocketAddr> = near.iter().chain(&region).chain(&far).collect();
+    let all: Vec<&SocketAddr> = local.iter().chain(&region).chain(&remote).collect();
     let total = all.len();
     assert!(total <= RECIPIENTS_MAX, "{total} recipients");
     let count = |fits: &dyn Fn(&Location) -> bool| {
--- a/crates/steer/tests/direct/replica.rs
+++ b/crates/steer/tests/direct/replica.rs
@@ -84,9 +84,9 @@
     let behind = replica.changes_since(1);
     assert!(behind.full);
     assert_eq!(keys(&behind.items), ["kept"]);
-    let near = replica.changes_since(replica.revision() - 10);
-    assert!(!near.full);
-    assert_eq!(near.items.len(), 5);
+    let recent = replica.changes_since(replica.revision() - 10);
+    assert!(!recent.full);
+    assert_eq!(recent.items.len(), 5);
 }
 
 /// A store, readers of it and readers of those. Lists are old, answers are lost or
--- a/crates/steer/tests/direct/upstream.rs
+++ b/crates/steer/tests/direct/upstream.rs
@@ -21,24 +21,21 @@
 /// A region of three domains with `each` other instances in each, all registered.
 fn region(each: usize) -> Region {
     let mut bench = Bench::new(route(), &[]);
-    let mut order = vec![("near-1".to_owned(), "near-a")];
+    let mut by_rank = vec![("near-1".to_owned(), "near-a")];
     for domain in ["near-a", "near-b", "near-c"] {
         for i in 0..each {
             let name = format!("{domain}-{i}");
-            let row = Registration {
+            let listed = Registration {
                 domain: domain.into(),
                 ..registration("near")
             };
-            bench.direct.set_member(at(0), &name, Some(row));
-            order.push((name, domain));
+            bench.direct.set_member(at(0), &name, Some(listed));
+            by_rank.push((name, domain));
         }
     }
-    order.sort_by_key(|(name, _)| Reverse(reader_rank(name)));
+    by_rank.sort_by_key(|(name, _)| Reverse(reader_rank(name)));
     bench.direct.store_answered(at(0), 1);
-    Region {
-        bench,
-        by_rank: order,
-    }
+    Region { bench, by_rank }
 }
 
 impl Region {
@@ -156,7 +153,7 @@
 fn age_of_peer_answers() {
     let mut bench = Bench::new(route(), &[]);
     bench.direct.store_answered(at(1_000), 5);
-    let told = |bench: &mut Bench, millis, age| {
+    let answer_age = |bench: &mut Bench, millis, age| {
         let contact = StoreContact {
             age: Some(Duration::from_millis(age)),
             span: None,
@@ -164,8 +161,11 @@
         bench.direct.peer_answered(at(millis), contact, 5);
         bench.direct.store_age(at(millis)).expect("it was in touch")
     };
-    assert_eq!(told(&mut bench, 2_000, 1_500), Duration::from_secs(1));
-    assert_eq!(told(&mut bench, 3_000, 300), Duration::from_millis(300));
+    assert_eq!(answer_age(&mut bench, 2_000, 1_500), Duration::from_secs(1));
+    assert_eq!(
+        answer_age(&mut bench, 3_000, 300),
+        Duration::from_millis(300)
+    );
     assert!(bench.direct.is_store_reachable(at(6_600)));
     assert!(!bench.direct.is_store_reachable(at(6_800)));
 }
