--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -70,11 +70,11 @@
 const STOP_GRACE: Duration = Duration::from_secs(5);
 
 /// Time between looks at what a stop waits for.
-const STOP_POLL: Duration = Duration::from_millis(5);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Time for which a leaving instance still serves, so that callers who hold an
 /// old look-up's answer aren't refused. Longer than an answer's lifetime.
-const LEAVE_TIME: Duration = Duration::from_millis(2500);
+const LEAVE_DURATION: Duration = Duration::from_millis(2500);
 
 /// Where a daemon listens.
 #[derive(Clone, Debug, Serialize)]
@@ -102,15 +102,15 @@
 /// A daemon that serves.
 pub struct Running {
     addresses: Addresses,
-    longest: Duration,
+    deadline_max: Duration,
     engine: Arc<engine::Engine>,
     control: control::Handle,
     snapshot: Arc<ArcSwap<snapshot::Snapshot>>,
-    open: Arc<AtomicUsize>,
-    listening: Stopper,
-    ticking: Stopper,
+    open_connections: Arc<AtomicUsize>,
+    accept_stopper: Stopper,
+    service_stopper: Stopper,
     traffic: workers::Workers,
-    steering: workers::Workers,
+    control_workers: workers::Workers,
 }
 
 impl Bound {
@@ -147,22 +147,28 @@
     pub fn start(self) -> Result<Running, Error> {
         let limits = self.settings.limits;
         let traffic = workers::Workers::start(limits.threads()).map_err(Error::Thread)?;
-        let steering = workers::Workers::start(1).map_err(Error::Thread)?;
-        let core = self.core(&traffic, &steering)?;
-        let listening = Stopper::new();
-        let ticking = Stopper::new();
-        let open = core.serve_callers(self.callers, &limits, &traffic, &listening);
-        let serving = peers::Serving {
+        let control_workers = workers::Workers::start(1).map_err(Error::Thread)?;
+        let core = self.core(&traffic, &control_workers)?;
+        let accept_stopper = Stopper::new();
+        let service_stopper = Stopper::new();
+        let open_connections = core.serve_callers(self.callers, &limits, &traffic, &accept_stopper);
+        let service = peers::Service {
             secret: self.secret.clone(),
             engine: Arc::clone(&core.engine),
             control: core.control.clone(),
-            traffic: Arc::clone(traffic.executor()),
-            steering: Arc::clone(steering.executor()),
+            traffic_executor: Arc::clone(traffic.executor()),
+            control_executor: Arc::clone(control_workers.executor()),
         };
-        let peering = peers::serve(self.peers, serving, ticking.clone());
-        steering.executor().spawn(peering).detach();
-        core.serve_operators(self.operators, self.secret, &limits, &steering, &ticking);
-        let ticks = tick(Arc::clone(&core.engine), ticking.clone());
+        let serve_peers = peers::serve(self.peers, service, service_stopper.clone());
+        control_workers.executor().spawn(serve_peers).detach();
+        core.serve_operators(
+            self.operators,
+            self.secret,
+            &limits,
+            &control_workers,
+            &service_stopper,
+        );
+        let ticks = tick(Arc::clone(&core.engine), service_stopper.clone());
         traffic.executor().spawn(ticks).detach();
         log::info!(
             "event=started name={} callers={}",
@@ -171,65 +177,70 @@
         );
         Ok(Running {
             addresses: self.addresses,
-            longest: limits.request_time(),
+            deadline_max: limits.request_time(),
             engine: core.engine,
             control: core.control,
             snapshot: core.snapshot,
-            open,
-            listening,
-            ticking,
+            open_connections,
+            accept_stopper,
+            service_stopper,
             traffic,
-            steering,
+            control_workers,
         })
     }
 
-    fn core(&self, traffic: &workers::Workers, steering: &workers::Workers) -> Result<Core, Error> {
+    fn core(
+        &self,
+        traffic: &workers::Workers,
+        control_workers: &workers::Workers,
+    ) -> Result<Core, Error> {
         let settings = &self.settings;
         let metrics = Arc::new(metrics::Metrics::new()?);
         let snapshot = Arc::new(ArcSwap::from_pointee(snapshot::Snapshot::default()));
-        let pulse = Arc::new(snapshot::Pulse::default());
+        let last_run = Arc::new(snapshot::LastRun::default());
         let incarnation = view::Incarnation(fastrand::u64(1..));
         let executor = Arc::clone(traffic.executor());
         let store = store::http::Config::new(settings.store.clone());
         let store = store::http::Client::new(store, Arc::clone(&executor), fastrand::Rng::new());
         let store: Arc<dyn store::Store> = Arc::new(store);
-        let home = dispatch::Identity {
+        let identity = dispatch::Identity {
             name: Arc::clone(&settings.name),
             domain: Arc::clone(&settings.domain),
         };
         let limits = gate::Limits::default();
         let tuning = tuning(&settings.limits);
         let rng = fastrand::Rng::new();
-        let decide = traffic::Traffic::with_tuning(home.clone(), incarnation, limits, tuning, rng);
+        let decisions =
+            traffic::Traffic::with_tuning(identity.clone(), incarnation, limits, tuning, rng);
         let idle = settings.limits.target_connections();
-        let means = engine::Means {
+        let resources = engine::Resources {
             executor: Arc::clone(&executor),
             outbound: outbound::Outbound::new(Arc::clone(&executor), idle),
-            peers: self.peering(executor, peers::Lane::Traffic),
+            peers: self.peer_calls(executor, peers::Lane::Traffic),
             store: Arc::clone(&store),
         };
-        let engine = engine::Engine::new(decide, home, incarnation, means);
-        let parts = control::Parts {
+        let engine = engine::Engine::new(decisions, identity, incarnation, resources);
+        let context = control::Context {
             settings: settings.clone(),
             addresses: self.addresses.clone(),
             incarnation,
             engine: Arc::clone(&engine),
-            peers: self.peering(Arc::clone(steering.executor()), peers::Lane::Control),
+            peers: self.peer_calls(Arc::clone(control_workers.executor()), peers::Lane::Control),
             snapshot: Arc::clone(&snapshot),
-            pulse: Arc::clone(&pulse),
+            last_run: Arc::clone(&last_run),
             metrics: Arc::clone(&metrics),
             store,
         };
         Ok(Core {
             engine,
-            control: control::Handle::start(parts, steering.executor()),
+            control: control::Handle::start(context, control_workers.executor()),
             snapshot,
-            pulse,
+            last_run,
             metrics,
         })
     }
 
-    fn peering(&self, executor: workers::Executor, lane: peers::Lane) -> Arc<peers::Peers> {
+    fn peer_calls(&self, executor: workers::Executor, lane: peers::Lane) -> Arc<peers::Peers> {
         Arc::new(peers::Peers::new(executor, self.secret.clone(), lane))
     }
 }
@@ -239,7 +250,7 @@
     engine: Arc<engine::Engine>,
     control: control::Handle,
     snapshot: Arc<ArcSwap<snapshot::Snapshot>>,
-    pulse: Arc<snapshot::Pulse>,
+    last_run: Arc<snapshot::LastRun>,
     metrics: Arc<metrics::Metrics>,
 }
 
@@ -250,23 +261,23 @@
         socket: net::TcpListener,
         limits: &limits::Limits,
         traffic: &workers::Workers,
-        listening: &Stopper,
+        accept_stopper: &Stopper,
     ) -> Arc<AtomicUsize> {
         let callers = Arc::new(callers::Callers {
             snapshot: Arc::clone(&self.snapshot),
-            pulse: Arc::clone(&self.pulse),
+            last_run: Arc::clone(&self.last_run),
             engine: Arc::clone(&self.engine),
             metrics: Arc::clone(&self.metrics),
-            longest: limits.request_time(),
+            deadline_max: limits.request_time(),
         });
         let bounds = accept::Limits {
             bounds: bounds(limits),
-            head: limits.head_bytes(),
-            body: limits.body_bytes() as u64,
+            head_bytes: limits.head_bytes(),
+            body_bytes: limits.body_bytes() as u64,
             connections: limits.connections(),
         };
         let executor = Arc::clone(traffic.executor());
-        let listener = accept::Listener::new(bounds, executor, listening.clone());
+        let listener = accept::Listener::new(bounds, executor, accept_stopper.clone());
         let open = listener.count();
         let answer = move |conn, peer| callers::Callers::handle(Arc::clone(&callers), conn, peer);
         let run = listener.run(socket, answer);
@@ -279,8 +290,8 @@
         socket: net::TcpListener,
         secret: secret::Secret,
         limits: &limits::Limits,
-        steering: &workers::Workers,
-        ticking: &Stopper,
+        control_workers: &workers::Workers,
+        service_stopper: &Stopper,
     ) {
         let operators = Arc::new(operators::Operators {
             secret,
@@ -289,11 +300,11 @@
             metrics: Arc::clone(&self.metrics),
         });
         let bounds = operators::limits(bounds(limits));
-        let executor = Arc::clone(steering.executor());
-        let listener = accept::Listener::new(bounds, executor, ticking.clone());
+        let executor = Arc::clone(control_workers.executor());
+        let listener = accept::Listener::new(bounds, executor, service_stopper.clone());
         let answer = move |conn, _| operators::Operators::handle(Arc::clone(&operators), conn);
         let run = listener.run(socket, answer);
-        steering.executor().spawn(run).detach();
+        control_workers.executor().spawn(run).detach();
     }
 }
 
@@ -316,9 +327,9 @@
 
 fn bounds(limits: &limits::Limits) -> guarded::Bounds {
     guarded::Bounds {
-        whole: limits.request_time(),
-        idle: limits.idle_time(),
-        ahead: limits.head_bytes() + 2 * limits.body_bytes(),
+        transfer_time: limits.request_time(),
+        idle_time: limits.idle_time(),
+        unanswered_max: limits.head_bytes() + 2 * limits.body_bytes(),
     }
 }
 
@@ -365,37 +376,40 @@
     pub fn stop(self) {
         log::info!("event=leaving name={}", self.addresses.name);
         self.control.leave();
-        let until = Instant::now() + LEAVE_TIME + self.longest + STOP_GRACE;
-        let left = Instant::now() + LEAVE_TIME;
-        while Instant::now() < left {
-            std::thread::sleep(STOP_POLL);
+        let stop_until = Instant::now() + LEAVE_DURATION + self.deadline_max + STOP_GRACE;
+        let leave_until = Instant::now() + LEAVE_DURATION;
+        while Instant::now() < leave_until {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
-        self.listening.stop();
-        while self.busy() && Instant::now() < until {
-            std::thread::sleep(STOP_POLL);
+        self.accept_stopper.stop();
+        while self.is_busy() && Instant::now() < stop_until {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
-        let cut = self.engine.in_flight();
-        self.ticking.stop();
+        let cut_requests = self.engine.in_flight();
+        self.service_stopper.stop();
         self.control.stop();
         self.traffic.join();
-        self.steering.join();
-        log::info!("event=stopped name={} cut={cut}", self.addresses.name);
+        self.control_workers.join();
+        log::info!(
+            "event=stopped name={} cut={cut_requests}",
+            self.addresses.name
+        );
     }
 
-    fn busy(&self) -> bool {
-        !self.engine.drained() || self.open.load(Ordering::Relaxed) > 0
+    fn is_busy(&self) -> bool {
+        !self.engine.is_drained() || self.open_connections.load(Ordering::Relaxed) > 0
     }
 }
 
 /// Time between ticks while nothing is in flight. Ticks that wake an idle
 /// process a hundred times a second take a whole percent of a core.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn tick(engine: Arc<engine::Engine>, stopper: Stopper) {
     while !stopper.is_stopped() {
-        if engine.drained() {
+        if engine.is_drained() {
             let rest = async {
-                smol::Timer::after(IDLE_TICK).await;
+                smol::Timer::after(IDLE_TICK_INTERVAL).await;
             };
             future::or(engine.arrival(), rest).await;
         } else {
--- a/crates/auburnrouter/src/daemon/accept.rs
+++ b/crates/auburnrouter/src/daemon/accept.rs
@@ -19,7 +19,7 @@
 use smol::net;
 use trillium_http::{HttpConfig, Stopper};
 
-use super::guarded::{Bounds, Conn, Guarded, Serving};
+use super::guarded::{Bounds, Conn, Guarded, ServingFlag};
 use super::reply;
 use super::workers::Executor;
 
@@ -29,9 +29,9 @@
     /// Bounds on each connection.
     pub bounds: Bounds,
     /// Longest request head in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Longest request body in bytes.
-    pub body: u64,
+    pub body_bytes: u64,
     /// Connections at a time.
     pub connections: usize,
 }
@@ -42,7 +42,7 @@
     /// Address of the other end.
     pub ip: IpAddr,
     /// To be set once the request is whole.
-    pub serving: Serving,
+    pub serving: ServingFlag,
 }
 
 /// One listener and its connections.
@@ -54,9 +54,9 @@
 }
 
 /// Counts a connection for as long as it lives.
-struct Open(Arc<AtomicUsize>);
+struct OpenGuard(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -93,7 +93,7 @@
     {
         while let Some(accepted) = self.accept(&socket).await {
             match accepted {
-                Ok((stream, addr)) => self.open(stream, addr.ip(), handler.clone()),
+                Ok((stream, addr)) => self.spawn_connection(stream, addr.ip(), handler.clone()),
                 Err(_) => {
                     smol::Timer::after(ACCEPT_PAUSE).await;
                 }
@@ -113,19 +113,19 @@
         future::or(stopped, accepted).await
     }
 
-    fn open<H, F>(&self, stream: net::TcpStream, ip: IpAddr, handler: H)
+    fn spawn_connection<H, F>(&self, stream: net::TcpStream, ip: IpAddr, handler: H)
     where
         H: Fn(Conn, Peer) -> F + Send + Sync + 'static,
         F: Future<Output = Conn> + Send + 'static,
     {
-        let over = self.open.fetch_add(1, Ordering::Relaxed) >= self.limits.connections;
-        let open = Open(Arc::clone(&self.open));
+        let is_over_limit = self.open.fetch_add(1, Ordering::Relaxed) >= self.limits.connections;
+        let open = OpenGuard(Arc::clone(&self.open));
         let limits = self.limits;
         let stopper = self.stopper.clone();
         let task = async move {
             let _open = open;
-            if over {
-                refuse(stream, reply::TOO_MANY).await;
+            if is_over_limit {
+                refuse(stream, reply::TOO_MANY_CONNECTIONS).await;
             } else {
                 serve(stream, ip, limits, stopper, handler).await;
             }
@@ -147,14 +147,14 @@
     // Not fatal: answers are only a little later without it.
     let _ = stream.set_nodelay(true);
     let raw = stream.clone();
-    let guarded = Guarded::new(stream, limits.bounds, reply::TOO_SLOW);
+    let guarded = Guarded::new(stream, limits.bounds, reply::REQUEST_TIMEOUT);
     let peer = Peer {
         ip,
         serving: guarded.serving(),
     };
     let config = HttpConfig::default()
-        .with_head_max_len(limits.head)
-        .with_received_body_max_len(limits.body);
+        .with_head_max_len(limits.head_bytes)
+        .with_received_body_max_len(limits.body_bytes);
     let handle = |conn: Conn| handler(conn, peer.clone());
     let ended = Conn::map_with_config(config, guarded, stopper, handle).await;
     match ended {
--- a/crates/auburnrouter/src/daemon/callers.rs
+++ b/crates/auburnrouter/src/daemon/callers.rs
@@ -27,37 +27,37 @@
 use super::inbound::{self, Inbound};
 use super::metrics::Metrics;
 use super::reply;
-use super::snapshot::{Pulse, Snapshot};
+use super::snapshot::{LastRun, Snapshot};
 
 /// How long a caller may use a look-up's answer.
-const LIFETIME: Duration = Duration::from_secs(2);
+const LOOKUP_LIFETIME: Duration = Duration::from_secs(2);
 
 /// How long a caller may make new keys from one prefix.
 const KEY_LIFETIME: Duration = Duration::from_mins(1);
 
 /// When a caller is told to come back to an instance that isn't ready.
-const NOT_READY: Duration = Duration::from_secs(1);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Longest name of a caller in bytes; longer ones are cut.
-const NAME_MAX: usize = 128;
+const CALLER_NAME_MAX_BYTES: usize = 128;
 
 /// What the callers' listener needs.
 pub struct Callers {
     /// What the control thread published last.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
     /// When the control loop last ran.
-    pub pulse: Arc<Pulse>,
+    pub last_run: Arc<LastRun>,
     /// Where requests go.
     pub engine: Arc<Engine>,
     /// Counters.
     pub metrics: Arc<Metrics>,
     /// Longest time that a caller may ask for.
-    pub longest: Duration,
+    pub deadline_max: Duration,
 }
 
 /// A look-up's answer.
 #[derive(Debug, Serialize)]
-struct Found<'a> {
+struct LookupAnswer<'a> {
     version: u64,
     lifetime_ms: u64,
     choices: Vec<Choice<'a>>,
@@ -65,7 +65,7 @@
 
 /// What idempotency keys start with.
 #[derive(Debug, Serialize)]
-struct Issued<'a> {
+struct KeyAnswer<'a> {
     prefix: &'a str,
     lifetime_ms: u64,
 }
@@ -80,8 +80,8 @@
 impl Callers {
     /// Answers one request.
     pub async fn handle(self: Arc<Self>, mut conn: Conn, peer: Peer) -> Conn {
-        if has_false_length(&conn) {
-            let refusal = unread(&conn, outcome::Reason::BadRequest);
+        if has_invalid_length(&conn) {
+            let refusal = unread_refusal(&conn, outcome::Reason::BadRequest);
             // Without it the library doesn't wait for a body; nothing that
             // follows on this connection can be told apart from one.
             conn.request_headers_mut().remove(CONTENT_LENGTH);
@@ -105,18 +105,18 @@
     fn lookup(&self, conn: Conn, peer: &Peer) -> Conn {
         self.metrics.lookups.inc();
         let snapshot = self.snapshot.load();
-        match self.find(&snapshot, &conn, peer) {
+        match self.lookup_answer(&snapshot, &conn, peer) {
             Ok(found) => reply::json(conn, Status::Ok, &found),
             Err(refusal) => self.refuse(conn, refusal),
         }
     }
 
-    fn find<'a>(
+    fn lookup_answer<'a>(
         &self,
         snapshot: &'a Snapshot,
         conn: &Conn,
         peer: &Peer,
-    ) -> Result<Found<'a>, outcome::Refusal> {
+    ) -> Result<LookupAnswer<'a>, outcome::Refusal> {
         self.check_ready(snapshot)?;
         let view = &*snapshot.view;
         let query = Query::parse(conn.querystring());
@@ -134,9 +134,9 @@
         );
         let choices = snapshot.lookup.choose(region(view, addr), caller);
         let choices = choices.iter().flatten();
-        Ok(Found {
+        Ok(LookupAnswer {
             version: view.version.0,
-            lifetime_ms: millis(LIFETIME),
+            lifetime_ms: millis(LOOKUP_LIFETIME),
             choices: choices.map(|&member| choice(view, member)).collect(),
         })
     }
@@ -146,7 +146,7 @@
         let prefix = self.engine.prefix().ok_or_else(not_ready);
         match ready.and(prefix) {
             Ok(prefix) => {
-                let issued = Issued {
+                let issued = KeyAnswer {
                     prefix: &prefix,
                     lifetime_ms: millis(KEY_LIFETIME),
                 };
@@ -160,8 +160,8 @@
     /// long replaced: whom it names may be gone, and a key of it would get
     /// "unknown" wherever it is sent.
     fn check_ready(&self, snapshot: &Snapshot) -> Result<(), outcome::Refusal> {
-        let fresh = self.pulse.is_fresh(self.engine.now());
-        if snapshot.ready && fresh {
+        let is_fresh = self.last_run.is_fresh(self.engine.now());
+        if snapshot.ready && is_fresh {
             Ok(())
         } else {
             Err(not_ready())
@@ -170,31 +170,31 @@
 
     async fn request(&self, mut conn: Conn, peer: &Peer, rest: &str) -> Conn {
         let Some(terms) = self.terms(&conn) else {
-            let refusal = unread(&conn, outcome::Reason::BadRequest);
+            let refusal = unread_refusal(&conn, outcome::Reason::BadRequest);
             return self.refuse(conn, refusal);
         };
         let body = match conn.request_body().await.read_bytes().await {
             Ok(body) => body,
             Err(error) => {
-                let long = matches!(error, trillium_http::Error::ReceivedBodyTooLong(_));
-                let reason = if long {
+                let is_too_long = matches!(error, trillium_http::Error::ReceivedBodyTooLong(_));
+                let reason = if is_too_long {
                     outcome::Reason::TooLarge
                 } else {
                     outcome::Reason::BadRequest
                 };
-                let refusal = unread(&conn, reason);
+                let refusal = unread_refusal(&conn, reason);
                 return self.refuse(conn, refusal);
             }
         };
         peer.serving.begin();
         let request = Inbound {
-            home: self.home(peer.ip),
+            caller_region: self.caller_region(peer.ip),
             ..inbound(&conn, peer.ip, rest, body)
         };
         let served = self.engine.serve(request, terms);
         match conn.cancel_on_disconnect(served).await {
             Some(settled) => {
-                self.metrics.settled(&settled);
+                self.metrics.count_settled(&settled);
                 reply::settled(conn, &settled)
             }
             None => conn,
@@ -204,7 +204,7 @@
     fn terms(&self, conn: &Conn) -> Option<Terms> {
         let deadline = match header(conn, headers::DEADLINE_MS) {
             None => None,
-            Some(text) => Some(Duration::from_millis(text.parse().ok()?).min(self.longest)),
+            Some(text) => Some(Duration::from_millis(text.parse().ok()?).min(self.deadline_max)),
         };
         Some(Terms {
             deadline,
@@ -213,25 +213,25 @@
         })
     }
 
-    fn home(&self, ip: IpAddr) -> Option<Arc<str>> {
+    fn caller_region(&self, ip: IpAddr) -> Option<Arc<str>> {
         let snapshot = self.snapshot.load();
         let region = region(&snapshot.view, ip)?;
         Some(Arc::clone(&snapshot.view.regions[region].name))
     }
 
     fn refuse(&self, conn: Conn, refusal: outcome::Refusal) -> Conn {
-        self.metrics.settled(&Err(refusal));
+        self.metrics.count_settled(&Err(refusal));
         reply::refused(conn, &refusal)
     }
 }
 
 const fn not_ready() -> outcome::Refusal {
-    outcome::Refusal::not_run(outcome::Reason::NotReady, Some(NOT_READY))
+    outcome::Refusal::not_run(outcome::Reason::NotReady, Some(NOT_READY_RETRY_AFTER))
 }
 
 /// Refuses what no decision has seen. With a key it is "unknown": another copy
 /// may have run under the key, and "not run" would have it billed anew.
-fn unread(conn: &Conn, reason: outcome::Reason) -> outcome::Refusal {
+fn unread_refusal(conn: &Conn, reason: outcome::Reason) -> outcome::Refusal {
     match header(conn, headers::IDEMPOTENCY_KEY) {
         Some(_) => outcome::Refusal::unknown(reason, None),
         None => outcome::Refusal::not_run(reason, None),
@@ -241,7 +241,7 @@
 /// Whether a request's length is given twice or is none. The HTTP library takes
 /// the first of two lengths; whoever passed the request on may have taken the
 /// other, and what is left of the body would be read as a request of its own.
-fn has_false_length(conn: &Conn) -> bool {
+fn has_invalid_length(conn: &Conn) -> bool {
     let Some(lengths) = conn.request_headers().get_values(CONTENT_LENGTH) else {
         return false;
     };
@@ -281,9 +281,9 @@
         path: path.into(),
         headers: end_to_end(conn),
         body: body.into(),
-        caller: header(conn, headers::CALLER).map_or_else(|| ip.to_string().into(), cut),
+        caller: header(conn, headers::CALLER).map_or_else(|| ip.to_string().into(), truncate_name),
         key: header(conn, headers::IDEMPOTENCY_KEY).map(Arc::from),
-        home: None,
+        caller_region: None,
     }
 }
 
@@ -307,8 +307,8 @@
     conn.request_headers().get_str(name)
 }
 
-fn cut(name: &str) -> Arc<str> {
-    let mut end = name.len().min(NAME_MAX);
+fn truncate_name(name: &str) -> Arc<str> {
+    let mut end = name.len().min(CALLER_NAME_MAX_BYTES);
     while !name.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/auburnrouter/src/daemon/control.rs
+++ b/crates/auburnrouter/src/daemon/control.rs
@@ -3,14 +3,14 @@
 //! Invariant: control state is touched by one task on one thread; traffic
 //! threads see it through published snapshots only.
 
+pub mod active;
 mod apply;
 mod driver;
 mod dump;
-pub mod force;
 mod keys;
-mod shelf;
 mod status;
-mod world;
+mod store_calls;
+mod view_builder;
 
 use std::sync::Arc;
 
@@ -20,19 +20,19 @@
 use steer::process::member;
 use steer::version::view;
 
+use self::active::ActiveConfig;
 pub use self::apply::{Answer, Change, File, Result};
 pub use self::dump::Dump;
-use self::force::InForce;
 pub use self::status::{Entry as StatusEntry, Status};
 use super::Addresses;
 use super::engine::Engine;
 use super::metrics::Metrics;
 use super::peers::Peers;
-use super::snapshot::{Pulse, Snapshot};
+use super::snapshot::{LastRun, Snapshot};
 use super::workers::Executor;
 
 /// What the control thread works with.
-pub struct Parts {
+pub struct Context {
     /// The settings.
     pub settings: Settings,
     /// Where the daemon listens.
@@ -46,14 +46,14 @@
     /// Where snapshots are published.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
     /// When the control loop last ran.
-    pub pulse: Arc<Pulse>,
+    pub last_run: Arc<LastRun>,
     /// Gauges of the control state.
     pub metrics: Arc<Metrics>,
     /// The platform's store.
     pub store: Arc<dyn store::Store>,
 }
 
-impl Parts {
+impl Context {
     /// What this process is.
     #[must_use]
     pub fn identity(&self) -> member::Identity {
@@ -69,9 +69,9 @@
 /// A way to ask the control thread.
 #[derive(Clone)]
 pub struct Handle {
-    parts: Arc<Parts>,
+    context: Arc<Context>,
     inputs: async_channel::Sender<driver::Input>,
-    force: Arc<ArcSwapOption<InForce>>,
+    active: Arc<ArcSwapOption<ActiveConfig>>,
     changing: Arc<smol::lock::Mutex<()>>,
     executor: Executor,
     /// Closed once a newer process has taken the name over.
@@ -80,23 +80,23 @@
 
 impl Handle {
     /// Starts the control loop.
-    pub fn start(parts: Parts, executor: &Executor) -> Self {
-        let parts = Arc::new(parts);
+    pub fn start(context: Context, executor: &Executor) -> Self {
+        let context = Arc::new(context);
         let (inputs, inbox) = async_channel::unbounded();
-        let (holding, replaced) = async_channel::bounded(1);
-        let force = Arc::new(ArcSwapOption::empty());
+        let (superseded, replaced) = async_channel::bounded(1);
+        let active = Arc::new(ArcSwapOption::empty());
         let driver = driver::Driver::new(
-            Arc::clone(&parts),
-            Arc::clone(&force),
+            Arc::clone(&context),
+            Arc::clone(&active),
             inputs.clone(),
             Arc::clone(executor),
-            holding,
+            superseded,
         );
         executor.spawn(driver.run(inbox)).detach();
         Self {
-            parts,
+            context,
             inputs,
-            force,
+            active,
             changing: Arc::default(),
             executor: Arc::clone(executor),
             replaced,
@@ -125,7 +125,7 @@
     /// Bytes and messages sent to peers so far, without framing.
     #[must_use]
     pub fn peer_traffic(&self) -> (u64, u64) {
-        let counts = self.parts.peers.counts();
+        let counts = self.context.peers.counts();
         (counts.bytes(), counts.messages())
     }
 
@@ -138,25 +138,25 @@
     /// What this process is.
     #[must_use]
     pub fn identity(&self) -> member::Identity {
-        self.parts.identity()
+        self.context.identity()
     }
 
     /// The configuration in force, if there is one.
     #[must_use]
-    pub fn force(&self) -> Option<Arc<InForce>> {
-        self.force.load_full()
+    pub fn active_config(&self) -> Option<Arc<ActiveConfig>> {
+        self.active.load_full()
     }
 
     /// Version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.force.load().as_ref().map_or(0, |f| f.version.0)
+        self.active.load().as_ref().map_or(0, |f| f.version.0)
     }
 
     /// Makes an operator's change, one at a time.
     pub async fn change(&self, change: Change) -> Answer {
         let _one = self.changing.lock().await;
-        apply::change(&*self.parts.store, self.force(), change).await
+        apply::change(&*self.context.store, self.active_config(), change).await
     }
 
     /// The state of the process; `None` if the control loop has ended.
--- a/crates/auburnrouter/src/daemon/control/force.rs
+++ b/crates/auburnrouter/src/daemon/control/active.rs
@@ -1,6 +1,6 @@
 //! The configuration in force, as files and as what they mean here.
 //!
-//! Invariant: an [`InForce`] has passed the verifier, as far as it concerns
+//! Invariant: an [`ActiveConfig`] has passed the verifier, as far as it concerns
 //! this failure domain; whoever accepted it has verified it whole.
 
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// A version that passed the verifier.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// Its number.
     pub version: view::Version,
     /// Its files, sorted by name.
@@ -41,14 +41,14 @@
 
 /// A whole configuration that was verified for every site.
 #[derive(Debug)]
-pub struct Whole {
+pub struct FullConfig {
     /// Its documents, sorted by name.
     pub documents: Vec<document::Document>,
     /// What they mean.
     pub checked: bundle::Checked,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Verifies a head with its bodies, which come in the order of its files.
     ///
     /// # Errors
@@ -75,16 +75,16 @@
     ///
     /// # Errors
     /// If a body is damaged or the files have faults.
-    pub fn whole(&self) -> Result<Whole, Error> {
+    pub fn full(&self) -> Result<FullConfig, Error> {
         let get = |hash: config::Hash| {
             let found = self.bodies.iter().find(|b| b.hash == hash);
             found.map(|b| Arc::clone(&b.bytes))
         };
-        Whole::new(&document::bundle(&self.files, get)?)
+        FullConfig::new(&document::bundle(&self.files, get)?)
     }
 }
 
-impl Whole {
+impl FullConfig {
     /// Verifies a configuration for every site.
     ///
     /// # Errors
--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -17,8 +17,8 @@
 use store::error;
 use wire::kv;
 
-use super::force::{self, InForce};
-use super::{keys, shelf};
+use super::active::{self, ActiveConfig};
+use super::{keys, store_calls};
 
 /// A file of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,62 +88,65 @@
 /// Makes a change.
 pub async fn change(
     store: &dyn store::Store,
-    force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfig>>,
     change: Change,
 ) -> Answer {
-    let version = force.as_deref().map_or(view::Version(0), |f| f.version);
+    let version = active.as_deref().map_or(view::Version(0), |f| f.version);
     let change = Arc::new(change);
-    match weigh_beside(force, Arc::clone(&change)).await {
+    match check_on_thread(active, Arc::clone(&change)).await {
         Err(refused) => Answer::new(Result::Refused, version, refused),
-        Ok(next) if change.dry_run => Answer::new(Result::WouldBe, version, next.told),
+        Ok(next) if change.dry_run => Answer::new(Result::WouldBe, version, next.report),
         Ok(next) => write(store, version, &change, next).await,
     }
 }
 
 /// Weighs a change on a thread of its own: at full size it takes half a second,
 /// in which the control thread would send no heartbeat.
-async fn weigh_beside(
-    force: Option<Arc<InForce>>,
+async fn check_on_thread(
+    active: Option<Arc<ActiveConfig>>,
     change: Arc<Change>,
-) -> std::result::Result<Next, Vec<String>> {
-    let (done, weighed) = async_channel::bounded(1);
+) -> std::result::Result<CheckedChange, Vec<String>> {
+    let (done, checked) = async_channel::bounded(1);
     let work = move || {
         // It fails only if nobody waits for the answer any more.
-        let _ = done.send_blocking(weigh(force.as_deref(), &change));
+        let _ = done.send_blocking(check_change(active.as_deref(), &change));
     };
     let thread = thread::Builder::new().name("weigh".to_owned()).spawn(work);
     let Ok(thread) = thread else {
         let line = "no thread for the check could be started; apply again later";
         return Err(vec![line.to_owned()]);
     };
-    let next = weighed.recv().await;
+    let next = checked.recv().await;
     // A thread that panicked left no answer, and has printed why.
     let _ = thread.join();
     next.unwrap_or_else(|_| Err(vec!["the check failed; report this".to_owned()]))
 }
 
 /// A change that may be made, with what it changes and moves.
-struct Next {
+struct CheckedChange {
     documents: Vec<document::Document>,
-    told: Vec<String>,
+    report: Vec<String>,
 }
 
 /// Verifies a change and judges what it moves; an error is the lines to show.
-fn weigh(old: Option<&InForce>, change: &Change) -> std::result::Result<Next, Vec<String>> {
-    let shown = |error: force::Error| lines(&error.to_string());
+fn check_change(
+    old: Option<&ActiveConfig>,
+    change: &Change,
+) -> std::result::Result<CheckedChange, Vec<String>> {
+    let shown = |error: active::Error| lines(&error.to_string());
     let files = change.files.iter().map(bundle::File::from).collect();
-    let bundle = force::bundle(files).map_err(shown)?;
-    let next = force::Whole::new(&bundle).map_err(shown)?;
-    let mut told = Vec::new();
+    let bundle = active::bundle(files).map_err(shown)?;
+    let next = active::FullConfig::new(&bundle).map_err(shown)?;
+    let mut report = Vec::new();
     if let Some(old) = old {
-        let old = old.whole().map_err(shown)?;
+        let old = old.full().map_err(shown)?;
         let diff = diff::diff(&old.checked, &next.checked);
-        told = lines(&diff.to_string());
+        report = lines(&diff.to_string());
         judge(&old.checked, &next.checked, &change.caps)?;
     }
-    Ok(Next {
+    Ok(CheckedChange {
         documents: next.documents,
-        told,
+        report,
     })
 }
 
@@ -156,7 +159,7 @@
     }
 }
 
-impl InForce {
+impl ActiveConfig {
     /// The files as operators see them.
     pub fn listing(&self) -> Vec<File> {
         let pairs = self.files.iter().zip(&self.bodies);
@@ -193,43 +196,48 @@
 
 async fn write(
     store: &dyn store::Store,
-    force: view::Version,
+    in_force: view::Version,
     change: &Change,
-    next: Next,
+    next: CheckedChange,
 ) -> Answer {
     let stored = match read(store).await {
         Ok(stored) => stored,
         Err(error) => {
             let line =
                 format!("not accepted, nothing was written: reading the head failed: {error}");
-            return Answer::new(Result::NotAccepted, force, vec![line]);
+            return Answer::new(Result::NotAccepted, in_force, vec![line]);
         }
     };
-    let present = stored.as_ref().map_or(view::Version(0), |s| s.head.version);
+    let stored_version = stored.as_ref().map_or(view::Version(0), |s| s.head.version);
     if let Some(made) = stored
         .as_ref()
-        .and_then(|s| made_before(&s.head, &change.id))
+        .and_then(|s| version_made(&s.head, &change.id))
     {
         // The operator asks again after a lost answer.
-        return judged(&Verdict::InForce(made), force, next.told);
+        return verdict_answer(&Verdict::InForce(made), in_force, next.report);
     }
-    if present.0 != change.over {
+    if stored_version.0 != change.over {
         // What the operator didn't know of shows as differences from it.
-        return judged(&Verdict::Conflict(present), force, next.told);
+        return verdict_answer(&Verdict::Conflict(stored_version), in_force, next.report);
     }
-    if present > force {
+    if stored_version > in_force {
         // What the change moves was judged against an older version.
-        let line = format!("not accepted: {present} isn't in force here yet; apply again at once");
-        return Answer::new(Result::NotAccepted, force, vec![line]);
+        let line = format!(
+            "not accepted: {stored_version} isn't in in_force here yet; apply again at once"
+        );
+        return Answer::new(Result::NotAccepted, in_force, vec![line]);
     }
     let head = stored.as_ref().map(|s| &*s.head);
     let (files, bodies) = contents(&next.documents, head);
-    let base = Base { stored, force };
+    let base = Base {
+        stored,
+        force: in_force,
+    };
     let mut apply = Apply::new(change.id.as_str().into(), base, files, bodies);
     let mut step = apply.start();
     loop {
         let outcome = match step {
-            Step::Done(verdict) => return judged(&verdict, force, next.told),
+            Step::Done(verdict) => return verdict_answer(&verdict, in_force, next.report),
             Step::PutBody(body) => put_body(store, &body).await,
             Step::PutHead { head, expect } => put_head(store, &head, expect).await,
             Step::ReadHead => read(store).await.map_or(Outcome::Lost, Outcome::Read),
@@ -239,7 +247,7 @@
 }
 
 /// The version that a change of this id has made already.
-fn made_before(head: &config::Head, id: &str) -> Option<view::Version> {
+fn version_made(head: &config::Head, id: &str) -> Option<view::Version> {
     let made = head.recent.iter().find(|change| &*change.id == id);
     made.map(|change| change.version)
 }
@@ -261,21 +269,21 @@
     (documents.iter().map(file).collect(), bodies)
 }
 
-fn judged(verdict: &Verdict, force: view::Version, mut told: Vec<String>) -> Answer {
+fn verdict_answer(verdict: &Verdict, in_force: view::Version, mut report: Vec<String>) -> Answer {
     let (result, version) = match verdict {
         Verdict::InForce(version) => (Result::Accepted, *version),
-        Verdict::NotAccepted | Verdict::StoreBehind { .. } => (Result::NotAccepted, force),
+        Verdict::NotAccepted | Verdict::StoreBehind { .. } => (Result::NotAccepted, in_force),
         Verdict::Conflict(version) => (Result::Conflict, *version),
         Verdict::Unknown { version, .. } => (Result::Unknown, *version),
     };
-    told.push(verdict.to_string());
-    Answer::new(result, version, told)
+    report.push(verdict.to_string());
+    Answer::new(result, version, report)
 }
 
 async fn read(store: &dyn store::Store) -> std::result::Result<Option<StoredHead>, error::Error> {
     match store.get(keys::HEAD).await? {
         None => Ok(None),
-        Some(entry) => match shelf::parse(&entry) {
+        Some(entry) => match store_calls::parse(&entry) {
             Some(stored) => Ok(Some(stored)),
             None => Err(error::Error::BadAnswer { status: 200 }),
         },
@@ -318,7 +326,7 @@
     match store.put(keys::HEAD, put).await {
         Ok(_) => Outcome::Written,
         Err(error::Error::Conflict { current }) => {
-            Outcome::Conflict(current.as_ref().and_then(shelf::parse))
+            Outcome::Conflict(current.as_ref().and_then(store_calls::parse))
         }
         Err(_) => Outcome::Lost,
     }
--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -14,17 +14,17 @@
 use steer::process::{config, member};
 use wire::peer;
 
-use super::force::InForce;
-use super::{Parts, dump, shelf, world};
+use super::active::ActiveConfig;
+use super::{Context, dump, store_calls, view_builder};
 use crate::daemon::workers::Executor;
 
 /// Time between two reads of the platform's list of this domain's targets, for
 /// each hundred instances of the fleet: the store's reads a second stay about
 /// the same.
-const LIST: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between two tries to learn who answers at a seed's address.
-const SEEDS: Duration = Duration::from_secs(2);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What the loop takes in.
 pub enum Input {
@@ -46,54 +46,54 @@
 
 /// The loop's state.
 pub struct Driver {
-    parts: Arc<Parts>,
+    context: Arc<Context>,
     control: Control,
-    world: world::World,
+    view: view_builder::ViewBuilder,
     inputs: async_channel::Sender<Input>,
     executor: Executor,
     seeds: Vec<member::Hint>,
     hints: Vec<member::Hint>,
     /// Closed once a newer process has taken the name over.
-    holding: async_channel::Sender<()>,
+    superseded: async_channel::Sender<()>,
 }
 
 impl Driver {
     /// A loop that knows nobody.
     pub fn new(
-        parts: Arc<Parts>,
-        force: Arc<ArcSwapOption<InForce>>,
+        context: Arc<Context>,
+        active: Arc<ArcSwapOption<ActiveConfig>>,
         inputs: async_channel::Sender<Input>,
         executor: Executor,
-        holding: async_channel::Sender<()>,
+        superseded: async_channel::Sender<()>,
     ) -> Self {
-        let outlets = world::Outlets {
-            engine: Arc::clone(&parts.engine),
-            snapshot: Arc::clone(&parts.snapshot),
-            force,
+        let outputs = view_builder::Outputs {
+            engine: Arc::clone(&context.engine),
+            snapshot: Arc::clone(&context.snapshot),
+            active,
         };
         let settings = control::Settings {
-            identity: parts.identity(),
-            incarnation: parts.incarnation,
+            identity: context.identity(),
+            incarnation: context.incarnation,
             generation: wall_clock(),
             seeds: Vec::new(),
             guards: control::Safeguards::default(),
         };
         Self {
-            control: Control::new(parts.engine.now(), settings, fastrand::Rng::new()),
-            world: world::World::new(outlets),
-            parts,
+            control: Control::new(context.engine.now(), settings, fastrand::Rng::new()),
+            view: view_builder::ViewBuilder::new(outputs),
+            context,
             inputs,
             executor,
             seeds: Vec::new(),
             hints: Vec::new(),
-            holding,
+            superseded,
         }
     }
 
     /// Runs until told to stop.
     pub async fn run(mut self, inbox: async_channel::Receiver<Input>) {
-        self.executor.spawn(self.list_often()).detach();
-        self.executor.spawn(self.greet_seeds()).detach();
+        self.executor.spawn(self.poll_targets()).detach();
+        self.executor.spawn(self.resolve_seeds()).detach();
         loop {
             let input = async { inbox.recv().await.ok() };
             let pause = async {
@@ -103,18 +103,18 @@
             match future::or(input, pause).await {
                 Some(Input::Stop(done)) => {
                     self.handle(control::Event::Stop);
-                    self.parts.peers.flush().await;
+                    self.context.peers.flush().await;
                     let _ = done.try_send(());
                     return;
                 }
-                Some(input) => self.take(input),
+                Some(input) => self.handle_input(input),
                 None => {}
             }
             self.handle(control::Event::Tick);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Message(message) => self.handle(control::Event::Received(message)),
             Input::Stored(id, reply) => self.stored(id, reply),
@@ -124,11 +124,11 @@
                 self.handle(control::Event::Hints(self.all_hints()));
             }
             Input::Leave => {
-                self.parts.engine.leave();
+                self.context.engine.leave();
                 self.handle(control::Event::Leave);
             }
             Input::Dump(reply) => {
-                let _ = reply.try_send(dump::Dump::new(&self.parts, &self.control));
+                let _ = reply.try_send(dump::Dump::new(&self.context, &self.control));
             }
             Input::Stop(_) => {}
         }
@@ -136,38 +136,38 @@
 
     fn handle(&mut self, event: control::Event) {
         let mut actions = Vec::new();
-        let now = self.parts.engine.now();
+        let now = self.context.engine.now();
         self.control.handle(now, event, &mut actions);
         for action in actions {
             self.act(action);
         }
         // After the actions: what a freeze changes is published by now.
-        self.parts.pulse.beat(now);
+        self.context.last_run.record(now);
     }
 
     fn act(&mut self, action: control::Action) {
         match action {
-            control::Action::Send { to, message } => self.parts.peers.tell(to, &message),
+            control::Action::Send { to, message } => self.context.peers.tell(to, &message),
             control::Action::Store { id, call } => self.call(id, call),
             control::Action::Install { head, bodies } => self.install(&head, &bodies),
             control::Action::Publish(snapshot) => self.publish(&snapshot),
             control::Action::Notice(notice) => {
-                dump::note(&notice);
+                dump::log_notice(&notice);
                 if notice == control::Notice::Standing(control::MemberStatus::Superseded) {
-                    self.holding.close();
+                    self.superseded.close();
                 }
             }
         }
     }
 
     fn call(&self, id: store::CallId, call: store::Call) {
-        let parts = Arc::clone(&self.parts);
+        let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
-        self.parts.metrics.store_calls.inc();
+        self.context.metrics.store_calls.inc();
         let work = async move {
-            let reply = shelf::answer(&*parts.store, &call).await;
+            let reply = store_calls::run(&*context.store, &call).await;
             if reply == store::Reply::Unavailable {
-                parts.metrics.store_failures.inc();
+                context.metrics.store_failures.inc();
             }
             let _ = inputs.try_send(Input::Stored(id, reply));
         };
@@ -182,7 +182,7 @@
             }
             other => other,
         };
-        self.parts
+        self.context
             .metrics
             .store_up
             .set(i64::from(reply != store::Reply::Unavailable));
@@ -192,7 +192,7 @@
     fn listed(&mut self, list: Option<Vec<instance::Instance>>) {
         // No news changes nothing: the last list stays.
         if let Some(list) = list {
-            self.world.list(list);
+            self.view.list(list);
         }
     }
 
@@ -202,9 +202,9 @@
 
     fn install(&mut self, head: &config::Head, bodies: &[config::Body]) {
         let version = head.version;
-        match InForce::open(head, bodies, &self.parts.settings.domain) {
-            Ok(force) => {
-                let slots = self.world.install(force, &self.parts.settings.name);
+        match ActiveConfig::open(head, bodies, &self.context.settings.domain) {
+            Ok(active) => {
+                let slots = self.view.install(active, &self.context.settings.name);
                 self.handle(control::Event::Installed { version, slots });
             }
             Err(error) => {
@@ -215,7 +215,7 @@
     }
 
     fn publish(&mut self, snapshot: &control::Snapshot) {
-        let metrics = &self.parts.metrics;
+        let metrics = &self.context.metrics;
         metrics
             .version
             .set(i64::try_from(snapshot.version.0).unwrap_or(i64::MAX));
@@ -223,53 +223,56 @@
             .members
             .set(i64::try_from(snapshot.members.len()).unwrap_or(i64::MAX));
         metrics.ready.set(i64::from(snapshot.ready));
-        let counts = self.parts.peers.counts();
+        let counts = self.context.peers.counts();
         metrics
             .peer_bytes
             .set(counts.bytes().try_into().unwrap_or(i64::MAX));
         metrics
             .peer_messages
             .set(counts.messages().try_into().unwrap_or(i64::MAX));
-        self.parts.engine.hold(snapshot.share.divisor.is_some());
-        self.world.members(self.control.record(), snapshot);
+        self.context
+            .engine
+            .set_slot_held(snapshot.share.divisor.is_some());
+        self.view.members(self.control.record(), snapshot);
     }
 
     /// Reads this domain's targets again and again, the less often the larger the
     /// fleet is, and at random times so that instances don't do it together.
-    fn list_often(&self) -> impl Future<Output = ()> + use<> {
-        let parts = Arc::clone(&self.parts);
+    fn poll_targets(&self) -> impl Future<Output = ()> + use<> {
+        let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
         async move {
-            let targets = wire::instance::Part::Targets(parts.settings.domain.to_string());
+            let targets = wire::instance::Part::Targets(context.settings.domain.to_string());
             loop {
-                parts.metrics.store_calls.inc();
-                let list = parts.store.instances(&targets).await.ok();
+                context.metrics.store_calls.inc();
+                let list = context.store.instances(&targets).await.ok();
                 if list.is_none() {
-                    parts.metrics.store_failures.inc();
+                    context.metrics.store_failures.inc();
                 }
-                let list = list.map(|l| l.instances.into_iter().map(world::listed).collect());
+                let list =
+                    list.map(|l| l.instances.into_iter().map(view_builder::listed).collect());
                 if inputs.send(Input::Listed(list)).await.is_err() {
                     return;
                 }
-                let fleet = parts.snapshot.load().view.members.len();
+                let fleet = context.snapshot.load().view.members.len();
                 let hundreds = u32::try_from(fleet / 100).unwrap_or(u32::MAX);
-                let mean = LIST * hundreds.max(1);
+                let mean = LIST_INTERVAL * hundreds.max(1);
                 smol::Timer::after(mean.mul_f64(0.5 + fastrand::f64())).await;
             }
         }
     }
 
     /// Learns who answers at the seeds' addresses, until all have.
-    fn greet_seeds(&self) -> impl Future<Output = ()> + use<> {
-        let parts = Arc::clone(&self.parts);
+    fn resolve_seeds(&self) -> impl Future<Output = ()> + use<> {
+        let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
         async move {
             let mut found: Vec<member::Hint> = Vec::new();
-            let mut left = parts.settings.seeds.clone();
+            let mut left = context.settings.seeds.clone();
             while !left.is_empty() && !inputs.is_closed() {
                 let mut silent = Vec::new();
                 for addr in left {
-                    match parts.peers.who(addr).await {
+                    match context.peers.who(addr).await {
                         Some(who) => found.push(hint(who)),
                         None => silent.push(addr),
                     }
@@ -278,7 +281,7 @@
                 if inputs.send(Input::Seeds(found.clone())).await.is_err() {
                     return;
                 }
-                smol::Timer::after(SEEDS).await;
+                smol::Timer::after(SEED_RETRY_INTERVAL).await;
             }
         }
     }
--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use steer::process::control::{self, Control};
 
-use super::Parts;
+use super::Context;
 
 /// The state of a process.
 #[derive(Debug, Serialize)]
@@ -19,7 +19,7 @@
     in_flight: usize,
     drained: bool,
     key_prefix: Option<String>,
-    entries: Vec<Row>,
+    entries: Vec<Entry>,
     targets: Vec<Target>,
     control: String,
     traffic: Vec<String>,
@@ -27,7 +27,7 @@
 
 /// What is known of an entry instance.
 #[derive(Debug, Serialize)]
-struct Row {
+struct Entry {
     name: Arc<str>,
     domain: Arc<str>,
     life: &'static str,
@@ -44,9 +44,9 @@
 
 impl Dump {
     /// The state as it is now.
-    pub fn new(parts: &Parts, control: &Control) -> Self {
-        let snapshot = parts.snapshot.load();
-        let rows = control.table().rows().iter().map(|row| Row {
+    pub fn new(context: &Context, control: &Control) -> Self {
+        let snapshot = context.snapshot.load();
+        let entries = control.table().rows().iter().map(|row| Entry {
             name: Arc::clone(&row.record.identity.name),
             domain: Arc::clone(&row.record.identity.domain),
             life: row.record.lifecycle.as_str(),
@@ -61,25 +61,25 @@
             },
         });
         Self {
-            name: Arc::clone(&parts.settings.name),
-            domain: Arc::clone(&parts.settings.domain),
-            incarnation: parts.incarnation.to_string(),
+            name: Arc::clone(&context.settings.name),
+            domain: Arc::clone(&context.settings.domain),
+            incarnation: context.incarnation.to_string(),
             standing: control.status().as_str(),
             ready: control.is_ready(),
             version: control.version().0,
-            in_flight: parts.engine.in_flight(),
-            drained: parts.engine.drained(),
-            key_prefix: parts.engine.prefix().map(|p| p.as_str().to_owned()),
-            entries: rows.collect(),
+            in_flight: context.engine.in_flight(),
+            drained: context.engine.is_drained(),
+            key_prefix: context.engine.prefix().map(|p| p.as_str().to_owned()),
+            entries: entries.collect(),
             targets: targets.collect(),
             control: format!("{:?}", control.counters()),
-            traffic: parts.engine.dump(),
+            traffic: context.engine.dump(),
         }
     }
 }
 
 /// One log line for a change of state.
-pub fn note(notice: &control::Notice) {
+pub fn log_notice(notice: &control::Notice) {
     use control::Notice;
     match notice {
         Notice::StoreAway => log::warn!("event=store-away"),
--- a/crates/auburnrouter/src/daemon/control/status.rs
+++ b/crates/auburnrouter/src/daemon/control/status.rs
@@ -12,7 +12,7 @@
 use super::Handle;
 
 /// Time for an instance to say its version.
-const ASK_TIME: Duration = Duration::from_secs(1);
+const VERSION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The state of the fleet as one instance sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,18 +39,18 @@
 impl Handle {
     /// Asks every member for its version.
     pub async fn status(&self) -> Status {
-        let view = Arc::clone(&self.parts.snapshot.load().view);
+        let view = Arc::clone(&self.context.snapshot.load().view);
         let mut entries: Vec<Entry> = view
             .entries
             .values()
             .map(|e| unreached(&e.name, &view.domains[e.domain].name))
             .collect();
         let asked = view.members.values().map(|member| {
-            let peers = Arc::clone(&self.parts.peers);
+            let peers = Arc::clone(&self.context.peers);
             let addr = member.peer;
             self.executor.spawn(async move {
                 let late = async {
-                    smol::Timer::after(ASK_TIME).await;
+                    smol::Timer::after(VERSION_TIMEOUT).await;
                     None
                 };
                 future::or(peers.who(addr), late).await
@@ -70,7 +70,7 @@
             }
         }
         Status {
-            name: self.parts.settings.name.as_ref().to_owned(),
+            name: self.context.settings.name.as_ref().to_owned(),
             version: self.version(),
             entries,
         }
@@ -78,7 +78,7 @@
 
     /// Whether a change was accepted; `None` if nobody can tell any more.
     pub async fn accepted(&self, id: &str) -> Option<bool> {
-        super::apply::accepted(&*self.parts.store, id).await
+        super::apply::accepted(&*self.context.store, id).await
     }
 }
 
--- a/crates/auburnrouter/src/daemon/control/shelf.rs
+++ b/crates/auburnrouter/src/daemon/control/store_calls.rs
@@ -15,16 +15,16 @@
 use super::keys;
 
 /// Time for a call besides its own wait; below what control counts as lost.
-const CALL_TIME: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Carries out one call.
-pub async fn answer(store: &dyn store::Store, call: &Call) -> Reply {
+pub async fn run(store: &dyn store::Store, call: &Call) -> Reply {
     let wait = match call {
         Call::Watch { wait, .. } => *wait,
         Call::Head | Call::Body(_) | Call::List => Duration::ZERO,
     };
     let late = async {
-        smol::Timer::after(wait + CALL_TIME).await;
+        smol::Timer::after(wait + CALL_TIMEOUT).await;
         Reply::Unavailable
     };
     let work = async {
--- a/crates/auburnrouter/src/daemon/control/world.rs
+++ b/crates/auburnrouter/src/daemon/control/view_builder.rs
@@ -10,35 +10,35 @@
 use steer::process::{control, member};
 use steer::version::view;
 
-use super::force::InForce;
+use super::active::ActiveConfig;
 use crate::daemon::engine::Engine;
 use crate::daemon::snapshot::Snapshot;
 
 /// Where the view is published.
-pub struct Outlets {
+pub struct Outputs {
     /// For requests.
     pub engine: Arc<Engine>,
     /// For look-ups.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
     /// For operators' calls.
-    pub force: Arc<ArcSwapOption<InForce>>,
+    pub active: Arc<ArcSwapOption<ActiveConfig>>,
 }
 
 /// The parts of the view.
-pub struct World {
-    outlets: Outlets,
-    force: Option<Arc<InForce>>,
+pub struct ViewBuilder {
+    outputs: Outputs,
+    active: Option<Arc<ActiveConfig>>,
     instances: Vec<instance::Instance>,
     members: Vec<instance::Member>,
     serving: bool,
 }
 
-impl World {
+impl ViewBuilder {
     /// Nothing known yet.
-    pub const fn new(outlets: Outlets) -> Self {
+    pub const fn new(outputs: Outputs) -> Self {
         Self {
-            outlets,
-            force: None,
+            outputs,
+            active: None,
             instances: Vec::new(),
             members: Vec::new(),
             serving: false,
@@ -47,12 +47,12 @@
 
     /// Puts a configuration in force. Gives the number of entry instances that
     /// share its caps, if `name` is among them.
-    pub fn install(&mut self, force: InForce, name: &str) -> Option<u32> {
-        let force = Arc::new(force);
-        self.outlets.force.store(Some(Arc::clone(&force)));
-        self.force = Some(Arc::clone(&force));
+    pub fn install(&mut self, active: ActiveConfig, name: &str) -> Option<u32> {
+        let active = Arc::new(active);
+        self.outputs.active.store(Some(Arc::clone(&active)));
+        self.active = Some(Arc::clone(&active));
         self.publish();
-        slots(&force.plan, name)
+        region_slots(&active.plan, name)
     }
 
     /// Takes a new list of instances.
@@ -64,9 +64,11 @@
     }
 
     /// Takes what control says of this process and its peers.
-    pub fn members(&mut self, me: &member::Record, told: &control::Snapshot) {
-        let serving = told.ready && me.lifecycle == member::Lifecycle::Live && sure(told.status);
-        let mut members: Vec<instance::Member> = told.members.iter().filter_map(seen).collect();
+    pub fn members(&mut self, me: &member::Record, snapshot: &control::Snapshot) {
+        let serving =
+            snapshot.ready && me.lifecycle == member::Lifecycle::Live && may_serve(snapshot.status);
+        let mut members: Vec<instance::Member> =
+            snapshot.members.iter().filter_map(member).collect();
         if !members
             .iter()
             .any(|m| m.incarnation == me.stamp.incarnation)
@@ -81,20 +83,20 @@
     }
 
     fn publish(&self) {
-        let Some(force) = &self.force else { return };
-        let view = force
+        let Some(active) = &self.active else { return };
+        let view = active
             .plan
-            .view(force.version, &self.instances, &self.members);
+            .view(active.version, &self.instances, &self.members);
         let view = Arc::new(view);
-        self.outlets.engine.install(Arc::clone(&view));
+        self.outputs.engine.install(Arc::clone(&view));
         let snapshot = Snapshot::new(view, self.serving);
-        self.outlets.snapshot.store(Arc::new(snapshot));
+        self.outputs.snapshot.store(Arc::new(snapshot));
     }
 }
 
 /// Whether look-ups may be answered: not after a freeze that nobody has
 /// confirmed the end of, and not under a name that a newer process has.
-const fn sure(status: control::MemberStatus) -> bool {
+const fn may_serve(status: control::MemberStatus) -> bool {
     matches!(
         status,
         control::MemberStatus::Current | control::MemberStatus::Isolated
@@ -102,16 +104,16 @@
 }
 
 /// Entry instances among whose regions' instances a cap is divided.
-fn slots(plan: &intent::plan::Plan, name: &str) -> Option<u32> {
+fn region_slots(plan: &intent::plan::Plan, name: &str) -> Option<u32> {
     let at = plan.entries.values().find(|e| &*e.name == name)?;
     let region = plan.domains[at.domain].region;
-    let near = |e: &&view::EntryData| plan.domains[e.domain].region == region;
-    let count = plan.entries.values().filter(near).count();
+    let is_local = |e: &&view::EntryData| plan.domains[e.domain].region == region;
+    let count = plan.entries.values().filter(is_local).count();
     u32::try_from(count).ok()
 }
 
-fn seen(seen: &member::Member) -> Option<instance::Member> {
-    peer(&seen.record)
+fn member(member: &member::Member) -> Option<instance::Member> {
+    peer(&member.record)
 }
 
 fn peer(record: &member::Record) -> Option<instance::Member> {
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -5,8 +5,8 @@
 //! connection.
 
 mod claim;
-mod errand;
 mod inner;
+mod operation;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -19,21 +19,21 @@
 use steer::version::view;
 use wire::peer;
 
-use self::errand::{Errand, Kind};
 use self::inner::Inner;
+use self::operation::{Kind, Operation};
 use super::inbound::Inbound;
 use super::outbound::Outbound;
 use super::peers::Peers;
 use super::workers::Executor;
 
 /// Time for a target to answer a probe.
-const PROBE_TIME: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for a peer to lend a part of a cap.
-const LOAN_TIME: Duration = Duration::from_millis(500);
+const LOAN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for a peer to take the word on a request that breaks targets.
-const SUSPECT_TIME: Duration = Duration::from_millis(500);
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the drivers give the decisions about a request.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 }
 
 /// What errands are run with.
-pub struct Means {
+pub struct Resources {
     /// Where errands run.
     pub executor: Executor,
     /// Connections to targets.
@@ -62,24 +62,24 @@
 pub struct Engine {
     start: Instant,
     incarnation: view::Incarnation,
-    means: Means,
+    resources: Resources,
     this: Weak<Self>,
     prefix: ArcSwapOption<String>,
-    others: ArcSwap<Vec<SocketAddr>>,
-    home: dispatch::Identity,
+    peer_addrs: ArcSwap<Vec<SocketAddr>>,
+    identity: dispatch::Identity,
     region: ArcSwapOption<Arc<str>>,
     /// Holds a word while something has arrived since it was last taken.
-    arrived: Word,
+    arrival_signal: Signal,
     inner: Mutex<Inner>,
 }
 
 /// A channel with room for one word.
-struct Word {
+struct Signal {
     sender: async_channel::Sender<()>,
     receiver: async_channel::Receiver<()>,
 }
 
-impl Default for Word {
+impl Default for Signal {
     fn default() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self { sender, receiver }
@@ -88,16 +88,16 @@
 
 /// Tells the decisions that whoever waited for a request has left, unless its
 /// answer came first.
-struct Waiting {
+struct DisconnectGuard {
     engine: Arc<Engine>,
     id: arrival::RequestId,
-    settled: bool,
+    is_settled: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        if !self.settled {
-            self.engine.gone(self.id);
+        if !self.is_settled {
+            self.engine.disconnect(self.id);
         }
     }
 }
@@ -107,20 +107,20 @@
     #[must_use]
     pub fn new(
         decide: traffic::Traffic,
-        home: dispatch::Identity,
+        identity: dispatch::Identity,
         incarnation: view::Incarnation,
-        means: Means,
+        resources: Resources,
     ) -> Arc<Self> {
         Arc::new_cyclic(|this| Self {
             start: Instant::now(),
             incarnation,
-            means,
+            resources,
             this: Weak::clone(this),
             prefix: ArcSwapOption::empty(),
-            others: ArcSwap::default(),
-            home,
+            peer_addrs: ArcSwap::default(),
+            identity,
             region: ArcSwapOption::empty(),
-            arrived: Word::default(),
+            arrival_signal: Signal::default(),
             inner: Mutex::new(Inner::new(decide)),
         })
     }
@@ -130,13 +130,13 @@
     pub async fn serve(self: &Arc<Self>, request: Inbound, terms: Terms) -> peer::Settled {
         let (mailbox, settled) = async_channel::bounded(1);
         let id = self.arrive(request, terms, mailbox);
-        let mut waiting = Waiting {
+        let mut waiting = DisconnectGuard {
             engine: Arc::clone(self),
             id,
-            settled: false,
+            is_settled: false,
         };
         let answer = settled.recv().await;
-        waiting.settled = true;
+        waiting.is_settled = true;
         answer.unwrap_or_else(|_| {
             let reason = outcome::Reason::Leaving;
             Err(outcome::Refusal::unknown(reason, None))
@@ -146,25 +146,25 @@
     /// Answers a peer's question to this process as a witness; `None` if the
     /// process ends first.
     pub async fn witness(&self, question: record::Question) -> Option<record::Reply> {
-        let (mailbox, told) = async_channel::bounded(1);
-        self.asked(question, mailbox);
-        told.recv().await.ok()
+        let (mailbox, reply) = async_channel::bounded(1);
+        self.ask_witness(question, mailbox);
+        reply.recv().await.ok()
     }
 
     /// Says whether this process holds its part of every cap.
-    pub fn hold(&self, held: bool) {
-        self.handle(&mut self.lock(), traffic::Event::SlotHeld(held));
+    pub fn set_slot_held(&self, is_held: bool) {
+        self.handle(&mut self.lock(), traffic::Event::SlotHeld(is_held));
     }
 
     /// Lends a peer a part of a cap; zero is "nothing".
     pub async fn lend(&self, route: share::Route, amount: u64) -> u64 {
-        let (mailbox, told) = async_channel::bounded(1);
-        self.wanted(route, amount, mailbox);
-        told.recv().await.unwrap_or(0)
+        let (mailbox, reply) = async_channel::bounded(1);
+        self.request_loan(route, amount, mailbox);
+        reply.recv().await.unwrap_or(0)
     }
 
     /// Takes a peer's word on a request that breaks targets.
-    pub fn suspected(&self, fingerprint: arrival::Fingerprint, strikes: u8) {
+    pub fn report_suspect(&self, fingerprint: arrival::Fingerprint, strikes: u8) {
         let event = traffic::Event::Suspected {
             fingerprint,
             strikes,
@@ -177,13 +177,13 @@
         let others = view.members.values();
         let others = others.filter(|m| m.incarnation != self.incarnation);
         let others = others.map(|m| m.peer).collect();
-        self.others.store(Arc::new(others));
-        let home = view.domain(&self.home.domain);
-        let near = |key: &view::Target| Some(view.target_domain(*key)) == home;
-        let targets = view.targets.keys().filter(near);
+        self.peer_addrs.store(Arc::new(others));
+        let local_domain = view.domain(&self.identity.domain);
+        let is_local = |key: &view::Target| Some(view.target_domain(*key)) == local_domain;
+        let targets = view.targets.keys().filter(is_local);
         let targets = targets.map(|key| view.targets[key].addr).collect();
-        self.means.outbound.renew(targets);
-        let region = home.map(|domain| {
+        self.resources.outbound.set_targets(targets);
+        let region = local_domain.map(|domain| {
             let region = view.domains[domain].region;
             Arc::new(Arc::clone(&view.regions[region].name))
         });
@@ -193,14 +193,14 @@
 
     /// Lets time pass for the decisions and the connections.
     pub fn tick(&self) {
-        self.means.outbound.upkeep();
+        self.resources.outbound.upkeep();
         self.handle(&mut self.lock(), traffic::Event::Tick);
     }
 
     /// Waits until a request arrives.
     pub async fn arrival(&self) {
         // The sending end lives as long as the engine, so it can't fail.
-        let _ = self.arrived.receiver.recv().await;
+        let _ = self.arrival_signal.receiver.recv().await;
     }
 
     /// Runs no new keys from now on.
@@ -210,7 +210,7 @@
 
     /// Whether nothing is in flight, also for callers that have left.
     #[must_use]
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         let inner = self.lock();
         inner.decide.is_drained() && inner.waiting() == 0
     }
@@ -220,10 +220,10 @@
     pub fn dump(&self) -> Vec<String> {
         let now = self.now();
         let mut inner = self.lock();
-        let gate = inner.decide.gate_state().counts();
+        let counts = inner.decide.gate_state().counts();
         let dispatch = inner.decide.dispatch_state().dump(now).to_string();
         let mut lines: Vec<String> = dispatch.lines().map(str::to_owned).collect();
-        lines.push(format!("{gate:?}"));
+        lines.push(format!("{counts:?}"));
         for (route, limit, used) in inner.decide.share_rows(now) {
             lines.push(format!("{route}: {used} of {limit} used this second"));
         }
@@ -267,32 +267,36 @@
             deadline: terms.deadline,
             bytes: request.bytes(),
             origin: terms.origin,
-            caller_region: request.home.clone(),
+            caller_region: request.caller_region.clone(),
             peer_region: terms.via,
         };
         inner.admit(id, request, mailbox);
         // A word that is there already says the same.
-        let _ = self.arrived.sender.try_send(());
+        let _ = self.arrival_signal.sender.try_send(());
         self.handle(&mut inner, traffic::Event::Arrive(arrival));
         id
     }
 
-    fn wanted(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
+    fn request_loan(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
         let mut inner = self.lock();
-        let ask = inner.expect_loan(mailbox);
+        let ask = inner.add_loan(mailbox);
         self.handle(
             &mut inner,
             traffic::Event::LoanRequested { ask, route, amount },
         );
     }
 
-    fn asked(&self, question: record::Question, mailbox: async_channel::Sender<record::Reply>) {
+    fn ask_witness(
+        &self,
+        question: record::Question,
+        mailbox: async_channel::Sender<record::Reply>,
+    ) {
         let mut inner = self.lock();
-        let ask = inner.expect(mailbox);
+        let ask = inner.add_question(mailbox);
         self.handle(&mut inner, traffic::Event::PeerAsked { ask, question });
     }
 
-    fn gone(&self, id: arrival::RequestId) {
+    fn disconnect(&self, id: arrival::RequestId) {
         let mut inner = self.lock();
         if inner.abandon(id) {
             self.handle(&mut inner, traffic::Event::Disconnected(id));
@@ -323,7 +327,7 @@
                     return;
                 };
                 let addr = peer.addr;
-                self.go(Kind::Forward { id, addr, request }, budget);
+                self.spawn(Kind::Forward { id, addr, request }, budget);
             }
             traffic::Action::Ask {
                 ask,
@@ -332,7 +336,7 @@
                 budget,
             } => {
                 let addr = peer.addr;
-                self.go(
+                self.spawn(
                     Kind::Ask {
                         ask,
                         addr,
@@ -341,15 +345,15 @@
                     budget,
                 );
             }
-            traffic::Action::Respond { ask, reply: word } => inner.tell(ask, word),
+            traffic::Action::Respond { ask, reply } => inner.answer_question(ask, reply),
             traffic::Action::Store {
                 id,
                 key,
                 call,
                 budget,
-            } => self.go(Kind::Store { id, key, call }, budget),
+            } => self.spawn(Kind::Store { id, key, call }, budget),
             traffic::Action::Probe { target, addr } => {
-                self.go(Kind::Probe { target, addr }, PROBE_TIME);
+                self.spawn(Kind::Probe { target, addr }, PROBE_TIMEOUT);
             }
             traffic::Action::Borrow {
                 peer,
@@ -363,18 +367,18 @@
                     amount,
                     asked,
                 };
-                self.go(kind, LOAN_TIME);
+                self.spawn(kind, LOAN_TIMEOUT);
             }
-            traffic::Action::Lend { ask, amount } => inner.lend(ask, amount),
+            traffic::Action::Lend { ask, amount } => inner.answer_loan(ask, amount),
             traffic::Action::Suspect {
                 fingerprint,
                 strikes,
-            } => self.go(
+            } => self.spawn(
                 Kind::Suspect {
                     fingerprint,
                     strikes,
                 },
-                SUSPECT_TIME,
+                SUSPECT_TIMEOUT,
             ),
             traffic::Action::Issue(prefix) => {
                 self.prefix.store(prefix.map(|p| Arc::new(p.to_string())));
@@ -382,15 +386,15 @@
         }
     }
 
-    /// Starts an errand that nothing cancels.
-    fn go(&self, kind: Kind, budget: Duration) {
+    /// Starts an operation that nothing cancels.
+    fn spawn(&self, kind: Kind, budget: Duration) {
         if let Some(engine) = self.this.upgrade() {
-            let errand = Errand {
+            let operation = Operation {
                 engine,
                 kind,
                 budget,
             };
-            self.means.executor.spawn(errand.run()).detach();
+            self.resources.executor.spawn(operation.run()).detach();
         }
     }
 
@@ -406,30 +410,30 @@
             return;
         };
         let name: Arc<str> = format!("{}-{}", self.incarnation, attempt.0).into();
-        let errand = Errand {
+        let operation = Operation {
             engine,
             kind: Kind::Attempt {
                 id,
                 attempt,
                 name: Arc::clone(&name),
-                place: destination.clone(),
+                destination: destination.clone(),
                 request,
             },
             budget,
         };
-        let task = self.means.executor.spawn(errand.run());
-        inner.fly(attempt, name, destination, task);
+        let task = self.resources.executor.spawn(operation.run());
+        inner.add_attempt(attempt, name, destination, task);
     }
 
     fn cancel(&self, inner: &mut Inner, attempt: arrival::AttemptId) {
-        let Some(flight) = inner.land(attempt) else {
+        let Some(active) = inner.remove_attempt(attempt) else {
             return;
         };
-        let dispatch::Destination::Target { addr, .. } = flight.place else {
+        let dispatch::Destination::Target { addr, .. } = active.destination else {
             return;
         };
-        let name = Arc::clone(&flight.name);
-        self.go(Kind::Cancel { addr, name }, Duration::ZERO);
+        let name = Arc::clone(&active.name);
+        self.spawn(Kind::Cancel { addr, name }, Duration::ZERO);
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -20,27 +20,27 @@
 }
 
 /// An attempt on its way.
-pub struct Flight {
+pub struct ActiveAttempt {
     id: arrival::AttemptId,
     /// Its name on the wire.
     pub name: Arc<str>,
     /// Where it goes.
-    pub place: dispatch::Destination,
+    pub destination: dispatch::Destination,
     /// Dropping it drops the attempt's connection.
     _task: smol::Task<()>,
 }
 
 /// A peer's question, until it is answered with a `T`.
-struct Asked<T> {
+struct PendingQuestion<T> {
     id: record::QuestionId,
     mailbox: async_channel::Sender<T>,
 }
 
 /// Answers a question. The peer may have given up; it then treats the answer as
 /// not given.
-fn answer<T>(asked: &mut Vec<Asked<T>>, id: record::QuestionId, with: T) {
-    if let Ok(at) = asked.binary_search_by_key(&id, |a| a.id) {
-        let _ = asked.remove(at).mailbox.try_send(with);
+fn answer<T>(questions: &mut Vec<PendingQuestion<T>>, id: record::QuestionId, with: T) {
+    if let Ok(at) = questions.binary_search_by_key(&id, |a| a.id) {
+        let _ = questions.remove(at).mailbox.try_send(with);
     }
 }
 
@@ -49,9 +49,9 @@
     /// The decisions.
     pub decide: traffic::Traffic,
     requests: Vec<Pending>,
-    flights: Vec<Flight>,
-    asked: Vec<Asked<record::Reply>>,
-    loans: Vec<Asked<u64>>,
+    attempts: Vec<ActiveAttempt>,
+    questions: Vec<PendingQuestion<record::Reply>>,
+    loans: Vec<PendingQuestion<u64>>,
     next: u64,
 }
 
@@ -61,8 +61,8 @@
         Self {
             decide,
             requests: Vec::new(),
-            flights: Vec::new(),
-            asked: Vec::new(),
+            attempts: Vec::new(),
+            questions: Vec::new(),
             loans: Vec::new(),
             next: 0,
         }
@@ -119,51 +119,54 @@
     }
 
     /// Keeps an attempt's task.
-    pub fn fly(
+    pub fn add_attempt(
         &mut self,
         id: arrival::AttemptId,
         name: Arc<str>,
-        place: dispatch::Destination,
+        destination: dispatch::Destination,
         task: smol::Task<()>,
     ) {
-        let flight = Flight {
+        let active = ActiveAttempt {
             id,
             name,
-            place,
+            destination,
             _task: task,
         };
-        self.flights.push(flight);
+        self.attempts.push(active);
     }
 
     /// Takes an attempt out; `None` if it has ended or was cancelled.
-    pub fn land(&mut self, id: arrival::AttemptId) -> Option<Flight> {
-        let at = self.flights.binary_search_by_key(&id, |f| f.id).ok()?;
-        Some(self.flights.remove(at))
+    pub fn remove_attempt(&mut self, id: arrival::AttemptId) -> Option<ActiveAttempt> {
+        let at = self.attempts.binary_search_by_key(&id, |f| f.id).ok()?;
+        Some(self.attempts.remove(at))
     }
 
     /// Keeps a peer's question until it is answered.
-    pub fn expect(&mut self, mailbox: async_channel::Sender<record::Reply>) -> record::QuestionId {
+    pub fn add_question(
+        &mut self,
+        mailbox: async_channel::Sender<record::Reply>,
+    ) -> record::QuestionId {
         self.next += 1;
         let id = record::QuestionId(self.next);
-        self.asked.push(Asked { id, mailbox });
+        self.questions.push(PendingQuestion { id, mailbox });
         id
     }
 
     /// Answers a peer's question.
-    pub fn tell(&mut self, id: record::QuestionId, word: record::Reply) {
-        answer(&mut self.asked, id, word);
+    pub fn answer_question(&mut self, id: record::QuestionId, reply: record::Reply) {
+        answer(&mut self.questions, id, reply);
     }
 
     /// Keeps a peer's wish for a loan until it is answered.
-    pub fn expect_loan(&mut self, mailbox: async_channel::Sender<u64>) -> record::QuestionId {
+    pub fn add_loan(&mut self, mailbox: async_channel::Sender<u64>) -> record::QuestionId {
         self.next += 1;
         let id = record::QuestionId(self.next);
-        self.loans.push(Asked { id, mailbox });
+        self.loans.push(PendingQuestion { id, mailbox });
         id
     }
 
     /// Answers a peer's wish for a loan.
-    pub fn lend(&mut self, id: record::QuestionId, amount: u64) {
+    pub fn answer_loan(&mut self, id: record::QuestionId, amount: u64) {
         answer(&mut self.loans, id, amount);
     }
 }
--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/operation.rs
@@ -1,6 +1,6 @@
 //! One action that takes time: carried out, then reported to the decisions.
 //!
-//! Invariant: an errand reports exactly once, unless it is cancelled.
+//! Invariant: an operation reports exactly once, unless it is cancelled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 /// What is to be done.
 pub enum Kind {
-    /// Send a request to a place.
+    /// Send a request to a destination.
     Attempt {
         /// The request's name.
         id: arrival::RequestId,
@@ -25,7 +25,7 @@
         /// Its name on the wire.
         name: Arc<str>,
         /// Where to.
-        place: dispatch::Destination,
+        destination: dispatch::Destination,
         /// What to send.
         request: Arc<Inbound>,
     },
@@ -91,7 +91,7 @@
 }
 
 /// An action under way.
-pub struct Errand {
+pub struct Operation {
     /// Whom to report to.
     pub engine: Arc<Engine>,
     /// What to do.
@@ -100,7 +100,7 @@
     pub budget: Duration,
 }
 
-impl Errand {
+impl Operation {
     /// Carries it out and reports.
     pub async fn run(self) {
         let Self {
@@ -113,32 +113,31 @@
                 id,
                 attempt,
                 name,
-                place,
+                destination,
                 request,
             } => {
-                let ended = engine.carry(&place, &name, &request, budget).await;
-                engine.ended(id, attempt, &place, ended);
+                let ended = engine
+                    .send_attempt(&destination, &name, &request, budget)
+                    .await;
+                engine.finish_attempt(id, attempt, &destination, ended);
             }
             Kind::Forward { id, addr, request } => {
-                let calls = &engine.means.peers;
-                let ending = calls
+                let peers = &engine.resources.peers;
+                let outcome = peers
                     .forward(addr, &request, budget, engine.hop(true))
                     .await;
-                engine.report(traffic::Event::Forwarded {
-                    id,
-                    outcome: ending,
-                });
+                engine.report(traffic::Event::Forwarded { id, outcome });
             }
             Kind::Ask {
                 ask,
                 addr,
                 question,
             } => {
-                let word = engine.means.peers.ask(addr, &question, budget).await;
-                engine.report(traffic::Event::AskEnded { ask, reply: word });
+                let reply = engine.resources.peers.ask(addr, &question, budget).await;
+                engine.report(traffic::Event::AskEnded { ask, reply });
             }
             Kind::Store { id, key, call } => {
-                let result = claim::settle(&*engine.means.store, &key, call, budget).await;
+                let result = claim::settle(&*engine.resources.store, &key, call, budget).await;
                 engine.report(traffic::Event::Stored { id, result });
             }
             Kind::Borrow {
@@ -147,8 +146,8 @@
                 amount,
                 asked,
             } => {
-                let calls = &engine.means.peers;
-                let lent = calls.borrow(addr, &route, amount, budget).await;
+                let peers = &engine.resources.peers;
+                let lent = peers.borrow(addr, &route, amount, budget).await;
                 if let Some(amount) = lent {
                     engine.report(traffic::Event::LoanGranted {
                         route,
@@ -158,31 +157,34 @@
                 }
             }
             Kind::Probe { target, addr } => {
-                let report = engine.means.outbound.probe(addr, budget).await;
+                let report = engine.resources.outbound.probe(addr, budget).await;
                 engine.report(traffic::Event::Probed { target, report });
             }
             Kind::Suspect {
                 fingerprint,
                 strikes,
             } => {
-                let peers = engine.others.load();
-                let print = fingerprint;
-                engine.means.peers.suspect(&peers, print, strikes, budget);
+                let peers = engine.peer_addrs.load();
+                let digest = fingerprint;
+                engine
+                    .resources
+                    .peers
+                    .suspect(&peers, digest, strikes, budget);
             }
-            Kind::Cancel { addr, name } => engine.means.outbound.cancel(addr, &name).await,
+            Kind::Cancel { addr, name } => engine.resources.outbound.cancel(addr, &name).await,
         }
     }
 }
 
 impl Engine {
-    async fn carry(
+    async fn send_attempt(
         &self,
-        place: &dispatch::Destination,
+        destination: &dispatch::Destination,
         name: &str,
         request: &Inbound,
         budget: Duration,
-    ) -> outbound::Ended {
-        match place {
+    ) -> outbound::AttemptResult {
+        match destination {
             dispatch::Destination::Target { addr, .. } => {
                 let attempt = outbound::Attempt {
                     name,
@@ -190,41 +192,41 @@
                     request,
                     budget,
                 };
-                self.means.outbound.send(attempt).await
+                self.resources.outbound.send(attempt).await
             }
             dispatch::Destination::Member { peer, .. } => {
-                let calls = &self.means.peers;
-                let ending = calls.forward(*peer, request, budget, self.hop(false)).await;
-                ending.into()
+                let peers = &self.resources.peers;
+                let outcome = peers.forward(*peer, request, budget, self.hop(false)).await;
+                outcome.into()
             }
         }
     }
 
-    fn ended(
+    fn finish_attempt(
         &self,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Destination,
-        ended: outbound::Ended,
+        destination: &dispatch::Destination,
+        ended: outbound::AttemptResult,
     ) {
         let mut inner = self.lock();
-        let Some(flight) = inner.land(attempt) else {
+        let Some(active) = inner.remove_attempt(attempt) else {
             return;
         };
         if let Some(report) = ended.report {
-            let target = Arc::clone(place.name());
+            let target = Arc::clone(destination.name());
             self.handle(&mut inner, traffic::Event::Report { target, report });
         }
         let event = traffic::Event::Ended {
             id,
             attempt,
-            outcome: ended.ending,
+            outcome: ended.outcome,
         };
         self.handle(&mut inner, event);
         drop(inner);
-        // The flight holds the very task that runs this; dropped any earlier,
+        // The attempt holds the very task that runs this; dropped any earlier,
         // it would be cancelled in the middle of its report.
-        drop(flight);
+        drop(active);
     }
 
     /// What a peer is told of a hop.
--- a/crates/auburnrouter/src/daemon/guarded.rs
+++ b/crates/auburnrouter/src/daemon/guarded.rs
@@ -19,19 +19,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Time for a request to arrive, and for an answer to be taken.
-    pub whole: Duration,
+    pub transfer_time: Duration,
     /// Time a connection may lie idle.
-    pub idle: Duration,
+    pub idle_time: Duration,
     /// Bytes a caller may send before it takes an answer.
-    pub ahead: usize,
+    pub unanswered_max: usize,
 }
 
 /// Set while a request is served, so that waiting for its answer isn't taken
 /// for a caller that sends slowly.
 #[derive(Clone, Debug, Default)]
-pub struct Serving(Arc<AtomicBool>);
+pub struct ServingFlag(Arc<AtomicBool>);
 
-impl Serving {
+impl ServingFlag {
     /// Says that a whole request is in hand.
     pub fn begin(&self) {
         self.0.store(true, Ordering::Relaxed);
@@ -53,29 +53,29 @@
 pub struct Guarded {
     stream: net::TcpStream,
     bounds: Bounds,
-    serving: Serving,
+    serving: ServingFlag,
     timer: Option<smol::Timer>,
-    ahead: usize,
-    late: &'static [u8],
+    unanswered_bytes: usize,
+    timeout_reply: &'static [u8],
 }
 
 impl Guarded {
-    /// Guards a connection; a request that is not whole in time gets `late`.
+    /// Guards a connection; a request that is not whole in time gets `timeout_reply`.
     #[must_use]
-    pub fn new(stream: net::TcpStream, bounds: Bounds, late: &'static [u8]) -> Self {
+    pub fn new(stream: net::TcpStream, bounds: Bounds, timeout_reply: &'static [u8]) -> Self {
         Self {
             stream,
             bounds,
-            serving: Serving::default(),
+            serving: ServingFlag::default(),
             timer: None,
-            ahead: 0,
-            late,
+            unanswered_bytes: 0,
+            timeout_reply,
         }
     }
 
     /// The mark to set while a request is served.
     #[must_use]
-    pub fn serving(&self) -> Serving {
+    pub fn serving(&self) -> ServingFlag {
         self.serving.clone()
     }
 
@@ -88,18 +88,18 @@
         if self.serving.is_on() {
             return Poll::Pending;
         }
-        let begun = self.ahead > 0;
-        let span = if begun {
-            self.bounds.whole
+        let has_begun = self.unanswered_bytes > 0;
+        let span = if has_begun {
+            self.bounds.transfer_time
         } else {
-            self.bounds.idle
+            self.bounds.idle_time
         };
         if !self.expired(cx, span) {
             return Poll::Pending;
         }
-        if begun {
+        if has_begun {
             // Best effort: whoever sends this slowly may not read either.
-            let _ = Pin::new(&mut self.stream).poll_write(cx, self.late);
+            let _ = Pin::new(&mut self.stream).poll_write(cx, self.timeout_reply);
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Poll::Ready(Ok(0))
@@ -115,11 +115,11 @@
         match Pin::new(&mut self.stream).poll_read(cx, buf) {
             Poll::Pending => self.read_pending(cx),
             Poll::Ready(Ok(len)) => {
-                if self.ahead == 0 {
+                if self.unanswered_bytes == 0 {
                     self.timer = None;
                 }
-                self.ahead += len;
-                if self.ahead > self.bounds.ahead {
+                self.unanswered_bytes += len;
+                if self.unanswered_bytes > self.bounds.unanswered_max {
                     return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                 }
                 Poll::Ready(Ok(len))
@@ -137,7 +137,7 @@
     ) -> Poll<io::Result<usize>> {
         match Pin::new(&mut self.stream).poll_write(cx, buf) {
             Poll::Pending => {
-                let span = self.bounds.whole;
+                let span = self.bounds.transfer_time;
                 if self.expired(cx, span) {
                     return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
                 }
@@ -145,7 +145,7 @@
             }
             ready @ Poll::Ready(_) => {
                 self.timer = None;
-                self.ahead = 0;
+                self.unanswered_bytes = 0;
                 self.serving.end();
                 ready
             }
--- a/crates/auburnrouter/src/daemon/inbound.rs
+++ b/crates/auburnrouter/src/daemon/inbound.rs
@@ -23,7 +23,7 @@
     /// Idempotency key, if any.
     pub key: Option<Arc<str>>,
     /// Name of the region whose caller sent it, if known.
-    pub home: Option<Arc<str>>,
+    pub caller_region: Option<Arc<str>>,
 }
 
 impl Inbound {
--- a/crates/auburnrouter/src/daemon/operators.rs
+++ b/crates/auburnrouter/src/daemon/operators.rs
@@ -31,7 +31,7 @@
 use super::reply;
 
 /// Longest body that operators may send: a whole configuration.
-const BODY_MAX: u32 = 256 << 20;
+const BODY_MAX_BYTES: u32 = 256 << 20;
 
 /// What the operators' listener needs.
 pub struct Operators {
@@ -46,11 +46,11 @@
 }
 
 /// Where changes are asked for by their ids.
-const CHANGES: &str = "/changes/";
+const CHANGES_PATH: &str = "/changes/";
 
 /// What became of a change; `None` if nobody can tell any more.
 #[derive(Debug, Serialize)]
-struct Fate {
+struct ChangeStatus {
     accepted: Option<bool>,
 }
 
@@ -66,11 +66,11 @@
 pub const fn limits(bounds: Bounds) -> Limits {
     Limits {
         bounds: Bounds {
-            ahead: BODY_MAX as usize,
+            unanswered_max: BODY_MAX_BYTES as usize,
             ..bounds
         },
-        head: 16 << 10,
-        body: BODY_MAX as u64,
+        head_bytes: 16 << 10,
+        body_bytes: BODY_MAX_BYTES as u64,
         connections: 64,
     }
 }
@@ -78,7 +78,7 @@
 impl Operators {
     /// Answers one call.
     pub async fn handle(self: Arc<Self>, mut conn: Conn) -> Conn {
-        if !self.knows_secret(&conn) {
+        if !self.has_secret(&conn) {
             conn.set_status(401);
             return conn;
         }
@@ -88,9 +88,9 @@
             (Method::Get, "/dump") => self.dump(conn).await,
             (Method::Get, "/config") => self.config(conn),
             (Method::Get, "/status") => reply::json(conn, Status::Ok, &self.control.status().await),
-            (Method::Get, path) if path.starts_with(CHANGES) => {
-                let accepted = self.control.accepted(&path[CHANGES.len()..]).await;
-                reply::json(conn, Status::Ok, &Fate { accepted })
+            (Method::Get, path) if path.starts_with(CHANGES_PATH) => {
+                let accepted = self.control.accepted(&path[CHANGES_PATH.len()..]).await;
+                reply::json(conn, Status::Ok, &ChangeStatus { accepted })
             }
             (Method::Post, "/apply") => self.apply(conn).await,
             _ => {
@@ -100,12 +100,12 @@
         }
     }
 
-    fn knows_secret(&self, conn: &Conn) -> bool {
-        let given = conn
+    fn has_secret(&self, conn: &Conn) -> bool {
+        let presented = conn
             .request_headers()
             .get_str(KnownHeaderName::Authorization);
-        let given = given.and_then(|v| v.strip_prefix("Bearer "));
-        given.is_some_and(|g| g.as_bytes().ct_eq(self.secret.bytes()).into())
+        let presented = presented.and_then(|v| v.strip_prefix("Bearer "));
+        presented.is_some_and(|g| g.as_bytes().ct_eq(self.secret.bytes()).into())
     }
 
     fn metrics(&self, mut conn: Conn) -> Conn {
@@ -131,10 +131,10 @@
     }
 
     fn config(&self, conn: Conn) -> Conn {
-        let force = self.control.force();
+        let active = self.control.active_config();
         let config = Config {
-            version: force.as_ref().map_or(0, |f| f.version.0),
-            files: force.map(|f| f.listing()).unwrap_or_default(),
+            version: active.as_ref().map_or(0, |f| f.version.0),
+            files: active.map(|f| f.listing()).unwrap_or_default(),
         };
         reply::json(conn, Status::Ok, &config)
     }
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -19,17 +19,17 @@
 use super::workers::Executor;
 
 /// Longest answer taken from a target, in bytes.
-const ANSWER_MAX: usize = 16 << 20;
+const ANSWER_MAX_BYTES: usize = 16 << 20;
 
 /// Time to open a connection to a target, which is in this failure domain.
 /// Past it the request certainly did not leave, and may go elsewhere.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connections kept open to each target ahead of need.
-const WARM: usize = 2;
+const WARM_CONNECTIONS: usize = 2;
 
 /// Time allowed to tell a target that an attempt is cancelled.
-const CANCEL_TIME: Duration = Duration::from_millis(500);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connections to targets, and what is sent on them.
 pub struct Outbound {
@@ -49,17 +49,17 @@
 }
 
 /// How an attempt ended, and what the target said of itself.
-pub struct Ended {
+pub struct AttemptResult {
     /// How it ended.
-    pub ending: dispatch::AttemptOutcome,
+    pub outcome: dispatch::AttemptOutcome,
     /// The target's report, if it gave one.
     pub report: Option<dispatch::Report>,
 }
 
-impl From<dispatch::AttemptOutcome> for Ended {
-    fn from(ending: dispatch::AttemptOutcome) -> Self {
+impl From<dispatch::AttemptOutcome> for AttemptResult {
+    fn from(outcome: dispatch::AttemptOutcome) -> Self {
         Self {
-            ending,
+            outcome,
             report: None,
         }
     }
@@ -71,8 +71,8 @@
     pub fn new(executor: Executor, bound: usize) -> Self {
         let limits = pool::Limits {
             bound,
-            warm: WARM,
-            connect: CONNECT_TIME,
+            warm: WARM_CONNECTIONS,
+            connect: CONNECT_TIMEOUT,
         };
         Self {
             pool: pool::Pool::new(executor, limits),
@@ -80,7 +80,7 @@
     }
 
     /// Keeps connections to these targets only.
-    pub fn renew(&self, mut addrs: Vec<SocketAddr>) {
+    pub fn set_targets(&self, mut addrs: Vec<SocketAddr>) {
         addrs.sort_unstable();
         addrs.dedup();
         self.pool.renew(&addrs);
@@ -92,10 +92,10 @@
     }
 
     /// Sends an attempt and waits for its end or for its budget to run out.
-    pub async fn send(&self, attempt: Attempt<'_>) -> Ended {
+    pub async fn send(&self, attempt: Attempt<'_>) -> AttemptResult {
         let late = async {
             smol::Timer::after(attempt.budget).await;
-            Ended::from(dispatch::AttemptOutcome::TimedOut)
+            AttemptResult::from(dispatch::AttemptOutcome::TimedOut)
         };
         future::or(self.exchange(&attempt), late).await
     }
@@ -106,7 +106,7 @@
             .header(hyper::header::HOST, addr.to_string())
             .body(Full::default());
         let Ok(request) = request else { return };
-        let told = async {
+        let send = async {
             // Best effort: the broken connection says the same.
             if let Ok(exchange) = self.pool.send(addr, request).await {
                 let (response, rest) = exchange.split();
@@ -116,9 +116,9 @@
             }
         };
         let late = async {
-            smol::Timer::after(CANCEL_TIME).await;
+            smol::Timer::after(CANCEL_TIMEOUT).await;
         };
-        future::or(told, late).await;
+        future::or(send, late).await;
     }
 
     /// Asks a target how it is; `None` if it doesn't say in time.
@@ -127,7 +127,7 @@
             .header(hyper::header::HOST, addr.to_string())
             .body(Full::default())
             .ok()?;
-        let asked = async {
+        let query = async {
             let exchange = self.pool.send(addr, request).await.ok()?;
             let (response, rest) = exchange.split();
             let body = collect(response.into_body()).await?;
@@ -142,16 +142,16 @@
             smol::Timer::after(budget).await;
             None
         };
-        future::or(asked, late).await
+        future::or(query, late).await
     }
 
-    async fn exchange(&self, attempt: &Attempt<'_>) -> Ended {
+    async fn exchange(&self, attempt: &Attempt<'_>) -> AttemptResult {
         let Some(request) = build(attempt) else {
             return dispatch::AttemptOutcome::Unreachable.into();
         };
         match self.pool.send(attempt.addr, request).await {
             Ok(exchange) => receive(attempt.name, exchange).await,
-            Err(pool::Error::Full) => busy(),
+            Err(pool::Error::Full) => target_full(),
             Err(pool::Error::Unsent) => dispatch::AttemptOutcome::Unreachable.into(),
             Err(pool::Error::Broken) => dispatch::AttemptOutcome::Broken.into(),
             Err(pool::Error::Garbled) => dispatch::AttemptOutcome::BadAnswer.into(),
@@ -166,32 +166,32 @@
 /// gets the answer to somebody else's request, or is told "not run" on the word
 /// of another's refusal. It suffices that an answer names its attempt, or is
 /// the first on its connection; a connection whose answer doesn't is dropped.
-async fn receive(name: &str, exchange: pool::Exchange) -> Ended {
+async fn receive(name: &str, exchange: pool::Exchange) -> AttemptResult {
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
     let named = head.headers.get(headers::ATTEMPT);
-    let own = named.is_some_and(|named| named == name);
-    if !own && (named.is_some() || !rest.is_first()) {
+    let is_own = named.is_some_and(|named| named == name);
+    if !is_own && (named.is_some() || !rest.is_first()) {
         return dispatch::AttemptOutcome::BadAnswer.into();
     }
     let report = report(&head.headers);
     let Some(body) = collect(body).await else {
         // The connection is dropped with its half-read answer.
-        let ending = dispatch::AttemptOutcome::BadAnswer;
-        return Ended { ending, report };
+        let outcome = dispatch::AttemptOutcome::BadAnswer;
+        return AttemptResult { outcome, report };
     };
-    if own {
+    if is_own {
         rest.put_back();
     }
-    let ending = match refusal(&head) {
-        Some(ending) => ending,
+    let outcome = match refusal(&head) {
+        Some(outcome) => outcome,
         None => dispatch::AttemptOutcome::Answered(Arc::new(answer(&head, &body))),
     };
-    Ended { ending, report }
+    AttemptResult { outcome, report }
 }
 
 /// As good as a refusal by the target: it has more than it can take from here.
-fn busy() -> Ended {
+fn target_full() -> AttemptResult {
     dispatch::AttemptOutcome::Refused {
         after: None,
         leaving: false,
@@ -217,7 +217,7 @@
 }
 
 async fn collect(body: Incoming) -> Option<Bytes> {
-    let collected = Limited::new(body, ANSWER_MAX).collect().await.ok()?;
+    let collected = Limited::new(body, ANSWER_MAX_BYTES).collect().await.ok()?;
     Some(collected.to_bytes())
 }
 
@@ -238,12 +238,12 @@
     if head.status != hyper::StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
-    let why = head.headers.get(headers::TARGET_REFUSED)?;
+    let reason = head.headers.get(headers::TARGET_REFUSED)?;
     let after = head.headers.get(headers::RETRY_AFTER);
     let seconds = after.and_then(|v| v.to_str().ok()?.parse().ok());
     Some(dispatch::AttemptOutcome::Refused {
         after: seconds.map(Duration::from_secs),
-        leaving: why == "leaving",
+        leaving: reason == "leaving",
     })
 }
 
--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -19,7 +19,7 @@
 use wire::{peer, witness};
 
 pub use self::calls::{Hop, Peers};
-pub use self::serving::{Serving, serve};
+pub use self::serving::{Service, serve};
 
 /// Calls an entry instance takes from its peers.
 #[tarpc::service]
@@ -44,7 +44,7 @@
 }
 
 /// Longest message in bytes.
-const MESSAGE_MAX: usize = 20 << 20;
+const MESSAGE_MAX_BYTES: usize = 20 << 20;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
 pub(crate) fn frames(stream: net::TcpStream) -> Frames {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MESSAGE_MAX)
+        .max_frame_length(MESSAGE_MAX_BYTES)
         .new_framed(Compat::new(stream))
 }
 
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -25,16 +25,16 @@
 use crate::daemon::workers::Executor;
 
 /// Time for a connection to a peer to open.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for a message of control to be taken.
-const TELL_TIME: Duration = Duration::from_secs(1);
+const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time between looks at messages still under way.
-const FLUSH_POLL: Duration = Duration::from_millis(2);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A peer whose connection is open.
-struct Known {
+struct Connection {
     addr: SocketAddr,
     client: PeerClient,
 }
@@ -73,16 +73,16 @@
 }
 
 /// Counts a message for as long as it is under way.
-struct Telling(Arc<AtomicUsize>);
+struct SendGuard(Arc<AtomicUsize>);
 
-impl Telling {
+impl SendGuard {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(count))
     }
 }
 
-impl Drop for Telling {
+impl Drop for SendGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -93,8 +93,8 @@
     executor: Executor,
     secret: Secret,
     lane: Lane,
-    known: Mutex<Vec<Known>>,
-    telling: Arc<AtomicUsize>,
+    connections: Mutex<Vec<Connection>>,
+    sending: Arc<AtomicUsize>,
     counts: Counts,
 }
 
@@ -106,8 +106,8 @@
             executor,
             secret,
             lane,
-            known: Mutex::new(Vec::new()),
-            telling: Arc::default(),
+            connections: Mutex::new(Vec::new()),
+            sending: Arc::default(),
             counts: Counts::default(),
         }
     }
@@ -132,7 +132,7 @@
         };
         let call = client.forward(context(budget), forward).compat();
         match call.await {
-            Ok(forwarded) => ending(forwarded),
+            Ok(forwarded) => attempt_outcome(forwarded),
             Err(client::RpcError::DeadlineExceeded) => {
                 self.forget(addr);
                 dispatch::AttemptOutcome::TimedOut
@@ -151,13 +151,13 @@
         };
         self.counts.sent(bytes.len());
         let peers = Arc::clone(self);
-        let telling = Telling::new(&self.telling);
+        let sending = SendGuard::new(&self.sending);
         let work = async move {
-            let _telling = telling;
+            let _sending = sending;
             let Some(client) = peers.client(to).await else {
                 return;
             };
-            let call = client.tell(context(TELL_TIME), bytes);
+            let call = client.tell(context(SEND_TIMEOUT), bytes);
             if call.await.is_err() {
                 peers.forget(to);
             }
@@ -167,16 +167,16 @@
 
     /// Waits until messages under way have left, or had their time.
     pub async fn flush(&self) {
-        let until = Instant::now() + TELL_TIME;
-        while self.telling.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-            smol::Timer::after(FLUSH_POLL).await;
+        let until = Instant::now() + SEND_TIMEOUT;
+        while self.sending.load(Ordering::Relaxed) > 0 && Instant::now() < until {
+            smol::Timer::after(FLUSH_POLL_INTERVAL).await;
         }
     }
 
     /// Asks who listens at an address.
     pub async fn who(&self, addr: SocketAddr) -> Option<peer::Who> {
         let client = self.client(addr).await?;
-        let call = client.who(context(CONNECT_TIME)).compat();
+        let call = client.who(context(CONNECT_TIMEOUT)).compat();
         let Ok(who) = call.await else {
             self.forget(addr);
             return None;
@@ -195,20 +195,20 @@
             smol::Timer::after(budget).await;
             None
         };
-        let asked = async {
+        let exchange = async {
             let client = self.client(addr).await?;
             let call = client.witness(context(budget), question.into()).compat();
-            let Ok(word) = call.await else {
+            let Ok(reply) = call.await else {
                 self.forget(addr);
                 return None;
             };
-            word.map(record::Reply::from)
+            reply.map(record::Reply::from)
         };
-        let word = future::or(asked, late).await;
-        if word.is_none() {
+        let reply = future::or(exchange, late).await;
+        if reply.is_none() {
             self.forget(addr);
         }
-        word
+        reply
     }
 
     /// Asks a peer for a part of a cap; `None` if it lends none in time.
@@ -229,23 +229,23 @@
     pub fn suspect(
         self: &Arc<Self>,
         to: &[SocketAddr],
-        print: arrival::Fingerprint,
+        fingerprint: arrival::Fingerprint,
         strikes: u8,
         budget: Duration,
     ) {
-        let word = peer::Suspect {
-            fingerprint: print.0,
+        let suspect = peer::Suspect {
+            fingerprint: fingerprint.0,
             strikes,
         };
         for &addr in to {
             let peers = Arc::clone(self);
-            let tell = async move {
+            let send = async move {
                 if let Some(client) = peers.client(addr).await {
                     // A peer that can't be told is found out by other means.
-                    let _ = client.suspect(context(budget), word).await;
+                    let _ = client.suspect(context(budget), suspect).await;
                 }
             };
-            self.executor.spawn(tell.compat()).detach();
+            self.executor.spawn(send.compat()).detach();
         }
     }
 
@@ -254,35 +254,38 @@
             return Some(client);
         }
         let late = async {
-            smol::Timer::after(CONNECT_TIME).await;
+            smol::Timer::after(CONNECT_TIMEOUT).await;
             None
         };
         let client = future::or(self.connect(addr), late).await?;
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let client_too = client.clone();
-        match known.binary_search_by_key(&addr, |k| k.addr) {
-            Ok(at) => known[at].client = client_too,
-            Err(at) => known.insert(
-                at,
-                Known {
-                    addr,
-                    client: client_too,
-                },
-            ),
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let copy = client.clone();
+        match connections.binary_search_by_key(&addr, |k| k.addr) {
+            Ok(at) => connections[at].client = copy,
+            Err(at) => connections.insert(at, Connection { addr, client: copy }),
         }
         Some(client)
     }
 
     fn find(&self, addr: SocketAddr) -> Option<PeerClient> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = known.binary_search_by_key(&addr, |k| k.addr).ok()?;
-        Some(known[at].client.clone())
+        let connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let at = connections.binary_search_by_key(&addr, |k| k.addr).ok()?;
+        Some(connections[at].client.clone())
     }
 
     fn forget(&self, addr: SocketAddr) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Ok(at) = known.binary_search_by_key(&addr, |k| k.addr) {
-            known.remove(at);
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Ok(at) = connections.binary_search_by_key(&addr, |k| k.addr) {
+            connections.remove(at);
         }
     }
 
@@ -290,7 +293,7 @@
         let mut stream = net::TcpStream::connect(addr).await.ok()?;
         // Not fatal: calls are only a little later without it.
         let _ = stream.set_nodelay(true);
-        handshake::offer(&mut stream, &self.secret, self.lane)
+        handshake::connect(&mut stream, &self.secret, self.lane)
             .await
             .ok()?;
         let transport = serde_transport::new(frames(stream), Bincode::default());
@@ -320,12 +323,12 @@
         key: request.key.as_deref().map(str::to_owned),
         deadline_ms: u64::try_from(budget.as_millis()).unwrap_or(u64::MAX),
         owned: hop.owned,
-        home: request.home.as_deref().map(str::to_owned),
+        home: request.caller_region.as_deref().map(str::to_owned),
         via: hop.via.as_deref().map(str::to_owned),
     }
 }
 
-fn ending(forwarded: peer::Forwarded) -> dispatch::AttemptOutcome {
+fn attempt_outcome(forwarded: peer::Forwarded) -> dispatch::AttemptOutcome {
     match peer::Settled::try_from(forwarded) {
         Ok(Ok(answer)) => dispatch::AttemptOutcome::Answered(answer),
         Ok(Err(refusal)) => dispatch::AttemptOutcome::PeerRefused(refusal),
--- a/crates/auburnrouter/src/daemon/peers/handshake.rs
+++ b/crates/auburnrouter/src/daemon/peers/handshake.rs
@@ -17,30 +17,34 @@
 
 use super::Lane;
 
-const NONCE: usize = 16;
-const PROOF: usize = 32;
-const CALLER: &[u8] = b"auburnrouter peer caller 1";
-const LISTENER: &[u8] = b"auburnrouter peer listener 1";
+const NONCE_LEN: usize = 16;
+const PROOF_LEN: usize = 32;
+const CALLER_LABEL: &[u8] = b"auburnrouter peer caller 1";
+const LISTENER_LABEL: &[u8] = b"auburnrouter peer listener 1";
 
 /// Time for the whole handshake; a connection that stays silent is closed.
-const TIME: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The calling end.
 ///
 /// # Errors
 /// If the connection breaks, is too slow, or the other end doesn't know the
 /// secret.
-pub async fn offer(stream: &mut net::TcpStream, secret: &Secret, lane: Lane) -> io::Result<()> {
-    in_time(async {
-        let theirs = read::<NONCE>(stream).await?;
+pub async fn connect(stream: &mut net::TcpStream, secret: &Secret, lane: Lane) -> io::Result<()> {
+    with_timeout(async {
+        let theirs = read::<NONCE_LEN>(stream).await?;
         let ours = nonce();
-        let mut message = [0; NONCE + PROOF + 1];
-        message[..NONCE].copy_from_slice(&ours);
-        message[NONCE..NONCE + PROOF].copy_from_slice(&prove(secret, CALLER, &theirs));
-        message[NONCE + PROOF] = lane as u8;
+        let mut message = [0; NONCE_LEN + PROOF_LEN + 1];
+        message[..NONCE_LEN].copy_from_slice(&ours);
+        message[NONCE_LEN..NONCE_LEN + PROOF_LEN].copy_from_slice(&prove(
+            secret,
+            CALLER_LABEL,
+            &theirs,
+        ));
+        message[NONCE_LEN + PROOF_LEN] = lane as u8;
         stream.write_all(&message).await?;
-        let proof = read::<PROOF>(stream).await?;
-        verify(secret, LISTENER, &ours, &proof)
+        let proof = read::<PROOF_LEN>(stream).await?;
+        verify(secret, LISTENER_LABEL, &ours, &proof)
     })
     .await
 }
@@ -48,16 +52,18 @@
 /// The listening end; gives what the connection is for.
 ///
 /// # Errors
-/// As for [`offer`].
-pub async fn demand(stream: &mut net::TcpStream, secret: &Secret) -> io::Result<Lane> {
-    in_time(async {
+/// As for [`connect`].
+pub async fn accept(stream: &mut net::TcpStream, secret: &Secret) -> io::Result<Lane> {
+    with_timeout(async {
         let ours = nonce();
         stream.write_all(&ours).await?;
-        let theirs = read::<NONCE>(stream).await?;
-        let proof = read::<PROOF>(stream).await?;
+        let theirs = read::<NONCE_LEN>(stream).await?;
+        let proof = read::<PROOF_LEN>(stream).await?;
         let [lane] = read::<1>(stream).await?;
-        verify(secret, CALLER, &ours, &proof)?;
-        stream.write_all(&prove(secret, LISTENER, &theirs)).await?;
+        verify(secret, CALLER_LABEL, &ours, &proof)?;
+        stream
+            .write_all(&prove(secret, LISTENER_LABEL, &theirs))
+            .await?;
         match lane {
             0 => Ok(Lane::Traffic),
             1 => Ok(Lane::Control),
@@ -67,9 +73,9 @@
     .await
 }
 
-async fn in_time<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn with_timeout<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let late = async {
-        smol::Timer::after(TIME).await;
+        smol::Timer::after(EXCHANGE_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     future::or(work, late).await
@@ -81,22 +87,22 @@
     Ok(bytes)
 }
 
-fn nonce() -> [u8; NONCE] {
+fn nonce() -> [u8; NONCE_LEN] {
     fastrand::u128(..).to_le_bytes()
 }
 
-fn keyed(secret: &Secret, label: &[u8], nonce: &[u8; NONCE]) -> Hmac<Sha256> {
+fn keyed(secret: &Secret, label: &[u8], nonce: &[u8; NONCE_LEN]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret.bytes()).expect("any length is a key");
     mac.update(label);
     mac.update(nonce);
     mac
 }
 
-fn prove(secret: &Secret, label: &[u8], nonce: &[u8; NONCE]) -> [u8; PROOF] {
+fn prove(secret: &Secret, label: &[u8], nonce: &[u8; NONCE_LEN]) -> [u8; PROOF_LEN] {
     keyed(secret, label, nonce).finalize().into_bytes().into()
 }
 
-fn verify(secret: &Secret, label: &[u8], nonce: &[u8; NONCE], proof: &[u8]) -> io::Result<()> {
-    let known = keyed(secret, label, nonce).verify_slice(proof);
-    known.map_err(|_| io::ErrorKind::PermissionDenied.into())
+fn verify(secret: &Secret, label: &[u8], nonce: &[u8; NONCE_LEN], proof: &[u8]) -> io::Result<()> {
+    let checked = keyed(secret, label, nonce).verify_slice(proof);
+    checked.map_err(|_| io::ErrorKind::PermissionDenied.into())
 }
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -32,7 +32,7 @@
 
 /// What serving peers needs.
 #[derive(Clone)]
-pub struct Serving {
+pub struct Service {
     /// What both ends have to know.
     pub secret: Secret,
     /// Where requests go.
@@ -40,14 +40,14 @@
     /// Where messages of control go.
     pub control: control::Handle,
     /// Where connections for requests run.
-    pub traffic: Executor,
+    pub traffic_executor: Executor,
     /// Where connections for control run, so that heartbeats don't wait behind
     /// requests.
-    pub steering: Executor,
+    pub control_executor: Executor,
 }
 
 /// Takes calls until stopped; calls in progress go on.
-pub async fn serve(socket: net::TcpListener, serving: Serving, stopper: Stopper) {
+pub async fn serve(socket: net::TcpListener, service: Service, stopper: Stopper) {
     loop {
         let accepted = async { Some(socket.accept().await) };
         let end = async {
@@ -60,36 +60,38 @@
                 smol::Timer::after(ACCEPT_PAUSE).await;
             }
             Some(Ok((stream, _))) => {
-                let serving = serving.clone();
-                let steering = Arc::clone(&serving.steering);
-                steering.spawn(greet(stream, serving)).detach();
+                let service = service.clone();
+                let control_executor = Arc::clone(&service.control_executor);
+                control_executor
+                    .spawn(authenticate(stream, service))
+                    .detach();
             }
         }
     }
 }
 
-async fn greet(mut stream: net::TcpStream, serving: Serving) {
+async fn authenticate(mut stream: net::TcpStream, service: Service) {
     // Not fatal: answers are only a little later without it.
     let _ = stream.set_nodelay(true);
-    let Ok(lane) = handshake::demand(&mut stream, &serving.secret).await else {
+    let Ok(lane) = handshake::accept(&mut stream, &service.secret).await else {
         return;
     };
     let executor = match lane {
-        Lane::Traffic => Arc::clone(&serving.traffic),
-        Lane::Control => Arc::clone(&serving.steering),
+        Lane::Traffic => Arc::clone(&service.traffic_executor),
+        Lane::Control => Arc::clone(&service.control_executor),
     };
-    let answering = Answering {
-        engine: serving.engine,
-        control: serving.control,
+    let peer_server = PeerServer {
+        engine: service.engine,
+        control: service.control,
     };
-    let serve = connection(stream, answering, Arc::clone(&executor));
+    let serve = connection(stream, peer_server, Arc::clone(&executor));
     executor.spawn(serve).detach();
 }
 
-async fn connection(stream: net::TcpStream, answering: Answering, executor: Executor) {
+async fn connection(stream: net::TcpStream, peer_server: PeerServer, executor: Executor) {
     let transport = serde_transport::new(frames(stream), Bincode::default());
     let channel = server::BaseChannel::with_defaults(transport);
-    let calls = channel.execute(answering.serve());
+    let calls = channel.execute(peer_server.serve());
     let run = async move {
         let mut calls = std::pin::pin!(calls);
         while let Some(call) = calls.next().await {
@@ -100,12 +102,12 @@
 }
 
 #[derive(Clone)]
-struct Answering {
+struct PeerServer {
     engine: Arc<Engine>,
     control: control::Handle,
 }
 
-impl Peer for Answering {
+impl Peer for PeerServer {
     async fn forward(self, _: context::Context, forward: peer::Forward) -> peer::Forwarded {
         let origin = if forward.owned {
             arrival::Origin::Forward
@@ -127,25 +129,25 @@
             return;
         };
         if let Ok(message) = message::Message::try_from(message)
-            && is_whole(&message)
+            && has_valid_hashes(&message)
         {
             self.control.receive(message);
         }
     }
 
     async fn who(self, _: context::Context) -> peer::Who {
-        let me = self.control.identity();
+        let identity = self.control.identity();
         peer::Who {
-            name: me.name.as_ref().to_owned(),
-            domain: me.domain.as_ref().to_owned(),
-            peer: me.peer,
+            name: identity.name.as_ref().to_owned(),
+            domain: identity.domain.as_ref().to_owned(),
+            peer: identity.peer,
             version: self.control.version(),
         }
     }
 
     async fn suspect(self, _: context::Context, suspect: peer::Suspect) {
-        let print = arrival::Fingerprint(suspect.fingerprint);
-        self.engine.suspected(print, suspect.strikes);
+        let fingerprint = arrival::Fingerprint(suspect.fingerprint);
+        self.engine.report_suspect(fingerprint, suspect.strikes);
     }
 
     async fn lend(self, _: context::Context, route: wire::share::Route, amount: u64) -> u64 {
@@ -157,18 +159,18 @@
         _: context::Context,
         question: witness::Question,
     ) -> Option<witness::Word> {
-        let word = self.engine.witness(question.into()).await?;
-        Some(word.into())
+        let reply = self.engine.witness(question.into()).await?;
+        Some(reply.into())
     }
 }
 
 /// Whether each body in a message has the hash that it claims: control trusts
 /// that, and would otherwise install what nobody accepted.
-fn is_whole(message: &message::Message) -> bool {
+fn has_valid_hashes(message: &message::Message) -> bool {
     match &message.content {
         message::Content::Bodies(bodies) => {
-            let right = |b: &config::Body| document::hash(&b.bytes) == b.hash;
-            bodies.iter().all(right)
+            let is_valid = |b: &config::Body| document::hash(&b.bytes) == b.hash;
+            bodies.iter().all(is_valid)
         }
         _ => true,
     }
@@ -184,6 +186,6 @@
         body: forward.body.into(),
         caller: forward.caller.into(),
         key: forward.key.map(Into::into),
-        home: forward.home.map(Into::into),
+        caller_region: forward.home.map(Into::into),
     }
 }
--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -14,10 +14,10 @@
 use super::guarded::Conn;
 
 /// Sent to a connection beyond the number allowed.
-pub const TOO_MANY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nOutcome: unknown\r\nReason: overloaded\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+pub const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nOutcome: unknown\r\nReason: overloaded\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// Sent when a request isn't whole in time.
-pub const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nOutcome: unknown\r\nReason: bad-request\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+pub const REQUEST_TIMEOUT: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nOutcome: unknown\r\nReason: bad-request\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// Sent when a request's head is longer than allowed.
 pub const HEAD_TOO_LONG: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -38,12 +38,12 @@
 #[must_use]
 pub fn settled(conn: Conn, settled: &peer::Settled) -> Conn {
     match settled {
-        Ok(answer) => whole(conn, answer),
+        Ok(answer) => target_answer(conn, answer),
         Err(refusal) => refused(conn, refusal),
     }
 }
 
-fn whole(mut conn: Conn, answer: &answer::Answer) -> Conn {
+fn target_answer(mut conn: Conn, answer: &answer::Answer) -> Conn {
     conn.set_status(status(answer.status));
     for header in &answer.headers {
         append(&mut conn, &header.name, &header.value);
@@ -114,7 +114,7 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Whole seconds, rounded up, so that nobody comes back too early.
+/// FullConfig seconds, rounded up, so that nobody comes back too early.
 const fn seconds_up(span: Duration) -> u64 {
     span.as_secs() + (span.subsec_nanos() > 0) as u64
 }
--- a/crates/auburnrouter/src/daemon/snapshot.rs
+++ b/crates/auburnrouter/src/daemon/snapshot.rs
@@ -39,11 +39,11 @@
 /// threads may wake first: until the loop has run, which notices the freeze,
 /// they would answer look-ups from a picture as old as the freeze is long.
 #[derive(Debug, Default)]
-pub struct Pulse(AtomicU64);
+pub struct LastRun(AtomicU64);
 
-impl Pulse {
+impl LastRun {
     /// The control loop runs.
-    pub fn beat(&self, now: Time) {
+    pub fn record(&self, now: Time) {
         self.0.store(now.as_micros(), Ordering::Relaxed);
     }
 
--- a/crates/auburnrouter/tests/edge.rs
+++ b/crates/auburnrouter/tests/edge.rs
@@ -1,15 +1,16 @@
 //! What whoever connects gets at the edge of an entry instance, whatever it
 //! sends: a typed refusal that says whether the request ran, or an answer.
 
-#[path = "edge/bench.rs"]
-mod bench;
+#[path = "edge/harness.rs"]
+mod harness;
 
-use bench::{Bench, SECRET};
+use harness::{Harness, SECRET};
 use rstest::rstest;
 
-const GOOD: &str = "GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n";
+const VALID_REQUEST: &str = "GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n";
 
-const HALF: &str = "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nfour";
+const PARTIAL_REQUEST: &str =
+    "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nfour";
 
 /// The caller sends nonsense or too much and gets a final answer at once.
 ///
@@ -63,12 +64,12 @@
     "not-run"
 )]
 fn refuse_malformed(#[case] text: &str, #[case] status: &str, #[case] outcome: &str) {
-    let bench = Bench::start("");
-    let answer = bench.say(text);
+    let harness = Harness::start("");
+    let answer = harness.send(text);
     assert_eq!(answer.status, status, "{answer:?}");
     assert_eq!(answer.header("outcome"), Some(outcome), "{answer:?}");
     assert!(answer.header("reason").is_some(), "{answer:?}");
-    bench.stop();
+    harness.stop();
 }
 
 #[test]
@@ -76,36 +77,36 @@
     // The caller sends two lengths. Whoever stands before this instance may
     // believe the other one: the rest of the body would be read as a second
     // request, which no caller has sent.
-    let bench = Bench::start("");
+    let harness = Harness::start("");
     let text = "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 47\r\n\r\nGET /s/stock/smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
-    let answers = bench.say_all(text);
+    let answers = harness.send_and_drain(text);
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "{answers}");
     assert!(answers.starts_with("HTTP/1.1 400"), "{answers}");
-    bench.stop();
+    harness.stop();
 }
 
 #[test]
 fn refuse_long_head() {
-    let bench = Bench::start(r#""head_bytes": 1024"#);
+    let harness = Harness::start(r#""head_bytes": 1024"#);
     let filler = "x".repeat(4096);
-    let answer = bench.say(&format!(
+    let answer = harness.send(&format!(
         "GET /s/stock/x HTTP/1.1\r\nFiller: {filler}\r\n\r\n"
     ));
     assert_eq!(answer.status, "431", "{answer:?}");
     assert_eq!(answer.header("outcome"), Some("unknown"));
-    bench.stop();
+    harness.stop();
 }
 
 #[test]
 fn refuse_long_body() {
-    let bench = Bench::start(r#""body_bytes": 1024"#);
+    let harness = Harness::start(r#""body_bytes": 1024"#);
     let body = "x".repeat(4096);
-    let answer = bench.say(&format!(
+    let answer = harness.send(&format!(
         "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 4096\r\n\r\n{body}"
     ));
     assert_eq!(answer.status, "413", "{answer:?}");
     assert_eq!(answer.header("outcome"), Some("not-run"));
-    bench.stop();
+    harness.stop();
 }
 
 /// The caller sends half a request and stalls; it gets a 408 and is closed.
@@ -115,37 +116,37 @@
 /// would shut all other callers out.
 #[test]
 fn refuse_half_sent() {
-    let bench = Bench::start(r#""request_ms": 300"#);
-    let answer = bench.say(HALF);
+    let harness = Harness::start(r#""request_ms": 300"#);
+    let answer = harness.send(PARTIAL_REQUEST);
     assert_eq!(answer.status, "408", "{answer:?}");
     assert_eq!(answer.header("outcome"), Some("unknown"));
-    assert_eq!(bench.executed(), 0);
-    bench.stop();
+    assert_eq!(harness.executed(), 0);
+    harness.stop();
 }
 
 /// More callers connect than the instance takes; the one too many is told so.
 #[test]
 fn refuse_connection_too_many() {
-    let bench = Bench::start(r#""connections": 2"#);
-    let open = [bench.hold(), bench.hold()];
-    let answer = bench.say(GOOD);
+    let harness = Harness::start(r#""connections": 2"#);
+    let open = [harness.hold_connection(), harness.hold_connection()];
+    let answer = harness.send(VALID_REQUEST);
     assert_eq!(answer.status, "503", "{answer:?}");
     assert_eq!(answer.header("outcome"), Some("unknown"), "{answer:?}");
     assert!(answer.header("retry-after").is_some());
     drop(open);
-    bench.stop();
+    harness.stop();
 }
 
 #[test]
 fn answer_not_ready() {
-    let bench = Bench::start_empty();
-    let lookup = bench.say("GET /lookup?service=stock HTTP/1.1\r\nHost: a\r\n\r\n");
+    let harness = Harness::start_empty();
+    let lookup = harness.send("GET /lookup?service=stock HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(lookup.status, "503", "{lookup:?}");
     assert_eq!(lookup.header("reason"), Some("not-ready"));
-    let request = bench.say("GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n");
+    let request = harness.send("GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(request.header("reason"), Some("not-ready"));
     assert_eq!(request.header("outcome"), Some("not-run"));
-    bench.stop();
+    harness.stop();
 }
 
 #[rstest]
@@ -154,23 +155,23 @@
 #[case::shorter(Some("s"), "401")]
 #[case::right(Some(SECRET), "200")]
 fn operators_secret(#[case] secret: Option<&str>, #[case] status: &str) {
-    let bench = Bench::start_empty();
+    let harness = Harness::start_empty();
     let line = secret.map(|s| format!("Authorization: Bearer {s}\r\n"));
     let line = line.unwrap_or_default();
     let text = format!("GET /dump HTTP/1.1\r\nHost: a\r\n{line}\r\n");
-    let answer = bench::say_to(bench.operators(), &text);
+    let answer = harness::send_to(harness.operators(), &text);
     assert_eq!(answer.status, status, "{answer:?}");
     assert!(!answer.body.contains(SECRET));
-    bench.stop();
+    harness.stop();
 }
 
 /// Somebody connects to the peers' listener and doesn't know the secret; it is
 /// closed without a call taken, and the instance goes on.
 #[test]
 fn refuse_peer_without_secret() {
-    let bench = Bench::start("");
-    assert!(bench::is_closed_after(bench.peers(), &[7; 65]));
-    let answer = bench.say("GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n");
+    let harness = Harness::start("");
+    assert!(harness::is_closed_after(harness.peers(), &[7; 65]));
+    let answer = harness.send("GET /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(answer.status, "200", "{answer:?}");
-    bench.stop();
+    harness.stop();
 }
--- a/crates/auburnrouter/tests/edge/bench.rs
+++ b/crates/auburnrouter/tests/edge/harness.rs
@@ -17,7 +17,7 @@
 pub const SECRET: &str = "edge-secret-0123456789";
 
 /// Longest that anything is waited for.
-const BOUND: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const BASE: &str = r#"{
   "regions": { "r": { "domains": { "d": { "entries": ["a"], "sites": ["s"] } } } },
@@ -28,7 +28,7 @@
   }
 }"#;
 
-pub struct Bench {
+pub struct Harness {
     folder: PathBuf,
     store: store::Store,
     target: target::Target,
@@ -63,35 +63,35 @@
     }
 }
 
-impl Bench {
+impl Harness {
     /// With a configuration in force; `limits` go into the settings.
     pub fn start(limits: &str) -> Self {
-        let bench = Self::with_limits(limits);
-        let base = bench.folder.join("base.jsonc");
+        let harness = Self::with_limits(limits);
+        let base = harness.folder.join("base.jsonc");
         fs::write(&base, BASE).expect("the folder is writable");
         let args: [OsString; 6] = [
             "apply".into(),
             base.into(),
             "--operators".into(),
-            bench.operators().to_string().into(),
+            harness.operators().to_string().into(),
             "--secret-file".into(),
-            bench.folder.join("secret").into(),
+            harness.folder.join("secret").into(),
         ];
         assert_eq!(auburnrouter::run(args), ExitCode::SUCCESS);
-        let until = Instant::now() + BOUND;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let ready = || {
-            bench
-                .say("GET /s/stock/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+            harness
+                .send("GET /s/stock/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .status
                 == "200"
         };
         while !ready() {
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "the entry instance isn't ready in time"
             );
         }
-        bench
+        harness
     }
 
     /// Without a configuration.
@@ -117,10 +117,10 @@
         let target = target::Target::start(config).expect("a port is free");
         let instances = vec![target.instance()];
         store.list(instance::Instances { instances });
-        let any = "127.0.0.1:0";
+        let loopback = "127.0.0.1:0";
         let settings = format!(
             r#"{{ "name": "a", "domain": "d",
-                 "listen": {{ "callers": "{any}", "peers": "{any}", "operators": "{any}" }},
+                 "listen": {{ "callers": "{loopback}", "peers": "{loopback}", "operators": "{loopback}" }},
                  "seeds": [], "store": ["{}"], "secret_file": "{}", "limits": {{ {limits} }} }}"#,
             store.addr(),
             secret.display()
@@ -155,12 +155,12 @@
     }
 
     /// Sends text to the callers' listener and gives the answer.
-    pub fn say(&self, text: &str) -> Answer {
-        say_to(self.entry.addresses().callers, text)
+    pub fn send(&self, text: &str) -> Answer {
+        send_to(self.entry.addresses().callers, text)
     }
 
     /// Everything that comes back on one connection until it is closed.
-    pub fn say_all(&self, text: &str) -> String {
+    pub fn send_and_drain(&self, text: &str) -> String {
         let mut stream = connect(self.entry.addresses().callers);
         stream
             .write_all(text.as_bytes())
@@ -173,8 +173,8 @@
 
     /// A connection that was served and stays open. Connections that have just
     /// ended may count for a moment longer, and then there is none to be had.
-    pub fn hold(&self) -> TcpStream {
-        let until = Instant::now() + BOUND;
+    pub fn hold_connection(&self) -> TcpStream {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let mut stream = self.connect();
             let text = "GET /s/stock/ready HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -182,7 +182,7 @@
             if sent.is_ok() && Answer::parse(&read_answer(&mut stream)).status == "200" {
                 return stream;
             }
-            assert!(Instant::now() < until, "no connection was served");
+            assert!(Instant::now() < deadline, "no connection was served");
         }
     }
 
@@ -196,7 +196,7 @@
     }
 }
 
-pub fn say_to(addr: SocketAddr, text: &str) -> Answer {
+pub fn send_to(addr: SocketAddr, text: &str) -> Answer {
     let mut stream = connect(addr);
     stream
         .write_all(text.as_bytes())
@@ -216,7 +216,7 @@
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("it listens");
     stream
-        .set_read_timeout(Some(BOUND))
+        .set_read_timeout(Some(WAIT_TIMEOUT))
         .expect("the time isn't zero");
     stream
 }
--- a/crates/auburnrouter/tests/soak.rs
+++ b/crates/auburnrouter/tests/soak.rs
@@ -8,25 +8,25 @@
 
 #[path = "soak/callers.rs"]
 mod callers;
+#[path = "soak/cluster.rs"]
+mod cluster;
 #[path = "direct/harness.rs"]
 #[allow(dead_code, reason = "shared with other tests, which use all of it")]
 mod harness;
-#[path = "soak/ledger.rs"]
-mod ledger;
 #[path = "soak/proxy.rs"]
 mod proxy;
-#[path = "soak/world.rs"]
-mod world;
+#[path = "soak/report.rs"]
+mod report;
 
 use std::time::Duration;
 
 /// Seeds that failed once, each with its cause.
-const FAILED: [u64; 0] = [];
+const REGRESSION_SEEDS: [u64; 0] = [];
 
 /// A number from the environment.
-fn number(name: &str, usual: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
-    text.map_or(usual, |t| t.parse().expect("it is a number"))
+    text.map_or(default, |t| t.parse().expect("it is a number"))
 }
 
 /// Kills, freezes, stops, cuts, outages of the store, targets with every fault
@@ -35,14 +35,14 @@
 /// the target's whole answer, and afterwards callers are served again.
 #[test]
 fn keep_promises() {
-    let first = number("SOAK_FIRST", 1);
-    let seeds = first..first + number("SOAK_SEEDS", 2);
-    let span = Duration::from_secs(number("SOAK_SECONDS", 5));
-    for seed in seeds.chain(FAILED) {
+    let first = env_number("SOAK_FIRST", 1);
+    let seeds = first..first + env_number("SOAK_SEEDS", 2);
+    let duration = Duration::from_secs(env_number("SOAK_SECONDS", 5));
+    for seed in seeds.chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
-        let seen = world::play(seed, span);
-        println!("  {seen}");
-        let broken = seen.broken();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let report = cluster::run(seed, duration);
+        println!("  {report}");
+        let violations = report.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
--- a/crates/auburnrouter/tests/soak/callers.rs
+++ b/crates/auburnrouter/tests/soak/callers.rs
@@ -10,56 +10,56 @@
 use fastrand::Rng;
 
 use super::harness;
-use super::ledger::{Asked, Told};
+use super::report::{Exchange, Received};
 
 /// Callers at the same time.
 const CALLERS: usize = 8;
 
 /// Longest wait for an answer; callers say that they wait 2.5 s.
-const PATIENCE: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What callers share.
 pub struct Callers {
     /// Where instances listen now.
     pub addrs: Mutex<Vec<SocketAddr>>,
-    done: AtomicBool,
+    is_done: AtomicBool,
 }
 
 /// Starts callers; [`stop`] ends them.
-pub fn start(seed: u64) -> (Arc<Callers>, Vec<JoinHandle<Vec<Asked>>>) {
+pub fn start(seed: u64) -> (Arc<Callers>, Vec<JoinHandle<Vec<Exchange>>>) {
     let callers = Arc::new(Callers {
         addrs: Mutex::new(Vec::new()),
-        done: AtomicBool::new(false),
+        is_done: AtomicBool::new(false),
     });
     let run = |number: usize| {
         let callers = Arc::clone(&callers);
-        thread::spawn(move || call(&callers, number, seed))
+        thread::spawn(move || run_caller(&callers, number, seed))
     };
     let threads = (0..CALLERS).map(run).collect();
     (callers, threads)
 }
 
 /// Ends callers and gives what they saw, sorted by id.
-pub fn stop(callers: &Callers, threads: Vec<JoinHandle<Vec<Asked>>>) -> Vec<Asked> {
-    callers.done.store(true, Ordering::Relaxed);
+pub fn stop(callers: &Callers, threads: Vec<JoinHandle<Vec<Exchange>>>) -> Vec<Exchange> {
+    callers.is_done.store(true, Ordering::Relaxed);
     let seen = threads.into_iter().map(JoinHandle::join);
-    let mut asked: Vec<Asked> = seen.flat_map(|s| s.expect("it doesn't panic")).collect();
-    asked.sort_by(|a, b| a.id.cmp(&b.id));
-    asked
+    let mut exchanges: Vec<Exchange> = seen.flat_map(|s| s.expect("it doesn't panic")).collect();
+    exchanges.sort_by(|a, b| a.id.cmp(&b.id));
+    exchanges
 }
 
 /// Most requests that a caller sends before it reads an answer.
-const AHEAD: usize = 4;
+const PIPELINE_MAX: usize = 4;
 
 /// A request before it is sent.
-struct Wish {
+struct PlannedRequest {
     id: String,
     method: &'static str,
     path: String,
     text: String,
 }
 
-fn wish(rng: &mut Rng, id: String) -> Wish {
+fn plan(rng: &mut Rng, id: String) -> PlannedRequest {
     let (method, path) = match rng.u8(0..10) {
         0..5 => ("GET", "/view/"),
         5..9 => ("PUT", "/pay/"),
@@ -70,7 +70,7 @@
     let path = format!("{path}{object}");
     let text = harness::request(method, &path, &id, "");
     let text = text.replace("Affinity-Key: 7", &format!("Affinity-Key: {object}"));
-    Wish {
+    PlannedRequest {
         id,
         method,
         path,
@@ -78,53 +78,53 @@
     }
 }
 
-fn call(callers: &Callers, number: usize, seed: u64) -> Vec<Asked> {
+fn run_caller(callers: &Callers, number: usize, seed: u64) -> Vec<Exchange> {
     let mut rng = Rng::with_seed(seed ^ (number as u64) << 32);
-    let mut asked = Vec::new();
-    let mut kept: Option<TcpStream> = None;
-    while !callers.done.load(Ordering::Relaxed) {
+    let mut exchanges = Vec::new();
+    let mut kept_open: Option<TcpStream> = None;
+    while !callers.is_done.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.u64(1..20)));
-        let open = kept.take().filter(|_| rng.u8(0..4) > 0);
+        let open = kept_open.take().filter(|_| rng.u8(0..4) > 0);
         let Some(mut stream) = open.or_else(|| connect(callers, &mut rng)) else {
             continue;
         };
         // One in three callers sends ahead, payments too: the product has to
         // hold those back by itself.
         let count = if rng.u8(0..3) == 0 {
-            rng.usize(2..=AHEAD)
+            rng.usize(2..=PIPELINE_MAX)
         } else {
             1
         };
-        let first = asked.len();
-        let wishes: Vec<Wish> = (first..first + count)
-            .map(|n| wish(&mut rng, format!("c{number}-{n:06}")))
+        let first = exchanges.len();
+        let planned: Vec<PlannedRequest> = (first..first + count)
+            .map(|n| plan(&mut rng, format!("c{number}-{n:06}")))
             .collect();
-        let text: String = wishes.iter().map(|w| &*w.text).collect();
-        let mut open = stream.write_all(text.as_bytes()).is_ok();
+        let text: String = planned.iter().map(|w| &*w.text).collect();
+        let mut is_open = stream.write_all(text.as_bytes()).is_ok();
         // Some leave before they are answered.
-        let leaves = rng.u8(0..20) == 0;
-        for wish in wishes {
-            let answer = (open && !leaves)
+        let is_leaving = rng.u8(0..20) == 0;
+        for request in planned {
+            let answer = (is_open && !is_leaving)
                 .then(|| harness::read_answer(&mut stream))
                 .flatten();
-            let closes = |a: &harness::Answer| a.header("connection") == Some("close");
-            open &= answer.as_ref().is_some_and(|a| !closes(a));
-            asked.push(Asked {
-                id: wish.id,
-                method: wish.method,
-                path: wish.path,
-                answer: answer.map(Told::from),
+            let is_closing = |a: &harness::Answer| a.header("connection") == Some("close");
+            is_open &= answer.as_ref().is_some_and(|a| !is_closing(a));
+            exchanges.push(Exchange {
+                id: request.id,
+                method: request.method,
+                path: request.path,
+                answer: answer.map(Received::from),
             });
         }
-        kept = open.then_some(stream);
+        kept_open = is_open.then_some(stream);
     }
-    asked
+    exchanges
 }
 
 fn connect(callers: &Callers, rng: &mut Rng) -> Option<TcpStream> {
     let addrs = callers.addrs.lock().expect("no one panics with it").clone();
     let addr = *addrs.get(rng.usize(0..addrs.len().max(1)))?;
     let stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     Some(stream)
 }
--- a/crates/auburnrouter/tests/soak/world.rs
+++ b/crates/auburnrouter/tests/soak/cluster.rs
@@ -16,8 +16,8 @@
 
 use super::callers;
 use super::harness::{Entry, HOST, MS, ROUTES, wait_until};
-use super::ledger::Seen;
-use super::proxy::{Harm, Proxy};
+use super::proxy::{Fault, Proxy};
+use super::report::Report;
 
 /// Domains of the instances.
 const DOMAINS: [&str; 3] = ["near-a", "near-b", "far-a"];
@@ -26,103 +26,108 @@
 const TARGETS: usize = 6;
 
 /// Time between faults, least and most. They last longer, so they overlap.
-const PAUSE: (u64, u64) = (30, 200);
+const PAUSE_MS: (u64, u64) = (30, 200);
 
 /// How long a fault lasts, least and most.
-const SPAN: (u64, u64) = (100, 1_500);
+const FAULT_MS: (u64, u64) = (100, 1_500);
 
 /// A fault's end.
-enum End {
+enum Recovery {
     Wake(usize),
-    Return(usize),
+    Restart(usize),
     Store,
-    Way(usize),
-    Link(usize),
+    TargetProxy(usize),
+    StoreProxy(usize),
     Target(usize),
     Domain(usize),
 }
 
-struct World {
+struct Cluster {
     rng: Rng,
     store: Store,
     /// Between each instance and the store.
-    links: Vec<Proxy>,
+    store_proxies: Vec<Proxy>,
     targets: Vec<Target>,
     /// Between instances and each target.
-    ways: Vec<Proxy>,
+    target_proxies: Vec<Proxy>,
     entries: Vec<Option<Entry>>,
     /// Instances that were told to stop.
     leaving: Vec<Entry>,
     /// Instances that stand still.
     frozen: Vec<usize>,
-    ends: Vec<(Instant, End)>,
+    recoveries: Vec<(Instant, Recovery)>,
     version: u64,
     faults: usize,
-    wrong: Vec<String>,
+    failures: Vec<String>,
 }
 
 /// Plays one seed.
-pub fn play(seed: u64, span: Duration) -> Seen {
-    let mut world = World::start(seed);
+pub fn run(seed: u64, span: Duration) -> Report {
+    let mut cluster = Cluster::start(seed);
     let (callers, threads) = callers::start(seed);
-    let publish = |world: &World| {
-        *callers.addrs.lock().expect("no one panics with it") = world.addrs();
+    let publish = |cluster: &Cluster| {
+        *callers.addrs.lock().expect("no one panics with it") = cluster.addrs();
     };
-    publish(&world);
+    publish(&cluster);
     let until = Instant::now() + span;
     while Instant::now() < until {
-        let pause = world.rng.u64(PAUSE.0..PAUSE.1);
+        let pause = cluster.rng.u64(PAUSE_MS.0..PAUSE_MS.1);
         thread::sleep(Duration::from_millis(pause));
-        world.finish(Instant::now());
-        world.fault();
-        publish(&world);
+        cluster.recover_due(Instant::now());
+        cluster.inject_fault();
+        publish(&cluster);
     }
-    world.heal();
-    publish(&world);
-    world.serve_again();
-    let asked = callers::stop(&callers, threads);
-    world.stop(asked)
+    cluster.recover_all();
+    publish(&cluster);
+    cluster.await_serving();
+    let exchanges = callers::stop(&callers, threads);
+    cluster.stop(exchanges)
 }
 
-impl World {
+impl Cluster {
     fn start(seed: u64) -> Self {
         let store = Store::start().expect("a port is free");
         store.configure(1, HOST, &ROUTES);
-        let mut world = Self {
+        let mut cluster = Self {
             rng: Rng::with_seed(seed),
-            links: DOMAINS.iter().map(|_| Proxy::start(store.addr())).collect(),
+            store_proxies: DOMAINS.iter().map(|_| Proxy::start(store.addr())).collect(),
             store,
             targets: Vec::new(),
-            ways: Vec::new(),
+            target_proxies: Vec::new(),
             entries: Vec::new(),
             leaving: Vec::new(),
             frozen: Vec::new(),
-            ends: Vec::new(),
+            recoveries: Vec::new(),
             version: 1,
             faults: 0,
-            wrong: Vec::new(),
+            failures: Vec::new(),
         };
         for _ in 0..TARGETS {
-            world.add_target();
+            cluster.add_target();
         }
         for number in 0..DOMAINS.len() {
-            let entry = world.entry(number);
-            world.entries.push(Some(entry));
+            let entry = cluster.start_entry(number);
+            cluster.entries.push(Some(entry));
         }
-        for entry in world.entries.iter().flatten() {
+        for entry in cluster.entries.iter().flatten() {
             entry.await_ready();
         }
-        world
+        cluster
     }
 
     fn addrs(&self) -> Vec<SocketAddr> {
         self.entries.iter().flatten().map(|e| e.callers).collect()
     }
 
-    fn entry(&self, number: usize) -> Entry {
+    fn start_entry(&self, number: usize) -> Entry {
         let seeds: Vec<SocketAddr> = self.entries.iter().flatten().map(|e| e.peers).collect();
         let name = format!("i{number}");
-        Entry::start(&name, DOMAINS[number], self.links[number].addr, &seeds)
+        Entry::start(
+            &name,
+            DOMAINS[number],
+            self.store_proxies[number].addr,
+            &seeds,
+        )
     }
 
     fn add_target(&mut self) {
@@ -131,7 +136,7 @@
         let target =
             Target::start(&format!("t{number}"), "sheets", domain).expect("a port is free");
         target.set(Manner::Well, 20 * MS);
-        self.ways.push(Proxy::start(target.addr()));
+        self.target_proxies.push(Proxy::start(target.addr()));
         self.targets.push(target);
         self.list(number, "ready", 1);
     }
@@ -139,7 +144,7 @@
     /// Lists a target in the store, at the address of its proxy.
     fn list(&self, number: usize, state: &str, seq: u64) {
         let entry = json!({
-            "address": self.ways[number].addr, "born": 1_764_700_000_000_u64,
+            "address": self.target_proxies[number].addr, "born": 1_764_700_000_000_u64,
             "info": { "service": "sheets", "version": "v1",
                       "zone": DOMAINS[number % DOMAINS.len()], "slots": 3 },
             "status": { "state": state, "seq": seq, "warmup_left_s": 0 },
@@ -147,7 +152,7 @@
         self.store.write(&format!("servers/t{number}"), &entry);
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         self.faults += 1;
         let entry = self.rng.usize(0..DOMAINS.len());
         let target = self.rng.usize(0..self.targets.len());
@@ -155,44 +160,44 @@
             0 => self.kill(entry),
             1 => self.freeze(entry),
             2 => self.terminate(entry),
-            3 => self.hang_up(entry),
+            3 => self.send_hangup(entry),
             4 => {
                 let mode = [Mode::Busy, Mode::Silent][self.rng.usize(0..2)];
                 self.store.set(mode);
-                self.later(End::Store);
+                self.schedule(Recovery::Store);
             }
             5 => self.store.compact(),
             6 => {
-                let harm = self.harm();
-                self.links[entry].set(harm);
-                self.later(End::Link(entry));
+                let fault = self.random_fault();
+                self.store_proxies[entry].set(fault);
+                self.schedule(Recovery::StoreProxy(entry));
             }
             7 | 8 => {
-                let harm = self.harm();
-                self.ways[target].set(harm);
-                self.later(End::Way(target));
+                let fault = self.random_fault();
+                self.target_proxies[target].set(fault);
+                self.schedule(Recovery::TargetProxy(target));
             }
-            9..=13 => self.misbehave(target),
+            9..=13 => self.set_target_faults(target),
             14 => self.evacuate(entry),
-            _ => self.change(),
+            _ => self.change_config(),
         }
     }
 
-    fn harm(&mut self) -> Harm {
-        let delay = Harm::Delay(Duration::from_millis(self.rng.u64(1..60)));
-        [delay, Harm::Cut, Harm::OneWay, Harm::Silence][self.rng.usize(0..4)]
+    fn random_fault(&mut self) -> Fault {
+        let delay = Fault::Delay(Duration::from_millis(self.rng.u64(1..60)));
+        [delay, Fault::Cut, Fault::OneWay, Fault::Silence][self.rng.usize(0..4)]
     }
 
-    fn later(&mut self, end: End) {
-        let span = Duration::from_millis(self.rng.u64(SPAN.0..SPAN.1));
-        self.ends.push((Instant::now() + span, end));
+    fn schedule(&mut self, recovery: Recovery) {
+        let span = Duration::from_millis(self.rng.u64(FAULT_MS.0..FAULT_MS.1));
+        self.recoveries.push((Instant::now() + span, recovery));
     }
 
     fn kill(&mut self, number: usize) {
         if self.frozen.contains(&number) || self.entries[number].take().is_none() {
             return;
         }
-        self.later(End::Return(number));
+        self.schedule(Recovery::Restart(number));
     }
 
     fn freeze(&mut self, number: usize) {
@@ -204,7 +209,7 @@
         }
         entry.signal(Signal::STOP);
         self.frozen.push(number);
-        self.later(End::Wake(number));
+        self.schedule(Recovery::Wake(number));
     }
 
     /// Stops it as planned; its callers use their connections until it is gone.
@@ -218,16 +223,16 @@
         entry.signal(Signal::TERM);
         self.leaving.push(entry);
         // Another takes its place meanwhile, as a release does.
-        self.entries[number] = Some(self.entry(number));
+        self.entries[number] = Some(self.start_entry(number));
     }
 
-    fn hang_up(&self, number: usize) {
+    fn send_hangup(&self, number: usize) {
         if let Some(entry) = &self.entries[number] {
             entry.signal(Signal::HUP);
         }
     }
 
-    fn misbehave(&mut self, number: usize) {
+    fn set_target_faults(&mut self, number: usize) {
         let manners = [
             Manner::Well,
             Manner::Full,
@@ -240,14 +245,14 @@
             Manner::Unframed,
         ];
         let manner = manners[self.rng.usize(0..manners.len())];
-        let work = Duration::from_millis(self.rng.u64(1..400));
-        self.targets[number].set(manner, work);
-        self.later(End::Target(number));
+        let work_time = Duration::from_millis(self.rng.u64(1..400));
+        self.targets[number].set(manner, work_time);
+        self.schedule(Recovery::Target(number));
         // All of a service at times, so that an attempt elsewhere meets it too.
         if self.rng.bool() {
             for other in 0..self.targets.len() {
-                self.targets[other].set(manner, work);
-                self.later(End::Target(other));
+                self.targets[other].set(manner, work_time);
+                self.schedule(Recovery::Target(other));
             }
         }
     }
@@ -255,11 +260,11 @@
     fn evacuate(&mut self, number: usize) {
         let key = format!("op/evacuate/{}", DOMAINS[number]);
         self.store.write(&key, &json!({}));
-        self.later(End::Domain(number));
+        self.schedule(Recovery::Domain(number));
     }
 
     /// A configuration with one route more or less, or a target more.
-    fn change(&mut self) {
+    fn change_config(&mut self) {
         if self.rng.bool() && self.targets.len() < TARGETS * 2 {
             let leaving = self.rng.usize(0..self.targets.len());
             self.list(leaving, "draining", 9);
@@ -280,33 +285,33 @@
     }
 
     /// Ends what is due at `now`.
-    fn finish(&mut self, now: Instant) {
-        let ends = std::mem::take(&mut self.ends);
-        let (due, rest): (Vec<_>, Vec<_>) = ends.into_iter().partition(|e| e.0 <= now);
-        self.ends = rest;
-        for (_, end) in due {
-            self.end(&end);
+    fn recover_due(&mut self, now: Instant) {
+        let recoveries = std::mem::take(&mut self.recoveries);
+        let (due, rest): (Vec<_>, Vec<_>) = recoveries.into_iter().partition(|e| e.0 <= now);
+        self.recoveries = rest;
+        for (_, recovery) in due {
+            self.recover(&recovery);
         }
     }
 
-    fn end(&mut self, end: &End) {
-        match *end {
-            End::Wake(number) => {
+    fn recover(&mut self, recovery: &Recovery) {
+        match *recovery {
+            Recovery::Wake(number) => {
                 self.frozen.retain(|f| *f != number);
                 if let Some(entry) = &self.entries[number] {
                     entry.signal(Signal::CONT);
                 }
             }
-            End::Return(number) => {
+            Recovery::Restart(number) => {
                 if self.entries[number].is_none() {
-                    self.entries[number] = Some(self.entry(number));
+                    self.entries[number] = Some(self.start_entry(number));
                 }
             }
-            End::Store => self.store.set(Mode::Up),
-            End::Link(number) => self.links[number].set(Harm::None),
-            End::Way(number) => self.ways[number].set(Harm::None),
-            End::Target(number) => self.targets[number].set(Manner::Well, 20 * MS),
-            End::Domain(number) => {
+            Recovery::Store => self.store.set(Mode::Up),
+            Recovery::StoreProxy(number) => self.store_proxies[number].set(Fault::None),
+            Recovery::TargetProxy(number) => self.target_proxies[number].set(Fault::None),
+            Recovery::Target(number) => self.targets[number].set(Manner::Well, 20 * MS),
+            Recovery::Domain(number) => {
                 let key = format!("op/evacuate/{}", DOMAINS[number]);
                 self.store.remove(&key);
             }
@@ -314,9 +319,9 @@
     }
 
     /// Ends all faults.
-    fn heal(&mut self) {
-        for (_, end) in std::mem::take(&mut self.ends) {
-            self.end(&end);
+    fn recover_all(&mut self) {
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            self.recover(&recovery);
         }
         for target in &self.targets {
             target.set(Manner::Well, 20 * MS);
@@ -324,7 +329,7 @@
     }
 
     /// Each instance serves again once nothing is wrong any more.
-    fn serve_again(&self) {
+    fn await_serving(&self) {
         for (number, entry) in self.entries.iter().enumerate() {
             let entry = entry.as_ref().expect("all have returned");
             wait_until(&format!("i{number} serves again"), || {
@@ -335,7 +340,7 @@
         }
     }
 
-    fn stop(mut self, asked: Vec<super::ledger::Asked>) -> Seen {
+    fn stop(mut self, exchanges: Vec<super::report::Exchange>) -> Report {
         for entry in self.entries.drain(..).flatten() {
             entry.signal(Signal::TERM);
             self.leaving.push(entry);
@@ -345,7 +350,7 @@
             if code != Some(0) {
                 let lines = entry.lines.lock().expect("no one panics with it");
                 let last: Vec<String> = lines.iter().rev().take(5).cloned().collect();
-                self.wrong.push(format!(
+                self.failures.push(format!(
                     "an instance ended with {code:?} on SIGTERM: {last:?}"
                 ));
             }
@@ -353,11 +358,11 @@
         let runs = self.targets.iter().flat_map(Target::runs);
         let mut runs: Vec<_> = runs.filter(|r| r.id != "again").collect();
         runs.sort_by(|a, b| a.id.cmp(&b.id));
-        Seen {
-            asked,
+        Report {
+            exchanges,
             runs,
             faults: self.faults,
-            wrong: self.wrong,
+            failures: self.failures,
         }
     }
 }
--- a/crates/auburnrouter/tests/soak/proxy.rs
+++ b/crates/auburnrouter/tests/soak/proxy.rs
@@ -10,7 +10,7 @@
 
 /// What is done to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum Fault {
     /// Nothing.
     None,
     /// Each piece is late.
@@ -24,14 +24,14 @@
 }
 
 /// Time between looks at what is to be done while nothing arrives.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A proxy to one address.
 #[derive(Clone)]
 pub struct Proxy {
     /// Where it listens.
     pub addr: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<Fault>>,
 }
 
 impl Proxy {
@@ -40,56 +40,56 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let proxy = Self {
             addr: listener.local_addr().expect("it listens"),
-            harm: Arc::new(Mutex::new(Harm::None)),
+            fault: Arc::new(Mutex::new(Fault::None)),
         };
-        let harm = Arc::clone(&proxy.harm);
+        let fault = Arc::clone(&proxy.fault);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                pass(stream, to, &harm);
+                pass(stream, to, &fault);
             }
         });
         proxy
     }
 
     /// Sets what is done from now on.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().expect("no one panics with it") = harm;
+    pub fn set(&self, fault: Fault) {
+        *self.fault.lock().expect("no one panics with it") = fault;
     }
 }
 
-fn pass(from: TcpStream, to: SocketAddr, harm: &Arc<Mutex<Harm>>) {
+fn pass(from: TcpStream, to: SocketAddr, fault: &Arc<Mutex<Fault>>) {
     let Ok(target) = TcpStream::connect(to) else {
         return;
     };
-    let (Ok(back), Ok(forth)) = (target.try_clone(), from.try_clone()) else {
+    let (Ok(from_target), Ok(to_caller)) = (target.try_clone(), from.try_clone()) else {
         return;
     };
-    let there = Arc::clone(harm);
-    thread::spawn(move || copy(from, target, &there, true));
-    let here = Arc::clone(harm);
-    thread::spawn(move || copy(back, forth, &here, false));
+    let forward = Arc::clone(fault);
+    thread::spawn(move || copy(from, target, &forward, true));
+    let backward = Arc::clone(fault);
+    thread::spawn(move || copy(from_target, to_caller, &backward, false));
 }
 
 /// Copies one direction until either end or a cut ends it.
-fn copy(mut from: TcpStream, mut to: TcpStream, harm: &Mutex<Harm>, there: bool) {
+fn copy(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_forward: bool) {
     let mut bytes = [0; 4096];
-    let now = || *harm.lock().expect("no one panics with it");
-    if from.set_read_timeout(Some(LOOK)).is_err() {
+    let current = || *fault.lock().expect("no one panics with it");
+    if from.set_read_timeout(Some(POLL_INTERVAL)).is_err() {
         return;
     }
     loop {
-        match now() {
-            Harm::Cut => break,
-            Harm::Silence => {
-                thread::sleep(LOOK);
+        match current() {
+            Fault::Cut => break,
+            Fault::Silence => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            Harm::OneWay if !there => {
-                thread::sleep(LOOK);
+            Fault::OneWay if !is_forward => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            Harm::Delay(span) => thread::sleep(span),
-            Harm::None | Harm::OneWay => {}
+            Fault::Delay(span) => thread::sleep(span),
+            Fault::None | Fault::OneWay => {}
         }
         match from.read(&mut bytes) {
             Ok(0) => break,
--- a/crates/auburnrouter/tests/soak/ledger.rs
+++ b/crates/auburnrouter/tests/soak/report.rs
@@ -8,17 +8,17 @@
 
 /// One request as its caller saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Exchange {
     pub id: String,
     pub method: &'static str,
     pub path: String,
     /// None if the connection ended.
-    pub answer: Option<Told>,
+    pub answer: Option<Received>,
 }
 
 /// An answer as its caller saw it.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Received {
     pub status: u16,
     /// The request that it says it answers.
     pub id: String,
@@ -26,7 +26,7 @@
     pub body: String,
 }
 
-impl From<harness::Answer> for Told {
+impl From<harness::Answer> for Received {
     fn from(answer: harness::Answer) -> Self {
         let field = |name| answer.header(name).unwrap_or_default().to_owned();
         Self {
@@ -40,21 +40,21 @@
 
 /// One run of the soak.
 #[derive(Debug)]
-pub struct Seen {
+pub struct Report {
     /// Sorted by id.
-    pub asked: Vec<Asked>,
+    pub exchanges: Vec<Exchange>,
     /// Sorted by id.
     pub runs: Vec<Run>,
     /// Faults that were brought about.
     pub faults: usize,
-    /// What went wrong besides.
-    pub wrong: Vec<String>,
+    /// What went failures besides.
+    pub failures: Vec<String>,
 }
 
 /// Most targets that a request of the configuration may be sent to.
-const ATTEMPTS: usize = 2;
+const ATTEMPTS_MAX: usize = 2;
 
-impl Seen {
+impl Report {
     fn runs_of(&self, id: &str) -> &[Run] {
         let from = self.runs.partition_point(|r| *r.id < *id);
         let count = self.runs[from..].partition_point(|r| *r.id == *id);
@@ -62,61 +62,63 @@
     }
 
     /// Every promise that was broken.
-    pub fn broken(&self) -> Vec<String> {
-        let mut broken = self.wrong.clone();
-        for asked in &self.asked {
-            broken.extend(self.judge(asked));
+    pub fn violations(&self) -> Vec<String> {
+        let mut violations = self.failures.clone();
+        for exchange in &self.exchanges {
+            violations.extend(self.violation(exchange));
         }
         for run in &self.runs {
-            let found = self.asked.binary_search_by(|a| a.id.cmp(&run.id));
-            match found.map(|at| &self.asked[at]) {
-                Ok(asked) if asked.method == run.method && asked.path == run.path => {}
-                Ok(asked) => broken.push(format!("changed: {run:?}, asked {asked:?}")),
-                Err(_) => broken.push(format!("nobody asked for {run:?}")),
+            let found = self.exchanges.binary_search_by(|a| a.id.cmp(&run.id));
+            match found.map(|at| &self.exchanges[at]) {
+                Ok(exchange) if exchange.method == run.method && exchange.path == run.path => {}
+                Ok(exchange) => violations.push(format!("changed: {run:?}, asked {exchange:?}")),
+                Err(_) => violations.push(format!("nobody asked for {run:?}")),
             }
         }
-        broken
+        violations
     }
 
-    fn judge(&self, asked: &Asked) -> Option<String> {
-        let runs = self.runs_of(&asked.id);
-        if asked.method != "GET" && runs.len() > 1 {
-            return Some(format!("ran {} times: {asked:?}", runs.len()));
+    fn violation(&self, exchange: &Exchange) -> Option<String> {
+        let runs = self.runs_of(&exchange.id);
+        if exchange.method != "GET" && runs.len() > 1 {
+            return Some(format!("ran {} times: {exchange:?}", runs.len()));
         }
-        if runs.len() > ATTEMPTS {
-            return Some(format!("at {} targets: {asked:?}", runs.len()));
+        if runs.len() > ATTEMPTS_MAX {
+            return Some(format!("at {} targets: {exchange:?}", runs.len()));
         }
-        let told = asked.answer.as_ref()?;
-        let id = &asked.id;
-        if told.id != *id {
-            return Some(format!("another request's answer: {asked:?}"));
+        let received = exchange.answer.as_ref()?;
+        let id = &exchange.id;
+        if received.id != *id {
+            return Some(format!("another request's answer: {exchange:?}"));
         }
-        match told.status {
+        match received.status {
             408 | 421 | 429 | 503 if !runs.is_empty() => {
-                Some(format!("rejected, and ran: {asked:?} {runs:?}"))
+                Some(format!("rejected, and ran: {exchange:?} {runs:?}"))
             }
-            200 if runs.is_empty() => Some(format!("answered, and never ran: {asked:?}")),
-            200 if told.body != format!("body of {id}") || told.seal != format!("seal-{id}") => {
-                Some(format!("not the target's answer: {asked:?}"))
+            200 if runs.is_empty() => Some(format!("answered, and never ran: {exchange:?}")),
+            200 if received.body != format!("body of {id}")
+                || received.seal != format!("seal-{id}") =>
+            {
+                Some(format!("not the target's answer: {exchange:?}"))
             }
             _ => None,
         }
     }
 }
 
-impl fmt::Display for Seen {
+impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let count = |wanted: fn(u16) -> bool| {
-            let answers = self.asked.iter().filter_map(|a| a.answer.as_ref());
+            let answers = self.exchanges.iter().filter_map(|a| a.answer.as_ref());
             answers.filter(|a| wanted(a.status)).count()
         };
-        let unanswered = self.asked.iter().filter(|a| a.answer.is_none()).count();
+        let unanswered = self.exchanges.iter().filter(|a| a.answer.is_none()).count();
         write!(
             f,
             "{} faults; {} requests: {} answered, {} rejected, {} unknown routes, {} failed, \
              {} of unknown fate, {unanswered} without an answer; {} runs",
             self.faults,
-            self.asked.len(),
+            self.exchanges.len(),
             count(|s| s == 200),
             count(|s| matches!(s, 408 | 421 | 429 | 503)),
             count(|s| s == 404),
