--- a/crates/auburnrouter/tests/soak.rs
+++ b/crates/auburnrouter/tests/soak.rs
@@ -8,15 +8,15 @@
 
 #[path = "soak/callers.rs"]
 mod callers;
-#[path = "soak/cluster.rs"]
-mod cluster;
 #[path = "direct/harness.rs"]
 #[allow(dead_code, reason = "shared with other tests, which use all of it")]
 mod harness;
+#[path = "soak/invariants.rs"]
+mod invariants;
 #[path = "soak/proxy.rs"]
 mod proxy;
-#[path = "soak/report.rs"]
-mod report;
+#[path = "soak/runner.rs"]
+mod runner;
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     let duration = Duration::from_secs(env_number("SOAK_SECONDS", 5));
     for seed in seeds.chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
-        let report = cluster::run(seed, duration);
+        let report = runner::run(seed, duration);
         println!("  {report}");
         let violations = report.violations();
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
--- a/crates/auburnrouter/tests/soak/callers.rs
+++ b/crates/auburnrouter/tests/soak/callers.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 
 use super::harness;
-use super::report::{Exchange, Received};
+use super::invariants::{Exchange, Received};
 
 /// Callers at the same time.
 const CALLERS: usize = 8;
--- a/crates/auburnrouter/tests/soak/report.rs
+++ b/crates/auburnrouter/tests/soak/invariants.rs
@@ -47,7 +47,7 @@
     pub runs: Vec<Run>,
     /// Faults that were brought about.
     pub faults: usize,
-    /// What went failures besides.
+    /// What went wrong besides.
     pub failures: Vec<String>,
 }
 
--- a/crates/auburnrouter/tests/soak/cluster.rs
+++ b/crates/auburnrouter/tests/soak/runner.rs
@@ -16,8 +16,8 @@
 
 use super::callers;
 use super::harness::{Entry, HOST, MS, ROUTES, wait_until};
+use super::invariants::Report;
 use super::proxy::{Fault, Proxy};
-use super::report::Report;
 
 /// Domains of the instances.
 const DOMAINS: [&str; 3] = ["near-a", "near-b", "far-a"];
@@ -340,7 +340,7 @@
         }
     }
 
-    fn stop(mut self, exchanges: Vec<super::report::Exchange>) -> Report {
+    fn stop(mut self, exchanges: Vec<super::invariants::Exchange>) -> Report {
         for entry in self.entries.drain(..).flatten() {
             entry.signal(Signal::TERM);
             self.leaving.push(entry);
