--- a/crates/auburnrouter/tests/soak/runner.rs
+++ b/crates/auburnrouter/tests/soak/runner.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use platform_standin::store::{Mode, Route};
-use platform_standin::target::Manner;
+use platform_standin::target::Behavior;
 use platform_standin::{Store, Target};
 use rustix::process::Signal;
 use serde_json::json;
@@ -135,7 +135,7 @@
         let domain = DOMAINS[number % DOMAINS.len()];
         let target =
             Target::start(&format!("t{number}"), "sheets", domain).expect("a port is free");
-        target.set(Manner::Well, 20 * MS);
+        target.set(Behavior::Normal, 20 * MS);
         self.target_proxies.push(Proxy::start(target.addr()));
         self.targets.push(target);
         self.list(number, "ready", 1);
@@ -233,25 +233,25 @@
     }
 
     fn set_target_faults(&mut self, number: usize) {
-        let manners = [
-            Manner::Well,
-            Manner::Full,
-            Manner::Lose,
-            Manner::Lose,
-            Manner::Fail,
-            Manner::Unavailable,
-            Manner::Extra,
-            Manner::Truncate,
-            Manner::Unframed,
+        let behaviors = [
+            Behavior::Normal,
+            Behavior::Full,
+            Behavior::LoseAnswer,
+            Behavior::LoseAnswer,
+            Behavior::Fail,
+            Behavior::Unavailable,
+            Behavior::ExtraAnswer,
+            Behavior::Truncate,
+            Behavior::Unframed,
         ];
-        let manner = manners[self.rng.usize(0..manners.len())];
+        let behavior = behaviors[self.rng.usize(0..behaviors.len())];
         let work_time = Duration::from_millis(self.rng.u64(1..400));
-        self.targets[number].set(manner, work_time);
+        self.targets[number].set(behavior, work_time);
         self.schedule(Recovery::Target(number));
         // All of a service at times, so that an attempt elsewhere meets it too.
         if self.rng.bool() {
             for other in 0..self.targets.len() {
-                self.targets[other].set(manner, work_time);
+                self.targets[other].set(behavior, work_time);
                 self.schedule(Recovery::Target(other));
             }
         }
@@ -275,7 +275,7 @@
         let added = Route {
             prefix: "/added/",
             service: "sheets",
-            safe: true,
+            is_idempotent: true,
         };
         let mut routes = ROUTES.to_vec();
         if self.rng.bool() {
@@ -310,7 +310,7 @@
             Recovery::Store => self.store.set(Mode::Up),
             Recovery::StoreProxy(number) => self.store_proxies[number].set(Fault::None),
             Recovery::TargetProxy(number) => self.target_proxies[number].set(Fault::None),
-            Recovery::Target(number) => self.targets[number].set(Manner::Well, 20 * MS),
+            Recovery::Target(number) => self.targets[number].set(Behavior::Normal, 20 * MS),
             Recovery::Domain(number) => {
                 let key = format!("op/evacuate/{}", DOMAINS[number]);
                 self.store.remove(&key);
@@ -324,7 +324,7 @@
             self.recover(&recovery);
         }
         for target in &self.targets {
-            target.set(Manner::Well, 20 * MS);
+            target.set(Behavior::Normal, 20 * MS);
         }
     }
 
