--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -114,7 +114,7 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// FullConfig seconds, rounded up, so that nobody comes back too early.
+/// Whole seconds, rounded up, so that nobody comes back too early.
 const fn seconds_up(span: Duration) -> u64 {
     span.as_secs() + (span.subsec_nanos() > 0) as u64
 }
