--- a/crates/steer/tests/control_apply.rs
+++ b/crates/steer/tests/control_apply.rs
@@ -1,4 +1,4 @@
-//! An operator's change, step by step.
+//! Steps and verdicts of an operator's change, with lost answers and conflicts.
 
 use std::sync::Arc;
 
@@ -29,7 +29,8 @@
     StoredHead { head, revision }
 }
 
-/// A change `mine` of version 3 at revision 7, without bodies, to version 4.
+/// The change `mine`, from version 3 at revision 7 to version 4, without
+/// bodies.
 fn change() -> Apply {
     let base = Base {
         stored: Some(stored(3, "old", 7)),
@@ -108,7 +109,8 @@
     assert_eq!(apply.start(), Step::Done(verdict));
 }
 
-/// The client's library sends the write twice; the second one meets the first.
+/// The client's library sends the write twice, so the second one conflicts with
+/// the first. The change must not be reported as refused.
 #[test]
 fn conflict_with_itself() {
     let mut apply = change();
@@ -117,8 +119,8 @@
     assert_eq!(done, Step::Done(Verdict::InForce(Version(4))));
 }
 
-/// The answer of the head's write is lost. What the head says then, and what the
-/// fence meets, decides what the operator is told.
+/// The answer to the write of the head is lost. The head that is read then
+/// decides the verdict.
 #[rstest]
 #[case::landed(stored(4, "mine", 8), Verdict::InForce(Version(4)))]
 #[case::landed_and_followed(stored(9, "theirs", 13), Verdict::Conflict(Version(9)))]
@@ -131,8 +133,9 @@
     assert_eq!(apply.next(Outcome::Read(Some(found))), Step::Done(verdict));
 }
 
-/// The head is unchanged, so the write may still land. The fence takes its place,
-/// or finds that it has landed just now.
+/// After a lost answer the head is unchanged, so the write may still take
+/// effect. The fence either replaces it or finds that it has taken effect
+/// meanwhile.
 #[rstest]
 #[case::fence_first(Outcome::Written, Verdict::NotAccepted)]
 #[case::landed_first(
@@ -149,7 +152,8 @@
     assert_eq!(apply.next(outcome), Step::Done(verdict));
 }
 
-/// More changes followed than a head remembers: nobody can tell any more.
+/// More changes followed than a head records, so the verdict has to stay
+/// unknown.
 #[test]
 fn lost_answer_forgotten() {
     let mut apply = change();
--- a/crates/steer/tests/control_member.rs
+++ b/crates/steer/tests/control_member.rs
@@ -1,4 +1,4 @@
-//! Records and tables.
+//! Merging of records into the table.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -38,8 +38,8 @@
 }
 
 proptest! {
-    /// Two processes hear the same of a name in different orders, and hold the
-    /// same in the end.
+    /// Two tables that merge the same records of a name in different orders end
+    /// up equal.
     #[test]
     fn merge_in_any_order(
         heard in prop::collection::vec(any_record(), 0..12),
@@ -63,8 +63,8 @@
     }
 }
 
-/// A tombstone that one process has forgotten is not learned again from another,
-/// and makes no difference between their digests.
+/// A tombstone that one process has dropped is not learned again from another
+/// process, and doesn't make their digests differ.
 #[test]
 fn tombstone_forgotten() {
     let mut table = Table::default();
--- a/crates/steer/tests/control_random.rs
+++ b/crates/steer/tests/control_random.rs
@@ -1,8 +1,10 @@
-//! Random histories of a fleet: deaths, replacements, pauses, doubled processes,
-//! cut domains, outages of the store and changes, in any order and together.
+//! Random histories of a fleet: crashes, replacements, freezes, duplicate
+//! processes, cut-off domains, store outages and changes, in any order and
+//! combination.
 //!
-//! At every moment no process goes back and the shares in use are at most the cap.
-//! Once all is healed everybody has the last accepted version and knows everybody.
+//! At no time does a version go back or the sum of the shares in use exceed the
+//! cap. Once all faults are healed every process has the last accepted version
+//! and lists every member.
 
 #[path = "control_scenarios/fleet.rs"]
 #[expect(dead_code, reason = "scenarios use more of it")]
@@ -27,7 +29,7 @@
     fleet: Fleet,
     rng: fastrand::Rng,
     accepted: u64,
-    /// The largest sum of shares seen, in parts of the cap.
+    /// Largest sum of the shares in use, as a multiple of the cap.
     most: f64,
 }
 
@@ -62,7 +64,7 @@
         }
     }
 
-    /// A change is accepted, if the store answers.
+    /// Has a change accepted, if the store answers.
     fn change(&mut self) {
         if self.fleet.store.is_down {
             return;
@@ -127,7 +129,7 @@
         }
     }
 
-    /// All faults end; every name without a live process gets one.
+    /// Ends all faults, and starts a process for every name without a live one.
     fn heal(&mut self) {
         self.fleet.cuts.clear();
         self.thaw_all();
@@ -158,10 +160,11 @@
 
 /// Seeds that found a fault.
 ///
-/// 1069 and 1295: three processes of one name started in a domain that was cut off,
-/// and waited out the quarantine without being heard by anybody. When the domain
-/// was healed all used the share. 1964: a process was buried by a peer that died
-/// before it could tell it; other domains held it for dead for ever.
+/// 1069 and 1295: three processes of one name started in a domain that was cut
+/// off, and waited out the quarantine without any peer hearing from them. When
+/// the domain was healed all three used the share. 1964: a peer declared a
+/// process dead and itself died before it could tell it, so other domains never
+/// listed that process again.
 #[rstest]
 #[case(1069)]
 #[case(1295)]
@@ -192,8 +195,8 @@
     }
 }
 
-/// The histories are harsh enough: without the quarantine, some use more than a
-/// cap; without the order of versions, some go back.
+/// Checks that the histories are harsh enough: without the quarantine some
+/// exceed the cap, and without the order of versions some go back.
 #[test]
 fn history_needs_safeguards() {
     let hasty = Safeguards {
--- a/crates/steer/tests/control_scenarios.rs
+++ b/crates/steer/tests/control_scenarios.rs
@@ -1,8 +1,8 @@
-//! Scenarios of whole fleets, in virtual time.
+//! Scenarios of whole fleets in virtual time.
 //!
-//! Each file of `control_data` names the safeguards that it is about. It is run
-//! with all of them on, which has to give what the file says; and once for each
-//! with that one off, which has to give something else.
+//! Each file of `control_data` names the safeguards that it is about. With all
+//! safeguards enabled its output has to match the file; with each named one
+//! disabled it has to differ.
 
 #[path = "control_scenarios/fleet.rs"]
 mod fleet;
@@ -40,7 +40,7 @@
     case.args["off"].clone()
 }
 
-/// Whether some output differs with the safeguard off.
+/// Whether some output differs with the safeguard disabled.
 fn broken_without(name: &str, seen: &[(TestCase, String)]) -> bool {
     let mut guards = Safeguards::default();
     let mut apply = apply::Guards::default();
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -1,9 +1,9 @@
-//! Many control states in virtual time, joined by a small fake network and a
-//! fake of the platform's store. Scenarios and the measurement of a whole fleet
-//! both drive it.
+//! Simulation of many control states in virtual time, joined by a simulated
+//! network and a simulated store. The scenarios and the measurements of whole
+//! fleets drive it.
 //!
-//! Messages cross as the bytes that the wire types give, so that they are
-//! counted and no two processes share memory.
+//! Messages cross as encoded bytes, so that their size is counted and no two
+//! processes share memory.
 
 mod store;
 
@@ -26,51 +26,51 @@
 
 pub use store::Store;
 
-/// How a fleet is laid out, and what its links do.
+/// Size of a fleet and properties of its network.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// Number of failure domains.
     pub domains: usize,
-    /// Entry instances, dealt to the domains in turn.
+    /// Number of entry instances, assigned to the domains round-robin.
     pub nodes: usize,
-    /// Failure domains in one region.
+    /// Number of failure domains per region.
     pub per_region: usize,
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// Seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Safeguards that are on.
+    /// Enabled safeguards.
     pub guards: Safeguards,
     /// Delay of the platform's list of instances.
     pub lag: Duration,
 }
 
-/// One process, alive or not.
+/// A process, alive or not.
 pub struct Node {
     /// Index of its configured name.
     pub slot: usize,
-    /// Its domain.
+    /// Index of its failure domain.
     pub domain: usize,
-    /// Its control state.
+    /// Control state under test.
     pub control: Control,
-    /// Whether it runs.
+    /// Whether the process runs.
     pub alive: bool,
-    /// Whether it is frozen, with what waits for it.
+    /// Whether the process is frozen; its events are kept meanwhile.
     pub frozen: bool,
-    /// When it was frozen last.
+    /// Virtual time of its last freeze.
     since: Time,
     waiting: Vec<Event>,
-    /// Its own clock is this far ahead of virtual time.
+    /// Its own clock minus virtual time.
     offset: Duration,
-    /// What it published last.
+    /// The last published snapshot.
     pub shown: Option<Snapshot>,
-    /// When it published last, and how often.
+    /// Number of snapshots published.
     pub published: u64,
-    /// What it logged, with the virtual time.
+    /// Reported notices, each with its virtual time.
     pub notices: Vec<(Time, Notice)>,
-    /// Versions it put in force, with the virtual time.
+    /// Versions put in force, each with its virtual time.
     pub force: Vec<(Time, Version)>,
-    /// Bytes of payload sent and received.
+    /// Payload bytes sent and received.
     pub bytes: [u64; 2],
     /// Messages sent and received.
     pub messages: [u64; 2],
@@ -96,7 +96,7 @@
         from: usize,
         id: CallId,
     },
-    /// A write that lingered in the network reaches the store.
+    /// A delayed write reaches the store.
     Write {
         head: Arc<Head>,
         expect: u64,
@@ -126,26 +126,26 @@
     }
 }
 
-/// A place in the network.
+/// An end of a network link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// A failure domain.
+    /// A whole failure domain.
     Domain(usize),
-    /// The process of this slot, apart from others of its domain.
+    /// The process of one slot, apart from others of its domain.
     Slot(usize),
-    /// The store.
+    /// The platform's store.
     Store,
 }
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
     /// Virtual time.
     pub now: Time,
-    /// Processes, dead ones too, in the order of their starts.
+    /// Processes in the order of their starts, including ended ones.
     pub nodes: Vec<Node>,
-    /// The process of each configured name.
+    /// Index into `nodes` of the present process of each configured name.
     pub slots: Vec<usize>,
-    /// The store.
+    /// The simulated store.
     pub store: Store,
     /// Pairs of places that can't reach each other.
     pub cuts: Vec<(Place, Place)>,
@@ -159,11 +159,11 @@
     rng: fastrand::Rng,
 }
 
-/// Time after which the driver gives a call up.
+/// Time after which the driver answers a call that has no reply.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Fleet {
-    /// A fleet whose processes all start within a second.
+    /// A fleet whose processes all start within one second.
     pub fn new(layout: Layout) -> Self {
         let rng = fastrand::Rng::with_seed(layout.seed);
         let mut fleet = Self {
@@ -186,26 +186,26 @@
         fleet
     }
 
-    /// Name of a configured slot: `d1-0` is the first of domain `d1`.
+    /// Name of a slot: `d1-0` is the first of domain `d1`.
     pub fn name(&self, slot: usize) -> String {
         let domains = self.layout.domains;
         format!("d{}-{}", slot % domains, slot / domains)
     }
 
-    /// Slot of a name.
+    /// Slot of a configured name.
     pub fn slot(&self, name: &str) -> usize {
         let mut slots = 0..self.layout.nodes;
         let found = slots.find(|&s| self.name(s) == name);
         found.unwrap_or_else(|| panic!("no instance {name}"))
     }
 
-    /// The process of a name.
+    /// Present process of a configured name.
     pub fn node(&self, name: &str) -> &Node {
         &self.nodes[self.slots[self.slot(name)]]
     }
 
-    /// Starts a process under a slot's name, and returns its index. Its wall
-    /// clock is right unless `wall` says otherwise.
+    /// Starts a process under the name of a slot and returns its index. `wall`
+    /// sets its wall clock, which is right otherwise.
     pub fn start(&mut self, slot: usize, wall: Option<u64>) -> usize {
         let at = self.nodes.len();
         let domain = slot % self.layout.domains;
@@ -266,7 +266,7 @@
         at
     }
 
-    /// Ends a process at once; the platform's list follows late.
+    /// Ends a process at once; the platform's list follows after its delay.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].alive = false;
         self.store.watches.retain(|w| w.from != at);
@@ -279,19 +279,19 @@
         }
     }
 
-    /// Stops a process as its operator does.
+    /// Stops a process gracefully.
     pub fn stop(&mut self, at: usize) {
         self.feed(at, Event::Stop);
         self.kill(at);
     }
 
-    /// Freezes a process: its clock goes on, and what is sent to it waits.
+    /// Freezes a process: its clock goes on, and its events wait.
     pub fn freeze(&mut self, at: usize) {
         self.nodes[at].frozen = true;
         self.nodes[at].since = self.now;
     }
 
-    /// Wakes a process whose clock stood still as well.
+    /// Resumes a frozen process whose clock stood still as well.
     pub fn resume(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         let span = self.now.since(node.since);
@@ -299,7 +299,7 @@
         self.thaw(at);
     }
 
-    /// Wakes a process: what waited comes first.
+    /// Resumes a frozen process: the events that waited come first.
     pub fn thaw(&mut self, at: usize) {
         self.nodes[at].frozen = false;
         let waiting = core::mem::take(&mut self.nodes[at].waiting);
@@ -309,7 +309,7 @@
         self.push(Duration::ZERO, Due::Tick(at));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse(e)| e.at <= end) {
@@ -322,7 +322,7 @@
         self.now = end;
     }
 
-    /// Whether two places reach each other.
+    /// Whether two places can reach each other.
     pub fn joined(&self, a: Place, b: Place) -> bool {
         !self.cuts.contains(&(a, b)) && !self.cuts.contains(&(b, a))
     }
@@ -350,7 +350,7 @@
             Due::Answer { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
             Due::Expire { from, id } => self.expire(from, id),
             Due::Write { head, expect } => {
-                // A write that comes too late meets another revision.
+                // The write is refused if the revision changed meanwhile.
                 let _refused = self.write(&head, Some(expect));
             }
         }
@@ -370,7 +370,7 @@
         self.feed(to, Event::Received(message));
     }
 
-    /// Gives an event to a process, or keeps it while the process is frozen.
+    /// Delivers an event to a process, or keeps it while the process is frozen.
     pub fn feed(&mut self, at: usize, event: Event) {
         let now = self.now;
         let node = &mut self.nodes[at];
@@ -449,8 +449,8 @@
         Duration::from_micros(micros + jitter)
     }
 
-    /// Plays the verifier: a file of content `bad` makes a version be turned
-    /// down, and a file named `slots` says how many slots there are.
+    /// Stands in for the verifier: rejects a version that has a file with
+    /// content `bad`, and reads the number of slots from a file named `slots`.
     fn install(&mut self, at: usize, head: &Arc<Head>, bodies: &[Body]) {
         let version = head.version;
         if bodies.iter().any(|b| &*b.bytes == b"bad") {
@@ -470,7 +470,7 @@
     }
 }
 
-/// A body of this text; its hash stands in for SHA-256.
+/// A body with this text. Its hash stands in for SHA-256.
 pub fn body(text: &str) -> Body {
     let mut hash = [0; 32];
     for (i, chunk) in hash.chunks_mut(8).enumerate() {
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -1,4 +1,4 @@
-//! The directives of scenario files.
+//! Directives of the scenario files.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::fleet::{self, Fleet, Layout, Place};
 
-/// Switches off one safeguard by its name.
+/// Disables the safeguard of this name.
 pub fn ablate(name: &str, guards: &mut Safeguards, apply: &mut apply::Guards) {
     let switch = match name {
         "monotonic" => &mut guards.monotonic,
@@ -34,17 +34,17 @@
     *switch = false;
 }
 
-/// How an operator's write of the head goes.
+/// Fault of an operator's write of the head.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// It takes effect, its answer is lost.
+    /// The write takes effect, but its answer is lost.
     After,
-    /// It is lost.
+    /// The write is lost.
     Before,
-    /// It takes effect, and the store goes away.
+    /// The write takes effect, and the store becomes unavailable.
     Vanish,
-    /// It takes effect a few seconds later, when its answer is given up.
+    /// The write takes effect a few seconds later, after its answer timed out.
     Linger,
 }
 
@@ -54,7 +54,7 @@
     expect: u64,
 }
 
-/// One run of a scenario file.
+/// A run of one scenario file.
 pub struct Script {
     guards: Safeguards,
     apply: apply::Guards,
@@ -63,7 +63,7 @@
 }
 
 impl Script {
-    /// A run with the safeguards given.
+    /// A run with these safeguards.
     pub fn new(guards: Safeguards, apply: apply::Guards) -> Self {
         Self {
             guards,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Does one directive and tells what is to be seen.
+    /// Executes one directive and returns its output.
     pub fn step(&mut self, case: &TestCase) -> String {
         match case.directive.as_str() {
             "safeguard" => String::new(),
@@ -125,7 +125,8 @@
         format!("seed {seed}\n")
     }
 
-    /// `plan id=a file=(base,text) force=N`: an operator reads the head.
+    /// `plan id=a file=(base,text) force=N`: an operator's change, made from
+    /// the present head.
     fn plan(&mut self, case: &TestCase) -> String {
         let id: Arc<str> = text(case, "id").into();
         let stored = self.fleet().store.stored.clone();
@@ -153,7 +154,7 @@
         String::new()
     }
 
-    /// `commit id=a fault=after from=d0`: the operator's client goes on.
+    /// `commit id=a fault=after from=d0`: runs the change to its verdict.
     fn commit(&mut self, case: &TestCase) -> String {
         let id = text(case, "id");
         let fault = match text_or(case, "fault", "none").as_str() {
@@ -209,8 +210,8 @@
         String::new()
     }
 
-    /// `store do=away|up`, `do=reset version=N`, `do=stale version=N`,
-    /// `do=restore version=N`: an operator writes the head anew as version N.
+    /// `store do=away|up`, `do=reset version=N`, `do=stale version=N`;
+    /// `do=restore version=N` writes the present head anew as version N.
     fn store(&mut self, case: &TestCase) -> String {
         let version = Version(number_or(case, "version", 0));
         let fleet = self.fleet();
@@ -233,8 +234,8 @@
         String::new()
     }
 
-    /// `process do=kill|stop|start|freeze|thaw|leave of=d0-0`; `of=all` and
-    /// `wall=N` at starts.
+    /// `process do=kill|stop|leave|freeze|thaw|resume|thaw-old|start of=d0-0`,
+    /// with `wall=N` for a start.
     fn process(&mut self, case: &TestCase) -> String {
         let name = text(case, "of");
         let wall = case.args.get("wall").map(|_| number(case, "wall"));
@@ -248,7 +249,7 @@
             "freeze" => fleet.freeze(at),
             "thaw" => fleet.thaw(at),
             "resume" => fleet.resume(at),
-            // The predecessor of that name, if it was replaced.
+            // Resumes the previous process of that name, after it was replaced.
             "thaw-old" => {
                 let old = (0..at).rev().find(|&i| fleet.nodes[i].slot == slot);
                 fleet.thaw(old.expect("a predecessor"));
@@ -261,8 +262,8 @@
         String::new()
     }
 
-    /// Versions in force at live processes, and every process that ever put a
-    /// lower one in force.
+    /// Versions in force at live processes, and the processes whose version
+    /// ever went back. `!` marks processes that aren't ready.
     fn versions(&mut self) -> String {
         let fleet = self.fleet();
         let mut rows = Vec::new();
@@ -290,7 +291,8 @@
         out
     }
 
-    /// Where live processes stand; `name'` is one whose name was taken over.
+    /// Status of live processes. `name'` is a process whose name was taken
+    /// over.
     fn standings(&mut self) -> String {
         let fleet = self.fleet();
         let live = fleet.nodes.iter().enumerate().filter(|(_, n)| n.alive);
@@ -320,7 +322,7 @@
         grouped(rows.collect())
     }
 
-    /// Shares of live processes, and their sum in parts of the cap.
+    /// Shares of live processes and their sum, as a fraction of the cap.
     fn shares(&mut self) -> String {
         let fleet = self.fleet();
         let mut rows = Vec::new();
@@ -354,7 +356,8 @@
         files.unwrap_or_default().iter().map(text).collect()
     }
 
-    /// Which of the processes of a name another one holds for the real one.
+    /// Number of the process, among those of the name `about`, whose record the
+    /// process `name` has.
     fn stamps(&mut self, name: &str, about: &str) -> String {
         let fleet = self.fleet();
         let slot = fleet.slot(about);
@@ -414,7 +417,7 @@
     }
 }
 
-/// `value: name name` for each value, highest first.
+/// Formats rows as `value: name name`, with the highest value first.
 fn grouped<V: Ord + ToString>(mut rows: Vec<(V, String)>) -> String {
     rows.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
     let groups = rows.chunk_by(|a, b| a.0 == b.0);
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -1,4 +1,4 @@
-//! The fake of the platform's store, and what its faults do.
+//! Simulation of the platform's store and its faults.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -10,9 +10,9 @@
 
 use super::{CALL_TIMEOUT, Due, Fleet, Place};
 
-/// Domain that is nearest to the store.
+/// Failure domain in which the store is.
 const STORE_DOMAIN: usize = 0;
-/// Time that the store takes.
+/// Time that the store takes for a call.
 const STORE_WORK: Duration = Duration::from_millis(2);
 
 pub(super) struct Watch {
@@ -27,25 +27,25 @@
     pub(super) until: Time,
 }
 
-/// The platform's store.
+/// State of the simulated store.
 #[derive(Default)]
 pub struct Store {
     /// The head document.
     pub stored: Option<StoredHead>,
-    /// Heads that were there, newest last.
+    /// All heads ever written, newest last.
     pub past: Vec<StoredHead>,
     pub(super) bodies: Vec<Body>,
     pub(super) watches: Vec<Watch>,
-    /// Whether it answers nobody; the platform's list goes on.
+    /// Whether the store answers no calls, except for the platform's list.
     pub is_down: bool,
-    /// Calls that reached it, by second of virtual time.
+    /// Number of calls that reached the store, by second of virtual time.
     pub calls: Vec<u32>,
     pub(super) list: Vec<Listed>,
 }
 
 impl Fleet {
-    /// Writes a head if the store is at the revision expected; 0 is none, and
-    /// `None` anything. Answers the head that is there if it isn't.
+    /// Writes a head if the store is at the expected revision: 0 if there is
+    /// none, `None` for any. Otherwise returns the present head as an error.
     pub fn write(
         &mut self,
         head: &Arc<Head>,
@@ -73,13 +73,13 @@
         String::from_utf8(bytes.unwrap_or_default()).expect("text")
     }
 
-    /// Lets a write reach the store later.
+    /// Has a write reach the store after `span`.
     pub fn linger(&mut self, head: &Arc<Head>, expect: u64, span: Duration) {
         let head = Arc::clone(head);
         self.push(span, Due::Write { head, expect });
     }
 
-    /// Writes a body under its hash.
+    /// Stores a body under its hash.
     pub fn put_body(&mut self, body: Body) {
         let bodies = &mut self.store.bodies;
         if let Err(at) = bodies.binary_search_by_key(&body.hash, |b| b.hash) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The store stops or starts to answer; its waiting watches are lost.
+    /// Makes the store stop or start to answer. Pending watches fail.
     pub fn set_store_down(&mut self, is_down: bool) {
         self.store.is_down = is_down;
         let watches = core::mem::take(&mut self.store.watches);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends every waiting watch an event of this head, whatever it is.
+    /// Answers all pending watches with this head, even an old one.
     pub fn stale_event(&mut self, stored: &StoredHead) {
         let watches = core::mem::take(&mut self.store.watches);
         for watch in watches {
--- a/crates/steer/tests/control_store.rs
+++ b/crates/steer/tests/control_store.rs
@@ -1,4 +1,4 @@
-//! When processes call the store.
+//! Times at which processes call the store.
 
 use core::time::Duration;
 
@@ -11,7 +11,7 @@
     is_alone: false,
 };
 
-/// A policy with a store that answers each call within one step.
+/// A policy, with a store that answers each call within one step.
 struct Process {
     policy: Policy,
     rng: fastrand::Rng,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// One step; returns how many calls of the head were made.
+    /// Runs one step and returns the number of calls made, without those for
+    /// the list.
     fn step(&mut self, away: bool) -> usize {
         self.now = self.now + STEP;
         for Request { id, call } in core::mem::take(&mut self.open) {
@@ -59,8 +60,8 @@
     }
 }
 
-/// The store is away for two hours. A process calls it about twice a minute, tells
-/// once that it is away and once that it is back.
+/// The store is unavailable for two hours. A process calls it about twice a
+/// minute, and reports the outage and its end once each.
 #[test]
 fn outage_of_hours() {
     let mut process = Process::new(1);
@@ -78,9 +79,9 @@
     );
 }
 
-/// 300 processes meet the store's return after ten minutes. They notice it one by
-/// one within the backoff: in no second more than a tenth of them. Without jitter
-/// all would in the same one.
+/// 300 processes find the store restored after an outage of ten minutes. They
+/// notice it spread over the backoff, at most a tenth of them in any one
+/// second; without jitter all would call in the same second.
 #[test]
 fn return_without_herd() {
     let mut fleet: Vec<Process> = (0..300).map(Process::new).collect();
@@ -106,8 +107,8 @@
     assert!(most <= 30, "{most} in one second");
 }
 
-/// A driver that never answers: calls are given up, and never more than one of a
-/// kind is open.
+/// The driver never answers. Calls expire, and the head is read at the rate of
+/// the backoff.
 #[test]
 fn answers_missing() {
     let mut rng = fastrand::Rng::with_seed(4);
--- a/crates/steer/tests/control_tracker.rs
+++ b/crates/steer/tests/control_tracker.rs
@@ -1,4 +1,4 @@
-//! The version in force and the one being collected.
+//! Tracking of the version in force and the pending one.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     })
 }
 
-/// A keeper with version 5 in force, of bodies 1 and 2.
+/// A tracker with version 5 in force, made of bodies 1 and 2.
 fn tracker() -> Tracker {
     let mut tracker = Tracker::new(true);
     assert_eq!(
@@ -48,7 +48,7 @@
     tracker
 }
 
-/// Whatever the source, a head below the version in force is never taken.
+/// A head below the version in force is rejected, whatever its source.
 #[rstest]
 #[case::older(head(4, &[1]), OfferOutcome::Stale)]
 #[case::same(head(5, &[1, 2]), OfferOutcome::Same)]
@@ -93,8 +93,8 @@
     assert!(tracker.take_complete().is_none());
 }
 
-/// A watch tells of version 7 while the driver verifies version 6. It won't tell
-/// again, so version 7 has to follow.
+/// A watch delivers version 7 while the driver verifies version 6. The watch
+/// won't deliver it again, so version 7 has to follow.
 #[rstest]
 #[case::installed(true)]
 #[case::rejected(false)]
