--- a/crates/steer/examples/fleet.rs
+++ b/crates/steer/examples/fleet.rs
@@ -108,7 +108,7 @@
         guards: Safeguards::default(),
         lag: Duration::from_secs(15),
     });
-    fleet.timed = true;
+    fleet.is_timed = true;
     let mut files = Vec::new();
     for at in 0..(FULL_FILES * nodes).div_ceil(FULL_NODES).max(4) {
         let body = fleet::body(&format!("{at:0>200}"));
@@ -170,7 +170,7 @@
             ready = at;
         }
         let is_listed = fleet.slots.iter().all(|&at| {
-            let shown = fleet.nodes[at].shown.as_ref();
+            let shown = fleet.nodes[at].snapshot.as_ref();
             shown.is_some_and(|s| s.members.len() == nodes && names_restarted(fleet, s, &slots))
         });
         if seen.is_nan() && is_listed {
@@ -207,7 +207,7 @@
         let at = f64::from(tenth) / 10.0;
         let live = || fleet.slots.iter().map(|&at| &fleet.nodes[at]);
         let is_complete = |shown: &Snapshot| shown.members.len() == nodes;
-        if back.is_nan() && live().all(|n| n.shown.as_ref().is_some_and(is_complete)) {
+        if back.is_nan() && live().all(|n| n.snapshot.as_ref().is_some_and(is_complete)) {
             back = at;
         }
         if force.is_nan() && live().all(|n| n.control.version() == Version(2)) {
@@ -300,9 +300,9 @@
     write(fleet, version, files.to_vec());
     let from = fleet.now;
     fleet.run(Duration::from_secs(8));
-    let live = fleet.nodes.iter().filter(|n| n.alive);
+    let live = fleet.nodes.iter().filter(|n| n.is_alive);
     live.map(|node| {
-        let mut force = node.force.iter();
+        let mut force = node.installs.iter();
         let found = force.find(|(_, v)| v.0 >= version);
         found.map_or(Duration::MAX, |(at, _)| at.since(from))
     })
@@ -319,13 +319,13 @@
     let from = fleet.now;
     fleet.kill(dead);
     let mut waiting: Vec<usize> = (0..fleet.nodes.len())
-        .filter(|&at| fleet.nodes[at].alive)
+        .filter(|&at| fleet.nodes[at].is_alive)
         .collect();
     let mut delays = Vec::new();
     for _ in 0..150 {
         fleet.run(Duration::from_millis(100));
         waiting.retain(|&at| {
-            let shown = fleet.nodes[at].shown.as_ref().expect("published");
+            let shown = fleet.nodes[at].snapshot.as_ref().expect("published");
             let members = &shown.members;
             let found = members.binary_search_by(|s| (*s.record.identity.name).cmp(&name));
             let is_named = found.is_ok_and(|i| members[i].record.stamp.incarnation == incarnation);
@@ -365,7 +365,7 @@
         now: fleet.now,
         bytes,
         messages,
-        spent: fleet.spent,
+        spent: fleet.real_time,
     }
 }
 
--- a/crates/steer/tests/control_random.rs
+++ b/crates/steer/tests/control_random.rs
@@ -23,14 +23,14 @@
 const DOMAINS: usize = 4;
 const NODES: usize = 10;
 const STEPS: usize = 40;
-const MOMENT: Duration = Duration::from_millis(100);
+const STEP: Duration = Duration::from_millis(100);
 
 struct History {
     fleet: Fleet,
     rng: fastrand::Rng,
     accepted: u64,
     /// Largest sum of the shares in use, as a multiple of the cap.
-    most: f64,
+    max_share_sum: f64,
 }
 
 impl History {
@@ -47,20 +47,24 @@
             }),
             rng: fastrand::Rng::with_seed(seed),
             accepted: 0,
-            most: 0.0,
+            max_share_sum: 0.0,
         };
         history.change();
-        history.pass(30_000);
+        history.advance(30_000);
         history
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 100 {
-            self.fleet.run(MOMENT);
-            let nodes = self.fleet.nodes.iter().filter(|n| n.alive && !n.frozen);
-            let shares = nodes.filter_map(|n| n.shown.as_ref()?.share.divisor);
+            self.fleet.run(STEP);
+            let nodes = self
+                .fleet
+                .nodes
+                .iter()
+                .filter(|n| n.is_alive && !n.is_frozen);
+            let shares = nodes.filter_map(|n| n.snapshot.as_ref()?.share.divisor);
             let sum: f64 = shares.map(|parts| 1.0 / f64::from(parts)).sum();
-            self.most = self.most.max(sum);
+            self.max_share_sum = self.max_share_sum.max(sum);
         }
     }
 
@@ -89,10 +93,10 @@
         written.expect("no condition");
     }
 
-    fn happen(&mut self) {
+    fn random_event(&mut self) {
         let slot = self.rng.usize(..NODES);
         let at = self.fleet.slots[slot];
-        let frozen = self.fleet.nodes[at].frozen;
+        let frozen = self.fleet.nodes[at].is_frozen;
         match self.rng.u32(..10) {
             0 => self.fleet.kill(at),
             1 if !frozen => self.fleet.stop(at),
@@ -100,7 +104,7 @@
             3 => drop(self.fleet.start(slot, Some(self.rng.u64(..10)))),
             4 if !frozen => self.fleet.freeze(at),
             5 => self.thaw_all(),
-            6 => self.cut(),
+            6 => self.cut_domain(),
             7 => self.fleet.cuts.clear(),
             8 => {
                 let is_down = !self.fleet.store.is_down;
@@ -109,10 +113,10 @@
             _ => self.change(),
         }
         let millis = [300, 1000, 3000, 12_000][self.rng.usize(..4)];
-        self.pass(millis);
+        self.advance(millis);
     }
 
-    fn cut(&mut self) {
+    fn cut_domain(&mut self) {
         let domain = self.rng.usize(..DOMAINS);
         let others = (0..DOMAINS).filter(|&d| d != domain).map(Place::Domain);
         let cuts = others.chain([Place::Store]);
@@ -123,7 +127,7 @@
 
     fn thaw_all(&mut self) {
         for at in 0..self.fleet.nodes.len() {
-            if self.fleet.nodes[at].frozen {
+            if self.fleet.nodes[at].is_frozen {
                 self.fleet.thaw(at);
             }
         }
@@ -134,27 +138,27 @@
         self.fleet.cuts.clear();
         self.thaw_all();
         self.fleet.set_store_down(false);
-        self.pass(60_000);
+        self.advance(60_000);
         for slot in 0..NODES {
             let node = &self.fleet.nodes[self.fleet.slots[slot]];
-            let gone = node.control.status() == MemberStatus::Superseded;
-            if !node.alive || gone {
+            let is_superseded = node.control.status() == MemberStatus::Superseded;
+            if !node.is_alive || is_superseded {
                 self.fleet.start(slot, None);
             }
         }
-        self.pass(60_000);
+        self.advance(60_000);
     }
 
-    fn went_back(&self) -> bool {
-        let back = |n: &fleet::Node| n.force.windows(2).any(|w| w[1].1 < w[0].1);
-        self.fleet.nodes.iter().any(back)
+    fn has_gone_back(&self) -> bool {
+        let has_gone_back = |n: &fleet::Node| n.installs.windows(2).any(|w| w[1].1 < w[0].1);
+        self.fleet.nodes.iter().any(has_gone_back)
     }
 }
 
 #[rstest]
 fn history_holds(#[values(0, 1, 2, 3, 4, 5, 6, 7)] block: u64) {
     for seed in block * 4..block * 4 + 4 {
-        check(seed);
+        check_history(seed);
     }
 }
 
@@ -170,25 +174,33 @@
 #[case(1295)]
 #[case(1964)]
 fn history_holds_found(#[case] seed: u64) {
-    check(seed);
+    check_history(seed);
 }
 
-fn check(seed: u64) {
+fn check_history(seed: u64) {
     println!("seed {seed}");
     let mut history = History::new(seed, Safeguards::default());
     for _ in 0..STEPS {
-        history.happen();
-        assert!(!history.went_back(), "seed {seed}: a version went back");
-        assert!(history.most < 1.001, "seed {seed}: {} caps", history.most);
+        history.random_event();
+        assert!(!history.has_gone_back(), "seed {seed}: a version went back");
+        assert!(
+            history.max_share_sum < 1.001,
+            "seed {seed}: {} caps",
+            history.max_share_sum
+        );
     }
     history.heal();
-    assert!(history.most < 1.001, "seed {seed}: {} caps", history.most);
+    assert!(
+        history.max_share_sum < 1.001,
+        "seed {seed}: {} caps",
+        history.max_share_sum
+    );
     for &at in &history.fleet.slots {
         let node = &history.fleet.nodes[at];
         let name = history.fleet.name(node.slot);
         let version = node.control.version();
         assert_eq!(version.0, history.accepted, "seed {seed}: {name}");
-        let members = node.shown.as_ref().map_or(0, |s| s.members.len());
+        let members = node.snapshot.as_ref().map_or(0, |s| s.members.len());
         assert_eq!(members, NODES, "seed {seed}: members of {name}");
         let status = node.control.status();
         assert_eq!(status, MemberStatus::Current, "seed {seed}: {name}");
@@ -199,26 +211,32 @@
 /// exceed the cap, and without the order of versions some go back.
 #[test]
 fn history_needs_safeguards() {
-    let hasty = Safeguards {
+    let without_quarantine = Safeguards {
         slot: slot::Guards {
             quarantine: false,
             ..slot::Guards::default()
         },
         ..Safeguards::default()
     };
-    let lax = Safeguards {
+    let without_order = Safeguards {
         monotonic: false,
         ..Safeguards::default()
     };
-    let broken = |guards, fault: fn(&History) -> bool| {
+    let finds_fault = |guards, fault: fn(&History) -> bool| {
         (0..32).any(|seed| {
             let mut history = History::new(seed, guards);
             (0..STEPS).any(|_| {
-                history.happen();
+                history.random_event();
                 fault(&history)
             })
         })
     };
-    assert!(broken(hasty, |h| h.most > 1.001), "no cap was passed");
-    assert!(broken(lax, History::went_back), "no version went back");
+    assert!(
+        finds_fault(without_quarantine, |h| h.max_share_sum > 1.001),
+        "no cap was passed"
+    );
+    assert!(
+        finds_fault(without_order, History::has_gone_back),
+        "no version went back"
+    );
 }
--- a/crates/steer/tests/control_scenarios.rs
+++ b/crates/steer/tests/control_scenarios.rs
@@ -19,46 +19,52 @@
 #[rstest]
 fn scenario_holds(#[files("tests/control_data/*")] path: std::path::PathBuf) {
     let path = path.to_str().expect("a path in UTF-8");
-    let mut seen: Vec<(TestCase, String)> = Vec::new();
+    let mut results: Vec<(TestCase, String)> = Vec::new();
     datadriven::walk(path, |file| {
         let mut script = script::Script::new(Safeguards::default(), apply::Guards::default());
         file.run(|case| -> String {
             let output = script.step(case);
-            seen.push((case.clone(), output.clone()));
+            results.push((case.clone(), output.clone()));
             output
         });
     });
-    for name in safeguards(&seen) {
-        let broken = broken_without(&name, &seen);
-        assert!(broken, "{}: no difference without {name}", short(path));
+    for name in safeguards(&results) {
+        let is_different = differs_without(&name, &results);
+        assert!(
+            is_different,
+            "{}: no difference without {name}",
+            file_name(path)
+        );
     }
 }
 
-fn safeguards(seen: &[(TestCase, String)]) -> Vec<String> {
-    let named = seen.iter().find(|(case, _)| case.directive == "safeguard");
-    let (case, _) = named.expect("a file names its safeguards");
+fn safeguards(results: &[(TestCase, String)]) -> Vec<String> {
+    let found = results
+        .iter()
+        .find(|(case, _)| case.directive == "safeguard");
+    let (case, _) = found.expect("a file names its safeguards");
     case.args["off"].clone()
 }
 
 /// Whether some output differs with the safeguard disabled.
-fn broken_without(name: &str, seen: &[(TestCase, String)]) -> bool {
+fn differs_without(name: &str, results: &[(TestCase, String)]) -> bool {
     let mut guards = Safeguards::default();
     let mut apply = apply::Guards::default();
-    script::ablate(name, &mut guards, &mut apply);
+    script::disable_safeguard(name, &mut guards, &mut apply);
     let mut script = script::Script::new(guards, apply);
-    let mut broken = false;
-    for (case, expected) in seen {
+    let mut is_different = false;
+    for (case, expected) in results {
         let output = script.step(case);
         if output != *expected {
             let directive = &case.directive;
             println!("without {name}, `{directive}` gives:\n{output}instead of:\n{expected}");
-            broken = true;
+            is_different = true;
         }
     }
-    broken
+    is_different
 }
 
-fn short(path: &str) -> String {
+fn file_name(path: &str) -> String {
     let name = Path::new(path).file_name();
     name.unwrap_or_default().to_string_lossy().into_owned()
 }
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -54,40 +54,40 @@
     /// Control state under test.
     pub control: Control,
     /// Whether the process runs.
-    pub alive: bool,
+    pub is_alive: bool,
     /// Whether the process is frozen; its events are kept meanwhile.
-    pub frozen: bool,
+    pub is_frozen: bool,
     /// Virtual time of its last freeze.
-    since: Time,
+    frozen_at: Time,
     waiting: Vec<Event>,
     /// Its own clock minus virtual time.
     offset: Duration,
     /// The last published snapshot.
-    pub shown: Option<Snapshot>,
+    pub snapshot: Option<Snapshot>,
     /// Number of snapshots published.
-    pub published: u64,
+    pub publications: u64,
     /// Reported notices, each with its virtual time.
     pub notices: Vec<(Time, Notice)>,
     /// Versions put in force, each with its virtual time.
-    pub force: Vec<(Time, Version)>,
+    pub installs: Vec<(Time, Version)>,
     /// Payload bytes sent and received.
     pub bytes: [u64; 2],
     /// Messages sent and received.
     pub messages: [u64; 2],
 }
 
-enum Due {
+enum Scheduled {
     Tick(usize),
     Deliver {
         to: usize,
         bytes: Arc<[u8]>,
     },
-    Ask {
+    StoreCall {
         from: usize,
         id: CallId,
         call: Call,
     },
-    Answer {
+    StoreReply {
         to: usize,
         id: CallId,
         reply: Reply,
@@ -106,7 +106,7 @@
 struct Entry {
     at: Time,
     order: u64,
-    due: Due,
+    scheduled: Scheduled,
 }
 
 impl PartialEq for Entry {
@@ -150,9 +150,9 @@
     /// Pairs of places that can't reach each other.
     pub cuts: Vec<(Place, Place)>,
     /// Real time spent in control, encoding and decoding.
-    pub spent: Duration,
+    pub real_time: Duration,
     /// Whether real time is measured.
-    pub timed: bool,
+    pub is_timed: bool,
     layout: Layout,
     queue: BinaryHeap<Reverse<Entry>>,
     order: u64,
@@ -172,8 +172,8 @@
             slots: Vec::new(),
             store: Store::default(),
             cuts: Vec::new(),
-            spent: Duration::ZERO,
-            timed: false,
+            real_time: Duration::ZERO,
+            is_timed: false,
             layout,
             queue: BinaryHeap::new(),
             order: 0,
@@ -243,15 +243,15 @@
             slot,
             domain,
             control: Control::new(self.now + offset, settings, rng),
-            alive: true,
-            frozen: false,
-            since: Time::ZERO,
+            is_alive: true,
+            is_frozen: false,
+            frozen_at: Time::ZERO,
             waiting: Vec::new(),
             offset,
-            shown: None,
-            published: 0,
+            snapshot: None,
+            publications: 0,
             notices: Vec::new(),
-            force: Vec::new(),
+            installs: Vec::new(),
             bytes: [0; 2],
             messages: [0; 2],
         });
@@ -262,13 +262,13 @@
         } else {
             Duration::ZERO
         };
-        self.push(first, Due::Tick(at));
+        self.push(first, Scheduled::Tick(at));
         at
     }
 
     /// Ends a process at once; the platform's list follows after its delay.
     pub fn kill(&mut self, at: usize) {
-        self.nodes[at].alive = false;
+        self.nodes[at].is_alive = false;
         self.store.watches.retain(|w| w.from != at);
         let peer = addr(at, 90);
         let until = self.now + self.layout.lag;
@@ -287,26 +287,26 @@
 
     /// Freezes a process: its clock goes on, and its events wait.
     pub fn freeze(&mut self, at: usize) {
-        self.nodes[at].frozen = true;
-        self.nodes[at].since = self.now;
+        self.nodes[at].is_frozen = true;
+        self.nodes[at].frozen_at = self.now;
     }
 
     /// Resumes a frozen process whose clock stood still as well.
     pub fn resume(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let span = self.now.since(node.since);
+        let span = self.now.since(node.frozen_at);
         node.offset = node.offset.saturating_sub(span);
         self.thaw(at);
     }
 
     /// Resumes a frozen process: the events that waited come first.
     pub fn thaw(&mut self, at: usize) {
-        self.nodes[at].frozen = false;
+        self.nodes[at].is_frozen = false;
         let waiting = core::mem::take(&mut self.nodes[at].waiting);
         for event in waiting {
             self.feed(at, event);
         }
-        self.push(Duration::ZERO, Due::Tick(at));
+        self.push(Duration::ZERO, Scheduled::Tick(at));
     }
 
     /// Advances virtual time by `span`.
@@ -317,39 +317,41 @@
                 break;
             };
             self.now = entry.at;
-            self.happen(entry.due);
+            self.process(entry.scheduled);
         }
         self.now = end;
     }
 
     /// Whether two places can reach each other.
-    pub fn joined(&self, a: Place, b: Place) -> bool {
+    pub fn is_connected(&self, a: Place, b: Place) -> bool {
         !self.cuts.contains(&(a, b)) && !self.cuts.contains(&(b, a))
     }
 
-    fn push(&mut self, after: Duration, due: Due) {
+    fn push(&mut self, after: Duration, scheduled: Scheduled) {
         self.order += 1;
         self.queue.push(Reverse(Entry {
             at: self.now + after,
             order: self.order,
-            due,
+            scheduled,
         }));
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Tick(at) => {
+    fn process(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick(at) => {
                 let node = &self.nodes[at];
-                if node.alive && !node.frozen {
+                if node.is_alive && !node.is_frozen {
                     self.feed(at, Event::Tick);
-                    self.push(TICK_INTERVAL_MAX, Due::Tick(at));
+                    self.push(TICK_INTERVAL_MAX, Scheduled::Tick(at));
                 }
             }
-            Due::Deliver { to, bytes } => self.deliver(to, &bytes),
-            Due::Ask { from, id, call } => self.asked(from, id, &call),
-            Due::Answer { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
-            Due::Expire { from, id } => self.expire(from, id),
-            Due::Write { head, expect } => {
+            Scheduled::Deliver { to, bytes } => self.deliver(to, &bytes),
+            Scheduled::StoreCall { from, id, call } => self.handle_call(from, id, &call),
+            Scheduled::StoreReply { to, id, reply } => {
+                self.feed(to, Event::StoreReply { id, reply })
+            }
+            Scheduled::Expire { from, id } => self.expire(from, id),
+            Scheduled::Write { head, expect } => {
                 // The write is refused if the revision changed meanwhile.
                 let _refused = self.write(&head, Some(expect));
             }
@@ -357,13 +359,13 @@
     }
 
     fn deliver(&mut self, to: usize, bytes: &[u8]) {
-        if !self.nodes[to].alive {
+        if !self.nodes[to].is_alive {
             return;
         }
-        let clock = self.clock();
+        let clock = self.start_timer();
         let message = wire::beat::Message::decode(bytes).expect("as encoded");
         let message = Message::try_from(message).expect("as made");
-        self.count(clock);
+        self.add_time(clock);
         let node = &mut self.nodes[to];
         node.bytes[1] += bytes.len() as u64;
         node.messages[1] += 1;
@@ -374,28 +376,28 @@
     pub fn feed(&mut self, at: usize, event: Event) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if !node.alive {
+        if !node.is_alive {
             return;
         }
-        if node.frozen {
+        if node.is_frozen {
             return node.waiting.push(event);
         }
         let mut out = Vec::new();
-        let clock = self.timed.then(std::time::Instant::now);
+        let clock = self.is_timed.then(std::time::Instant::now);
         node.control.handle(now + node.offset, event, &mut out);
-        self.count(clock);
+        self.add_time(clock);
         for action in out {
             self.act(at, action);
         }
     }
 
-    fn clock(&self) -> Option<std::time::Instant> {
-        self.timed.then(std::time::Instant::now)
+    fn start_timer(&self) -> Option<std::time::Instant> {
+        self.is_timed.then(std::time::Instant::now)
     }
 
-    fn count(&mut self, clock: Option<std::time::Instant>) {
+    fn add_time(&mut self, clock: Option<std::time::Instant>) {
         if let Some(clock) = clock {
-            self.spent += clock.elapsed();
+            self.real_time += clock.elapsed();
         }
     }
 
@@ -406,34 +408,34 @@
             Action::Install { head, bodies } => self.install(at, &head, &bodies),
             Action::Publish(snapshot) => {
                 let node = &mut self.nodes[at];
-                node.shown = Some(snapshot);
-                node.published += 1;
+                node.snapshot = Some(snapshot);
+                node.publications += 1;
             }
             Action::Notice(notice) => self.nodes[at].notices.push((self.now, notice)),
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &Message) {
-        let clock = self.clock();
+        let clock = self.start_timer();
         let bytes = wire::beat::Message::from(message)
             .encode()
             .expect("messages can be written");
-        self.count(clock);
+        self.add_time(clock);
         let node = &mut self.nodes[from];
         node.bytes[0] += bytes.len() as u64;
         node.messages[0] += 1;
         let to = index(to);
         let (a, b) = (self.nodes[from].domain, self.nodes[to].domain);
-        let lost = self.rng.f64() < self.layout.loss;
+        let is_lost = self.rng.f64() < self.layout.loss;
         let (from, at) = (self.nodes[from].slot, self.nodes[to].slot);
-        let joined = self.joined(Place::Domain(a), Place::Domain(b))
-            && self.joined(Place::Slot(from), Place::Slot(at));
-        if lost || !joined {
+        let is_connected = self.is_connected(Place::Domain(a), Place::Domain(b))
+            && self.is_connected(Place::Slot(from), Place::Slot(at));
+        if is_lost || !is_connected {
             return;
         }
         let after = self.latency(a, b);
         let bytes = bytes.into();
-        self.push(after, Due::Deliver { to, bytes });
+        self.push(after, Scheduled::Deliver { to, bytes });
     }
 
     fn latency(&mut self, a: usize, b: usize) -> Duration {
@@ -465,7 +467,7 @@
         let slots = slots.unwrap_or(all);
         let own = u32::try_from(self.nodes[at].slot).expect("small");
         let slots = (own < slots).then_some(slots);
-        self.nodes[at].force.push((self.now, version));
+        self.nodes[at].installs.push((self.now, version));
         self.feed(at, Event::Installed { version, slots });
     }
 }
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -13,7 +13,7 @@
 use crate::fleet::{self, Fleet, Layout, Place};
 
 /// Disables the safeguard of this name.
-pub fn ablate(name: &str, guards: &mut Safeguards, apply: &mut apply::Guards) {
+pub fn disable_safeguard(name: &str, guards: &mut Safeguards, apply: &mut apply::Guards) {
     let switch = match name {
         "monotonic" => &mut guards.monotonic,
         "stamps" => &mut guards.stamps,
@@ -175,7 +175,7 @@
         let mut step = plan.apply.start();
         loop {
             let fleet = self.fleet();
-            let reached = !fleet.store.is_down && fleet.joined(place, Place::Store);
+            let reached = !fleet.store.is_down && fleet.is_connected(place, Place::Store);
             let outcome = match step {
                 Step::Done(verdict) => return format!("{verdict}\n"),
                 _ if !reached => {
@@ -275,10 +275,10 @@
                 "'"
             };
             let name = format!("{}{old}", fleet.name(node.slot));
-            if node.force.windows(2).any(|w| w[1].1 < w[0].1) {
+            if node.installs.windows(2).any(|w| w[1].1 < w[0].1) {
                 back.push(name.clone());
             }
-            if node.alive && !node.frozen {
+            if node.is_alive && !node.is_frozen {
                 let ready = if node.control.is_ready() { "" } else { "!" };
                 let version = node.control.version();
                 rows.push((version, format!("{ready}{name}")));
@@ -295,7 +295,7 @@
     /// over.
     fn standings(&mut self) -> String {
         let fleet = self.fleet();
-        let live = fleet.nodes.iter().enumerate().filter(|(_, n)| n.alive);
+        let live = fleet.nodes.iter().enumerate().filter(|(_, n)| n.is_alive);
         let rows = live.map(|(at, node)| {
             let old = if fleet.slots[node.slot] == at {
                 ""
@@ -303,7 +303,7 @@
                 "'"
             };
             let status = match node.control.status() {
-                _ if node.frozen => "frozen",
+                _ if node.is_frozen => "frozen",
                 MemberStatus::Current => "current",
                 other => other.as_str(),
             };
@@ -314,7 +314,7 @@
 
     fn members(&mut self, name: &str) -> String {
         let node = self.fleet().node(name);
-        let shown = node.shown.as_ref().expect("published");
+        let shown = node.snapshot.as_ref().expect("published");
         let rows = shown.members.iter().map(|seen| {
             let lifecycle = seen.record.lifecycle.as_str();
             (lifecycle, seen.record.identity.name.to_string())
@@ -328,7 +328,11 @@
         let mut rows = Vec::new();
         let mut sum = 0.0;
         for (at, node) in fleet.nodes.iter().enumerate() {
-            let Some(shown) = node.shown.as_ref().filter(|_| node.alive && !node.frozen) else {
+            let Some(shown) = node
+                .snapshot
+                .as_ref()
+                .filter(|_| node.is_alive && !node.is_frozen)
+            else {
                 continue;
             };
             let old = if fleet.slots[node.slot] == at {
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -8,7 +8,7 @@
 use steer::process::control::store::{Call, CallId, Reply, StoredHead};
 use steer::process::member::Hint;
 
-use super::{CALL_TIMEOUT, Due, Fleet, Place};
+use super::{CALL_TIMEOUT, Fleet, Place, Scheduled};
 
 /// Failure domain in which the store is.
 const STORE_DOMAIN: usize = 0;
@@ -76,7 +76,7 @@
     /// Has a write reach the store after `span`.
     pub fn linger(&mut self, head: &Arc<Head>, expect: u64, span: Duration) {
         let head = Arc::clone(head);
-        self.push(span, Due::Write { head, expect });
+        self.push(span, Scheduled::Write { head, expect });
     }
 
     /// Stores a body under its hash.
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Makes the store stop or start to answer. Pending watches fail.
+    /// Makes the store stop or start to answer. Scheduled watches fail.
     pub fn set_store_down(&mut self, is_down: bool) {
         self.store.is_down = is_down;
         let watches = core::mem::take(&mut self.store.watches);
@@ -120,27 +120,27 @@
     }
 
     fn answer(&mut self, to: usize, id: CallId, reply: Reply) {
-        let joined = self.joined(Place::Domain(self.nodes[to].domain), Place::Store);
-        let (after, reply) = if joined {
+        let is_connected = self.is_connected(Place::Domain(self.nodes[to].domain), Place::Store);
+        let (after, reply) = if is_connected {
             let near = self.latency(self.nodes[to].domain, STORE_DOMAIN);
             (near + STORE_WORK, reply)
         } else {
             (CALL_TIMEOUT, Reply::Unavailable)
         };
-        self.push(after, Due::Answer { to, id, reply });
+        self.push(after, Scheduled::StoreReply { to, id, reply });
     }
 
     pub(super) fn call(&mut self, from: usize, id: CallId, call: Call) {
         let place = Place::Domain(self.nodes[from].domain);
-        if self.joined(place, Place::Store) {
+        if self.is_connected(place, Place::Store) {
             let after = self.latency(self.nodes[from].domain, STORE_DOMAIN);
-            self.push(after, Due::Ask { from, id, call });
+            self.push(after, Scheduled::StoreCall { from, id, call });
         } else {
             self.answer(from, id, Reply::Unavailable);
         }
     }
 
-    pub(super) fn asked(&mut self, from: usize, id: CallId, call: &Call) {
+    pub(super) fn handle_call(&mut self, from: usize, id: CallId, call: &Call) {
         let second = usize::try_from(self.now.as_micros() / 1_000_000).expect("small");
         if self.store.calls.len() <= second {
             self.store.calls.resize(second + 1, 0);
@@ -150,7 +150,7 @@
             let reply = Reply::Unavailable;
             return self.push(
                 CALL_TIMEOUT,
-                Due::Answer {
+                Scheduled::StoreReply {
                     to: from,
                     id,
                     reply,
@@ -177,7 +177,7 @@
 
     fn watch(&mut self, from: usize, id: CallId, after: u64, wait: Duration) {
         self.store.watches.push(Watch { from, id, after });
-        self.push(wait, Due::Expire { from, id });
+        self.push(wait, Scheduled::Expire { from, id });
         self.wake_watches();
     }
 
--- a/crates/steer/tests/control_store.rs
+++ b/crates/steer/tests/control_store.rs
@@ -35,11 +35,11 @@
 
     /// Runs one step and returns the number of calls made, without those for
     /// the list.
-    fn step(&mut self, away: bool) -> usize {
+    fn step(&mut self, is_down: bool) -> usize {
         self.now = self.now + STEP;
         for Request { id, call } in core::mem::take(&mut self.open) {
             let reply = match call {
-                _ if away => Reply::Unavailable,
+                _ if is_down => Reply::Unavailable,
                 Call::Head => Reply::Head(None),
                 Call::Watch { .. } => Reply::Watched(None),
                 Call::Body(hash) => Reply::Body(hash, None),
@@ -85,7 +85,7 @@
 #[test]
 fn return_without_herd() {
     let mut fleet: Vec<Process> = (0..300).map(Process::new).collect();
-    let mut first = vec![None; fleet.len()];
+    let mut noticed_at = vec![None; fleet.len()];
     for _ in 0..6000 {
         for process in &mut fleet {
             process.step(true);
@@ -95,16 +95,19 @@
         for _ in 0..10 {
             for (at, process) in fleet.iter_mut().enumerate() {
                 process.step(false);
-                if !process.policy.is_unavailable() && first[at].is_none() {
-                    first[at] = Some(second);
+                if !process.policy.is_unavailable() && noticed_at[at].is_none() {
+                    noticed_at[at] = Some(second);
                 }
             }
         }
     }
-    let count = |second: usize| first.iter().filter(|f| **f == Some(second)).count();
-    let most = (0..60).map(count).max().unwrap_or(0);
-    assert!(first.iter().all(Option::is_some), "all notice the return");
-    assert!(most <= 30, "{most} in one second");
+    let count = |second: usize| noticed_at.iter().filter(|f| **f == Some(second)).count();
+    let max_count = (0..60).map(count).max().unwrap_or(0);
+    assert!(
+        noticed_at.iter().all(Option::is_some),
+        "all notice the return"
+    );
+    assert!(max_count <= 30, "{max_count} in one second");
 }
 
 /// The driver never answers. Calls expire, and the head is read at the rate of
@@ -123,5 +126,5 @@
     let heads = calls.iter().filter(|r| r.call == Call::Head);
     assert!((10..80).contains(&heads.count()), "{} calls", calls.len());
     let late = policy.take_answer(now, calls[0].id, &Reply::Unavailable, &mut rng);
-    assert!(late.is_none(), "the first call was given up");
+    assert!(late.is_none(), "the first call has expired");
 }
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/bench.rs
@@ -71,7 +71,7 @@
 /// A view with the members that a process believes alive.
 fn believed(view: &View, node: &Node) -> Arc<View> {
     let mut view = view.clone();
-    let shown = node.shown.as_ref().map(|s| s.members.as_ref());
+    let shown = node.snapshot.as_ref().map(|s| s.members.as_ref());
     let alive = |name: &str| {
         let mut members = shown.unwrap_or_default().iter();
         let own = *node.control.record().identity.name == *name;
@@ -253,7 +253,7 @@
     /// Whether a process's traffic runs.
     fn runs(&self, at: usize) -> bool {
         let node = &self.fleet.nodes[at];
-        node.alive && (!node.frozen || self.procs[at].hung)
+        node.is_alive && (!node.is_frozen || self.procs[at].hung)
     }
 
     /// A process's own time.
@@ -268,9 +268,9 @@
         }
         let now = self.own(at);
         let node = &self.fleet.nodes[at];
-        let version = node.force.last().map_or(Version(0), |f| f.1);
+        let version = node.installs.last().map_or(Version(0), |f| f.1);
         let proc = &mut self.procs[at];
-        if version != proc.version || node.published != proc.published {
+        if version != proc.version || node.publications != proc.published {
             let found = self.versions.iter().find(|v| v.0 == version);
             if let Some((_, view, _)) = found {
                 let view = believed(view, node);
@@ -279,9 +279,9 @@
             }
             proc.version = version;
         }
-        if node.published != proc.published {
-            proc.published = node.published;
-            let shown = node.shown.as_ref().expect("published");
+        if node.publications != proc.published {
+            proc.published = node.publications;
+            let shown = node.snapshot.as_ref().expect("published");
             proc.shares
                 .set_slot_held(now, shown.share.divisor.is_some());
         }
@@ -329,8 +329,8 @@
     fn post(&mut self, from: usize, to: usize, loan: &Loan) {
         let place = |at: usize| Place::Domain(self.fleet.nodes[at].domain);
         let slot = |at: usize| Place::Slot(self.fleet.nodes[at].slot);
-        let joined =
-            self.fleet.joined(place(from), place(to)) && self.fleet.joined(slot(from), slot(to));
+        let joined = self.fleet.is_connected(place(from), place(to))
+            && self.fleet.is_connected(slot(from), slot(to));
         if !joined || self.rng.f64() < self.net.loss {
             return;
         }
@@ -346,7 +346,7 @@
         let now = self.fleet.now;
         let due: Vec<_> = self.mail.extract_if(.., |m| m.0 <= now).collect();
         for (_, to, loan) in due {
-            if self.fleet.nodes[to].alive {
+            if self.fleet.nodes[to].is_alive {
                 self.procs[to].waiting.push(loan);
             }
         }
@@ -391,7 +391,7 @@
     /// any live process.
     fn check(&mut self) {
         let now = self.fleet.now;
-        let live = (0..self.procs.len()).filter(|&at| self.fleet.nodes[at].alive);
+        let live = (0..self.procs.len()).filter(|&at| self.fleet.nodes[at].is_alive);
         let caps = live.filter_map(|at| {
             let version = self.procs[at].version;
             self.versions.iter().find(|v| v.0 == version).map(|v| v.2)
@@ -466,7 +466,7 @@
     /// Wakes a process, or its control.
     pub fn wake(&mut self, at: usize) {
         self.procs[at].hung = false;
-        if self.fleet.nodes[at].frozen {
+        if self.fleet.nodes[at].is_frozen {
             self.fleet.thaw(at);
         }
     }
--- a/crates/steer/tests/share_model/histories.rs
+++ b/crates/steer/tests/share_model/histories.rs
@@ -61,7 +61,7 @@
         }
         13 => {
             let at = bench.fleet.slots[slot];
-            if bench.fleet.nodes[at].alive && !bench.fleet.nodes[at].frozen {
+            if bench.fleet.nodes[at].is_alive && !bench.fleet.nodes[at].is_frozen {
                 bench.fleet.stop(at);
                 bench.fleet.start(slot, None);
             }
