--- a/crates/steer/src/process/control/apply.rs
+++ b/crates/steer/src/process/control/apply.rs
@@ -180,7 +180,7 @@
 
     /// The change with some safeguards disabled, for tests.
     #[must_use]
-    pub const fn guarded(mut self, guards: Guards) -> Self {
+    pub const fn with_guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
@@ -188,14 +188,14 @@
     /// Hashes of bodies that the files refer to and that neither the base nor
     /// the change contains; empty if the change is complete.
     #[must_use]
-    pub fn lacking(&self) -> Vec<Hash> {
+    pub fn missing_bodies(&self) -> Vec<Hash> {
         let old = self.base.stored.as_ref().map(|s| &s.head.files);
         let old = old.map_or(&[][..], Vec::as_slice);
-        let known = |hash: Hash| {
+        let is_known = |hash: Hash| {
             old.iter().any(|f| f.hash == hash) || self.bodies.iter().any(|b| b.hash == hash)
         };
         let hashes = self.head.files.iter().map(|f| f.hash);
-        hashes.filter(|&h| !known(h)).collect()
+        hashes.filter(|&h| !is_known(h)).collect()
     }
 
     /// Returns the first step.
@@ -204,7 +204,7 @@
         let stored = stored.map_or(Version(0), |s| s.head.version);
         let force = self.base.force;
         if stored < force {
-            return self.done(Verdict::StoreBehind { stored, force });
+            return self.finish(Verdict::StoreBehind { stored, force });
         }
         self.next_body()
     }
@@ -212,37 +212,37 @@
     /// Takes the outcome of the last step and returns the next one.
     pub fn next(&mut self, outcome: Outcome) -> Step {
         match self.stage {
-            Stage::Bodies => self.body_put(&outcome),
-            Stage::Head => self.head_put(&outcome),
-            Stage::ReadBack { tries } | Stage::Fence { tries } => self.settle(tries, outcome),
-            Stage::Done => self.unknown(),
+            Stage::Bodies => self.handle_body_write(&outcome),
+            Stage::Head => self.handle_head_write(&outcome),
+            Stage::ReadBack { tries } | Stage::Fence { tries } => self.resolve(tries, outcome),
+            Stage::Done => self.finish_unknown(),
         }
     }
 
-    fn body_put(&mut self, outcome: &Outcome) -> Step {
+    fn handle_body_write(&mut self, outcome: &Outcome) -> Step {
         if matches!(outcome, Outcome::Written) {
             self.next_body()
         } else {
-            self.done(Verdict::NotAccepted)
+            self.finish(Verdict::NotAccepted)
         }
     }
 
-    fn head_put(&mut self, outcome: &Outcome) -> Step {
+    fn handle_head_write(&mut self, outcome: &Outcome) -> Step {
         match outcome {
-            Outcome::Written => self.done(Verdict::InForce(self.head.version)),
-            Outcome::Conflict(stored) => self.conflict(stored.as_ref()),
+            Outcome::Written => self.finish(Verdict::InForce(self.head.version)),
+            Outcome::Conflict(stored) => self.handle_conflict(stored.as_ref()),
             Outcome::Read(_) | Outcome::Lost if self.guards.readback => self.read_back(0),
-            Outcome::Read(_) | Outcome::Lost => self.done(Verdict::NotAccepted),
+            Outcome::Read(_) | Outcome::Lost => self.finish(Verdict::NotAccepted),
         }
     }
 
     /// Resolves a lost answer, by the head that was read or the outcome of the
     /// fence.
-    fn settle(&mut self, tries: u32, outcome: Outcome) -> Step {
+    fn resolve(&mut self, tries: u32, outcome: Outcome) -> Step {
         match outcome {
             // The fence took effect, so the lost write can't any more.
-            Outcome::Written => self.done(Verdict::NotAccepted),
-            Outcome::Read(stored) | Outcome::Conflict(stored) => self.judge(stored),
+            Outcome::Written => self.finish(Verdict::NotAccepted),
+            Outcome::Read(stored) | Outcome::Conflict(stored) => self.judge_head(stored),
             Outcome::Lost => self.read_back(tries + 1),
         }
     }
@@ -254,11 +254,11 @@
         self.stage = Stage::Head;
         Step::PutHead {
             head: Arc::clone(&self.head),
-            expect: self.expect(),
+            expect: self.write_condition(),
         }
     }
 
-    fn expect(&self) -> Expect {
+    fn write_condition(&self) -> Expect {
         let revision = self.base.stored.as_ref().map(|s| s.revision);
         if self.guards.compare {
             revision.map_or(Expect::Absent, Expect::Revision)
@@ -269,16 +269,16 @@
 
     /// Handles a failed condition. The conflict may be with this very write, if
     /// the client's library sent it twice.
-    fn conflict(&mut self, stored: Option<&StoredHead>) -> Step {
+    fn handle_conflict(&mut self, stored: Option<&StoredHead>) -> Step {
         let version = stored.map_or(Version(0), |s| s.head.version);
-        match self.accepted(stored) {
-            Some(true) => self.done(Verdict::InForce(self.head.version)),
-            Some(false) => self.done(Verdict::Conflict(version)),
-            None => self.unknown(),
+        match self.is_accepted(stored) {
+            Some(true) => self.finish(Verdict::InForce(self.head.version)),
+            Some(false) => self.finish(Verdict::Conflict(version)),
+            None => self.finish_unknown(),
         }
     }
 
-    fn accepted(&self, stored: Option<&StoredHead>) -> Option<bool> {
+    fn is_accepted(&self, stored: Option<&StoredHead>) -> Option<bool> {
         let Some(stored) = stored else {
             return Some(false);
         };
@@ -287,32 +287,32 @@
 
     fn read_back(&mut self, tries: u32) -> Step {
         if tries >= RESOLVE_TRIES_MAX {
-            return self.unknown();
+            return self.finish_unknown();
         }
         self.stage = Stage::ReadBack { tries };
         Step::ReadHead
     }
 
     /// Judges by the present head.
-    fn judge(&mut self, stored: Option<StoredHead>) -> Step {
-        let moved =
+    fn judge_head(&mut self, stored: Option<StoredHead>) -> Step {
+        let has_changed =
             stored.as_ref().map(|s| s.revision) != self.base.stored.as_ref().map(|s| s.revision);
-        let accepted = self.accepted(stored.as_ref());
-        match (accepted, moved, stored) {
-            (Some(true), ..) => self.done(Verdict::InForce(self.head.version)),
+        let accepted = self.is_accepted(stored.as_ref());
+        match (accepted, has_changed, stored) {
+            (Some(true), ..) => self.finish(Verdict::InForce(self.head.version)),
             (Some(false), true, Some(stored)) => {
-                let same = stored.head.version < self.head.version;
-                self.done(if same {
+                let is_older = stored.head.version < self.head.version;
+                self.finish(if is_older {
                     Verdict::NotAccepted
                 } else {
                     Verdict::Conflict(stored.head.version)
                 })
             }
-            (Some(false), false, _) if !self.guards.fence => self.done(Verdict::NotAccepted),
+            (Some(false), false, _) if !self.guards.fence => self.finish(Verdict::NotAccepted),
             (Some(false), false, Some(stored)) => self.write_fence(&stored),
             // Without a head there is nothing to fence with, and the write may
             // still take effect.
-            (Some(false) | None, ..) => self.unknown(),
+            (Some(false) | None, ..) => self.finish_unknown(),
         }
     }
 
@@ -328,15 +328,15 @@
         }
     }
 
-    fn unknown(&mut self) -> Step {
+    fn finish_unknown(&mut self) -> Step {
         let verdict = Verdict::Unknown {
             version: self.head.version,
             id: Arc::clone(&self.id),
         };
-        self.done(verdict)
+        self.finish(verdict)
     }
 
-    fn done(&mut self, verdict: Verdict) -> Step {
+    fn finish(&mut self, verdict: Verdict) -> Step {
         self.stage = Stage::Done;
         Step::Done(verdict)
     }
--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -1,7 +1,8 @@
 //! Heartbeats and failure detection within the local failure domain.
 //!
-//! Invariant: a message changes nothing unless its sender is the newest known
-//! process of its name and not declared dead at its serial.
+//! Invariant: apart from messages about this process's own name, a message
+//! changes nothing unless its sender is the newest known process of its name and
+//! not declared dead at its serial.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -118,8 +119,8 @@
             }
             let old = self.peers.binary_search_by(|p| p.name.cmp(&identity.name));
             let old = old.ok().map(|at| self.peers[at].clone());
-            let same = old.filter(|p| p.stamp == record.stamp);
-            peers.push(same.unwrap_or_else(|| Peer {
+            let kept = old.filter(|p| p.stamp == record.stamp);
+            peers.push(kept.unwrap_or_else(|| Peer {
                 name: Arc::clone(&identity.name),
                 stamp: record.stamp,
                 addr: identity.peer,
@@ -291,8 +292,8 @@
             .iter()
             .filter(|p| p.name != *name && !p.is_queried);
         let others: Vec<_> = others.map(|p| p.addr).collect();
-        let few = self.rng.choose_multiple(others, QUERIED_PEERS_MAX);
-        for to in few {
+        let chosen = self.rng.choose_multiple(others, QUERIED_PEERS_MAX);
+        for to in chosen {
             self.send(to, Content::PeerQuery(Arc::clone(name)), out);
         }
     }
--- a/crates/steer/src/process/control/rollout.rs
+++ b/crates/steer/src/process/control/rollout.rs
@@ -30,9 +30,9 @@
 
 /// Faults of the store's data that were already reported.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Alarms {
+pub(super) struct ReportedFaults {
     /// Whether the store's head is below the version in force.
-    regressed: bool,
+    has_regressed: bool,
     /// Last version that was received with other content.
     forked: Version,
 }
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BodyRequest {
     hash: Hash,
-    candidates: u32,
+    attempts: u32,
     until: Time,
 }
 
@@ -65,8 +65,8 @@
         if version > self.tracker.version() && version >= self.tracker.known() {
             self.body_source = Some(from.identity.peer);
         }
-        let pulling = self.head_request.is_some_and(|pull| now < pull.until);
-        if !self.guards.pull || pulling || !self.tracker.should_request(version) {
+        let is_requested = self.head_request.is_some_and(|r| now < r.until);
+        if !self.guards.pull || is_requested || !self.tracker.should_request(version) {
             return;
         }
         let until = now + FETCH_TIMEOUT;
@@ -127,8 +127,8 @@
             OfferOutcome::Stale => self.counters.stale += 1,
             OfferOutcome::Forked => {
                 self.counters.forked += 1;
-                if self.alarms.forked != head.version {
-                    self.alarms.forked = head.version;
+                if self.reported_faults.forked != head.version {
+                    self.reported_faults.forked = head.version;
                     out.push(Action::Notice(Notice::Forked(head.version)));
                 }
             }
@@ -138,16 +138,16 @@
     /// Has the next version installed if it is complete, otherwise requests
     /// missing bodies.
     pub(super) fn rollout_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let newer = self.newest_seen > self.tracker.version()
+        let is_behind = self.newest_seen > self.tracker.version()
             && self.tracker.is_installable(self.newest_seen);
-        self.slot.set_behind(now, newer);
+        self.slot.set_behind(now, is_behind);
         self.end_doubt(now, out);
         if let Some(tracker::Complete { head, bodies }) = self.tracker.take_complete() {
             self.body_requests.clear();
             return out.push(Action::Install { head, bodies });
         }
         let missing = self.tracker.missing_bodies();
-        self.body_requests.retain(|f| missing.contains(&f.hash));
+        self.body_requests.retain(|r| missing.contains(&r.hash));
         let mut from_peer = Vec::new();
         for &hash in missing.iter().take(FETCHES_MAX) {
             if self.request_body(now, hash, out) {
@@ -164,24 +164,24 @@
     /// peer has to be asked instead. Attempts alternate between the store and a
     /// peer, starting with the origin of the head.
     fn request_body(&mut self, now: Time, hash: Hash, out: &mut Vec<Action>) -> bool {
-        let found = self.body_requests.iter().position(|d| d.hash == hash);
+        let found = self.body_requests.iter().position(|r| r.hash == hash);
         let at = found.unwrap_or_else(|| {
             let until = now;
             self.body_requests.push(BodyRequest {
                 hash,
-                candidates: 0,
+                attempts: 0,
                 until,
             });
             self.body_requests.len() - 1
         });
         let BodyRequest {
-            candidates, until, ..
+            attempts, until, ..
         } = self.body_requests[at];
         if now < until {
             return false;
         }
-        let told = u32::from(matches!(self.tracker.source(), Some(Source::Store)));
-        let mut peer = (candidates + told).is_multiple_of(2) && self.guards.pull;
+        let from_store = u32::from(matches!(self.tracker.source(), Some(Source::Store)));
+        let mut peer = (attempts + from_store).is_multiple_of(2) && self.guards.pull;
         if !peer {
             let mut calls = Vec::new();
             match self.store.read_body(now, hash, &mut calls) {
@@ -190,9 +190,9 @@
                 BodyRead::Unavailable => peer = self.guards.pull,
             }
         }
-        let fetch = &mut self.body_requests[at];
-        fetch.candidates += 1;
-        fetch.until = now + FETCH_TIMEOUT;
+        let request = &mut self.body_requests[at];
+        request.attempts += 1;
+        request.until = now + FETCH_TIMEOUT;
         peer
     }
 
@@ -200,11 +200,11 @@
     /// version in force, otherwise the origin of the head. The former has the
     /// bodies even if the store became unavailable between head and bodies.
     fn body_peer(&self) -> Option<SocketAddr> {
-        let told = match self.tracker.source() {
+        let origin = match self.tracker.source() {
             Some(Source::Peer(addr)) => Some(addr),
             Some(Source::Store) | None => None,
         };
-        self.body_source.or(told)
+        self.body_source.or(origin)
     }
 
     pub(super) fn handle_installed(
@@ -289,9 +289,9 @@
         notify_transition(answered.transition, out);
         match reply {
             Reply::Head(stored) => {
-                let told = stored.as_ref().map_or(Version(0), |s| s.head.version);
+                let reported = stored.as_ref().map_or(Version(0), |s| s.head.version);
                 self.check_store_head(stored, out);
-                self.confirm(now, answered.sent_at, told, out);
+                self.confirm(now, answered.sent_at, reported, out);
             }
             Reply::Watched(Some(stored)) => {
                 self.handle_offer(&stored.head, Source::Store, out);
@@ -312,9 +312,9 @@
     fn check_store_head(&mut self, stored: Option<StoredHead>, out: &mut Vec<Action>) {
         let force = self.tracker.version();
         let version = stored.as_ref().map_or(Version(0), |s| s.head.version);
-        let behind = version < force;
-        if behind != core::mem::replace(&mut self.alarms.regressed, behind) {
-            out.push(Action::Notice(if behind {
+        let is_behind = version < force;
+        if is_behind != core::mem::replace(&mut self.reported_faults.has_regressed, is_behind) {
+            out.push(Action::Notice(if is_behind {
                 Notice::StoreBehind {
                     stored: version,
                     force,
--- a/crates/steer/src/process/control/status.rs
+++ b/crates/steer/src/process/control/status.rs
@@ -74,8 +74,8 @@
         if now.since(first) >= JOIN_WINDOW {
             self.is_joining = false;
         }
-        let is_unsure = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
-        if is_unsure && self.doubt.reported.is_none() {
+        let is_in_doubt = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
+        if is_in_doubt && self.doubt.reported.is_none() {
             self.doubt.reported = Some(reported);
         }
         self.end_doubt(now, out);
@@ -84,8 +84,8 @@
     /// Ends the doubt once the reported version, or a later one, is in force,
     /// or if the reported one was rejected here.
     pub(super) fn end_doubt(&mut self, now: Time, out: &mut Vec<Action>) {
-        let is_unsure = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
-        let Some(reported) = self.doubt.reported.filter(|_| is_unsure) else {
+        let is_in_doubt = matches!(self.status, MemberStatus::Doubt | MemberStatus::Isolated);
+        let Some(reported) = self.doubt.reported.filter(|_| is_in_doubt) else {
             return;
         };
         if reported <= self.tracker.version() || !self.tracker.is_installable(reported) {
@@ -94,8 +94,8 @@
     }
 
     pub(super) fn check_isolation(&mut self, now: Time, out: &mut Vec<Action>) {
-        let waited = now.since(self.doubt.since) >= ISOLATION_TIMEOUT;
-        if self.status == MemberStatus::Doubt && self.doubt.reported.is_none() && waited {
+        let has_waited = now.since(self.doubt.since) >= ISOLATION_TIMEOUT;
+        if self.status == MemberStatus::Doubt && self.doubt.reported.is_none() && has_waited {
             self.set_status(now, MemberStatus::Isolated, out);
         }
     }
@@ -117,8 +117,8 @@
             }
             return;
         }
-        let dead = !record.lifecycle.is_alive() && self.own.lifecycle.is_alive();
-        if dead && record.serial >= self.own.serial {
+        let is_dead = !record.lifecycle.is_alive() && self.own.lifecycle.is_alive();
+        if is_dead && record.serial >= self.own.serial {
             self.refute(now, record.serial, out);
         }
     }
--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -239,7 +239,7 @@
         let bodies = self
             .pending
             .iter()
-            .filter(|w| matches!(w.call, Call::Body(_)));
+            .filter(|c| matches!(c.call, Call::Body(_)));
         if bodies.count() >= BODY_READS_MAX || self.is_pending(|c| *c == Call::Body(hash)) {
             return BodyRead::Busy;
         }
@@ -255,7 +255,7 @@
         reply: &Reply,
         rng: &mut fastrand::Rng,
     ) -> Option<Completed> {
-        let at = self.pending.binary_search_by_key(&id, |w| w.id).ok()?;
+        let at = self.pending.binary_search_by_key(&id, |c| c.id).ok()?;
         let PendingCall { call, sent_at, .. } = self.pending.remove(at);
         let transition = match reply {
             Reply::Unavailable | Reply::Malformed => self.record_failure(now, &call, rng),
@@ -282,12 +282,12 @@
     /// driver that keeps its time limit, unless the process is frozen while
     /// calls are pending.
     pub fn expire(&mut self, now: Time, rng: &mut fastrand::Rng) -> Transition {
-        let is_expired = |w: &PendingCall| {
-            let wait = match w.call {
+        let is_expired = |c: &PendingCall| {
+            let wait = match c.call {
                 Call::Watch { wait, .. } => wait,
                 Call::Head | Call::Body(_) | Call::List => Duration::ZERO,
             };
-            now.since(w.sent_at) > wait + CALL_TIMEOUT
+            now.since(c.sent_at) > wait + CALL_TIMEOUT
         };
         let mut transition = Transition::None;
         while let Some(at) = self.pending.iter().position(is_expired) {
@@ -299,9 +299,10 @@
         transition
     }
 
-    /// Makes the next read of the head due at once, as after a freeze.
+    /// Drops a pending read of the head and makes the next one due at once, as
+    /// after a freeze.
     pub fn schedule_read(&mut self, now: Time) {
-        self.pending.retain(|w| w.call != Call::Head);
+        self.pending.retain(|c| c.call != Call::Head);
         self.reread_at = now;
         self.retry_at = now;
     }
@@ -367,7 +368,7 @@
     }
 
     fn is_pending(&self, matches: impl Fn(&Call) -> bool) -> bool {
-        self.pending.iter().any(|w| matches(&w.call))
+        self.pending.iter().any(|c| matches(&c.call))
     }
 
     fn record_failure(&mut self, now: Time, call: &Call, rng: &mut fastrand::Rng) -> Transition {
--- a/crates/steer/src/process/control/sync.rs
+++ b/crates/steer/src/process/control/sync.rs
@@ -32,8 +32,8 @@
         mismatches: u8,
         out: &mut Vec<Action>,
     ) {
-        let enough = mismatches >= MISMATCHES_MIN || (self.is_joining && mismatches > 0);
-        if !enough || now < self.next_sync {
+        let is_due = mismatches >= MISMATCHES_MIN || (self.is_joining && mismatches > 0);
+        if !is_due || now < self.next_sync {
             return;
         }
         self.next_sync = now
--- a/crates/steer/tests/control_apply.rs
+++ b/crates/steer/tests/control_apply.rs
@@ -68,7 +68,7 @@
         force: Version(3),
     };
     let mut apply = Apply::new("mine".into(), base, vec![file], vec![body.clone()]);
-    assert_eq!(apply.lacking(), []);
+    assert_eq!(apply.missing_bodies(), []);
     assert_eq!(apply.start(), Step::PutBody(body));
     let (head, expect) = written_head(apply.next(Outcome::Written));
     assert_eq!(expect, Expect::Revision(7));
@@ -90,7 +90,7 @@
         force: Version(0),
     };
     let mut apply = Apply::new("mine".into(), base, vec![file], Vec::new());
-    assert_eq!(apply.lacking(), [Hash([1; 32])]);
+    assert_eq!(apply.missing_bodies(), [Hash([1; 32])]);
     let (_, expect) = written_head(apply.start());
     assert_eq!(expect, Expect::Absent);
 }
--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -82,12 +82,12 @@
         to: usize,
         bytes: Arc<[u8]>,
     },
-    StoreCall {
+    Call {
         from: usize,
         id: CallId,
         call: Call,
     },
-    StoreReply {
+    Reply {
         to: usize,
         id: CallId,
         reply: Reply,
@@ -346,10 +346,8 @@
                 }
             }
             Scheduled::Deliver { to, bytes } => self.deliver(to, &bytes),
-            Scheduled::StoreCall { from, id, call } => self.handle_call(from, id, &call),
-            Scheduled::StoreReply { to, id, reply } => {
-                self.feed(to, Event::StoreReply { id, reply })
-            }
+            Scheduled::Call { from, id, call } => self.handle_call(from, id, &call),
+            Scheduled::Reply { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
             Scheduled::Expire { from, id } => self.expire(from, id),
             Scheduled::Write { head, expect } => {
                 // The write is refused if the revision changed meanwhile.
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -149,7 +149,7 @@
         let expect = stored.as_ref().map_or(0, |s| s.revision);
         let force = Version(number_or(case, "force", 0));
         let base = Base { stored, force };
-        let apply = Apply::new(Arc::clone(&id), base, files, bodies).guarded(self.apply);
+        let apply = Apply::new(Arc::clone(&id), base, files, bodies).with_guards(self.apply);
         self.plans.push(Plan { id, apply, expect });
         String::new()
     }
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -127,14 +127,14 @@
         } else {
             (CALL_TIMEOUT, Reply::Unavailable)
         };
-        self.push(after, Scheduled::StoreReply { to, id, reply });
+        self.push(after, Scheduled::Reply { to, id, reply });
     }
 
     pub(super) fn call(&mut self, from: usize, id: CallId, call: Call) {
         let place = Place::Domain(self.nodes[from].domain);
         if self.is_connected(place, Place::Store) {
             let after = self.latency(self.nodes[from].domain, STORE_DOMAIN);
-            self.push(after, Scheduled::StoreCall { from, id, call });
+            self.push(after, Scheduled::Call { from, id, call });
         } else {
             self.answer(from, id, Reply::Unavailable);
         }
@@ -150,7 +150,7 @@
             let reply = Reply::Unavailable;
             return self.push(
                 CALL_TIMEOUT,
-                Scheduled::StoreReply {
+                Scheduled::Reply {
                     to: from,
                     id,
                     reply,
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/bench.rs
@@ -186,7 +186,7 @@
         let force = Version(0);
         let base = Base { stored, force };
         let mut apply =
-            Apply::new(id, base, files, vec![text, body]).guarded(apply::Guards::default());
+            Apply::new(id, base, files, vec![text, body]).with_guards(apply::Guards::default());
         let mut step = apply.start();
         loop {
             let outcome = match step {
