--- a/crates/steer/tests/control_scenarios/fleet.rs
+++ b/crates/steer/tests/control_scenarios/fleet.rs
@@ -1,9 +1,9 @@
-//! Many control states in virtual time, joined by a small fake network and a
-//! fake of the platform's store. Scenarios and the measurement of a whole fleet
-//! both drive it.
+//! Simulation of many control states in virtual time, joined by a simulated
+//! network and a simulated store. The scenarios and the measurements of whole
+//! fleets drive it.
 //!
-//! Messages cross as the bytes that the wire types give, so that they are
-//! counted and no two processes share memory.
+//! Messages cross as encoded bytes, so that their size is counted and no two
+//! processes share memory.
 
 mod store;
 
@@ -26,68 +26,68 @@
 
 pub use store::Store;
 
-/// How a fleet is laid out, and what its links do.
+/// Size of a fleet and properties of its network.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// Number of failure domains.
     pub domains: usize,
-    /// Entry instances, dealt to the domains in turn.
+    /// Number of entry instances, assigned to the domains round-robin.
     pub nodes: usize,
-    /// Failure domains in one region.
+    /// Number of failure domains per region.
     pub per_region: usize,
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// Seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Safeguards that are on.
+    /// Enabled safeguards.
     pub guards: Safeguards,
     /// Delay of the platform's list of instances.
     pub lag: Duration,
 }
 
-/// One process, alive or not.
+/// A process, alive or not.
 pub struct Node {
     /// Index of its configured name.
     pub slot: usize,
-    /// Its domain.
+    /// Index of its failure domain.
     pub domain: usize,
-    /// Its control state.
+    /// Control state under test.
     pub control: Control,
-    /// Whether it runs.
-    pub alive: bool,
-    /// Whether it is frozen, with what waits for it.
-    pub frozen: bool,
-    /// When it was frozen last.
-    since: Time,
+    /// Whether the process runs.
+    pub is_alive: bool,
+    /// Whether the process is frozen; its events are kept meanwhile.
+    pub is_frozen: bool,
+    /// Virtual time of its last freeze.
+    frozen_at: Time,
     waiting: Vec<Event>,
-    /// Its own clock is this far ahead of virtual time.
+    /// Its own clock minus virtual time.
     offset: Duration,
-    /// What it published last.
-    pub shown: Option<Snapshot>,
-    /// When it published last, and how often.
-    pub published: u64,
-    /// What it logged, with the virtual time.
+    /// The last published snapshot.
+    pub snapshot: Option<Snapshot>,
+    /// Number of snapshots published.
+    pub publications: u64,
+    /// Reported notices, each with its virtual time.
     pub notices: Vec<(Time, Notice)>,
-    /// Versions it put in force, with the virtual time.
-    pub force: Vec<(Time, Version)>,
-    /// Bytes of payload sent and received.
+    /// Versions put in force, each with its virtual time.
+    pub installs: Vec<(Time, Version)>,
+    /// Payload bytes sent and received.
     pub bytes: [u64; 2],
     /// Messages sent and received.
     pub messages: [u64; 2],
 }
 
-enum Due {
+enum Scheduled {
     Tick(usize),
     Deliver {
         to: usize,
         bytes: Arc<[u8]>,
     },
-    Ask {
+    Call {
         from: usize,
         id: CallId,
         call: Call,
     },
-    Answer {
+    Reply {
         to: usize,
         id: CallId,
         reply: Reply,
@@ -96,7 +96,7 @@
         from: usize,
         id: CallId,
     },
-    /// A write that lingered in the network reaches the store.
+    /// A delayed write reaches the store.
     Write {
         head: Arc<Head>,
         expect: u64,
@@ -106,7 +106,7 @@
 struct Entry {
     at: Time,
     order: u64,
-    due: Due,
+    scheduled: Scheduled,
 }
 
 impl PartialEq for Entry {
@@ -126,44 +126,44 @@
     }
 }
 
-/// A place in the network.
+/// An end of a network link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// A failure domain.
+    /// A whole failure domain.
     Domain(usize),
-    /// The process of this slot, apart from others of its domain.
+    /// The process of one slot, apart from others of its domain.
     Slot(usize),
-    /// The store.
+    /// The platform's store.
     Store,
 }
 
-/// The fleet.
+/// A simulated fleet.
 pub struct Fleet {
     /// Virtual time.
     pub now: Time,
-    /// Processes, dead ones too, in the order of their starts.
+    /// Processes in the order of their starts, including ended ones.
     pub nodes: Vec<Node>,
-    /// The process of each configured name.
+    /// Index into `nodes` of the present process of each configured name.
     pub slots: Vec<usize>,
-    /// The store.
+    /// The simulated store.
     pub store: Store,
     /// Pairs of places that can't reach each other.
     pub cuts: Vec<(Place, Place)>,
     /// Real time spent in control, encoding and decoding.
-    pub spent: Duration,
+    pub real_time: Duration,
     /// Whether real time is measured.
-    pub timed: bool,
+    pub is_timed: bool,
     layout: Layout,
     queue: BinaryHeap<Reverse<Entry>>,
     order: u64,
     rng: fastrand::Rng,
 }
 
-/// Time after which the driver gives a call up.
+/// Time after which the driver answers a call that has no reply.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Fleet {
-    /// A fleet whose processes all start within a second.
+    /// A fleet whose processes all start within one second.
     pub fn new(layout: Layout) -> Self {
         let rng = fastrand::Rng::with_seed(layout.seed);
         let mut fleet = Self {
@@ -172,8 +172,8 @@
             slots: Vec::new(),
             store: Store::default(),
             cuts: Vec::new(),
-            spent: Duration::ZERO,
-            timed: false,
+            real_time: Duration::ZERO,
+            is_timed: false,
             layout,
             queue: BinaryHeap::new(),
             order: 0,
@@ -186,26 +186,26 @@
         fleet
     }
 
-    /// Name of a configured slot: `d1-0` is the first of domain `d1`.
+    /// Name of a slot: `d1-0` is the first of domain `d1`.
     pub fn name(&self, slot: usize) -> String {
         let domains = self.layout.domains;
         format!("d{}-{}", slot % domains, slot / domains)
     }
 
-    /// Slot of a name.
+    /// Slot of a configured name.
     pub fn slot(&self, name: &str) -> usize {
         let mut slots = 0..self.layout.nodes;
         let found = slots.find(|&s| self.name(s) == name);
         found.unwrap_or_else(|| panic!("no instance {name}"))
     }
 
-    /// The process of a name.
+    /// Present process of a configured name.
     pub fn node(&self, name: &str) -> &Node {
         &self.nodes[self.slots[self.slot(name)]]
     }
 
-    /// Starts a process under a slot's name, and returns its index. Its wall
-    /// clock is right unless `wall` says otherwise.
+    /// Starts a process under the name of a slot and returns its index. `wall`
+    /// sets its wall clock, which is right otherwise.
     pub fn start(&mut self, slot: usize, wall: Option<u64>) -> usize {
         let at = self.nodes.len();
         let domain = slot % self.layout.domains;
@@ -243,15 +243,15 @@
             slot,
             domain,
             control: Control::new(self.now + offset, settings, rng),
-            alive: true,
-            frozen: false,
-            since: Time::ZERO,
+            is_alive: true,
+            is_frozen: false,
+            frozen_at: Time::ZERO,
             waiting: Vec::new(),
             offset,
-            shown: None,
-            published: 0,
+            snapshot: None,
+            publications: 0,
             notices: Vec::new(),
-            force: Vec::new(),
+            installs: Vec::new(),
             bytes: [0; 2],
             messages: [0; 2],
         });
@@ -262,13 +262,13 @@
         } else {
             Duration::ZERO
         };
-        self.push(first, Due::Tick(at));
+        self.push(first, Scheduled::Tick(at));
         at
     }
 
-    /// Ends a process at once; the platform's list follows late.
+    /// Ends a process at once; the platform's list follows after its delay.
     pub fn kill(&mut self, at: usize) {
-        self.nodes[at].alive = false;
+        self.nodes[at].is_alive = false;
         self.store.watches.retain(|w| w.from != at);
         let peer = addr(at, 90);
         let until = self.now + self.layout.lag;
@@ -279,37 +279,37 @@
         }
     }
 
-    /// Stops a process as its operator does.
+    /// Stops a process gracefully.
     pub fn stop(&mut self, at: usize) {
         self.feed(at, Event::Stop);
         self.kill(at);
     }
 
-    /// Freezes a process: its clock goes on, and what is sent to it waits.
+    /// Freezes a process: its clock goes on, and its events wait.
     pub fn freeze(&mut self, at: usize) {
-        self.nodes[at].frozen = true;
-        self.nodes[at].since = self.now;
+        self.nodes[at].is_frozen = true;
+        self.nodes[at].frozen_at = self.now;
     }
 
-    /// Wakes a process whose clock stood still as well.
+    /// Resumes a frozen process whose clock stood still as well.
     pub fn resume(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let span = self.now.since(node.since);
+        let span = self.now.since(node.frozen_at);
         node.offset = node.offset.saturating_sub(span);
         self.thaw(at);
     }
 
-    /// Wakes a process: what waited comes first.
+    /// Resumes a frozen process: the events that waited come first.
     pub fn thaw(&mut self, at: usize) {
-        self.nodes[at].frozen = false;
+        self.nodes[at].is_frozen = false;
         let waiting = core::mem::take(&mut self.nodes[at].waiting);
         for event in waiting {
             self.feed(at, event);
         }
-        self.push(Duration::ZERO, Due::Tick(at));
+        self.push(Duration::ZERO, Scheduled::Tick(at));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse(e)| e.at <= end) {
@@ -317,85 +317,85 @@
                 break;
             };
             self.now = entry.at;
-            self.happen(entry.due);
+            self.process(entry.scheduled);
         }
         self.now = end;
     }
 
-    /// Whether two places reach each other.
-    pub fn joined(&self, a: Place, b: Place) -> bool {
+    /// Whether two places can reach each other.
+    pub fn is_connected(&self, a: Place, b: Place) -> bool {
         !self.cuts.contains(&(a, b)) && !self.cuts.contains(&(b, a))
     }
 
-    fn push(&mut self, after: Duration, due: Due) {
+    fn push(&mut self, after: Duration, scheduled: Scheduled) {
         self.order += 1;
         self.queue.push(Reverse(Entry {
             at: self.now + after,
             order: self.order,
-            due,
+            scheduled,
         }));
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Tick(at) => {
+    fn process(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick(at) => {
                 let node = &self.nodes[at];
-                if node.alive && !node.frozen {
+                if node.is_alive && !node.is_frozen {
                     self.feed(at, Event::Tick);
-                    self.push(TICK_INTERVAL_MAX, Due::Tick(at));
+                    self.push(TICK_INTERVAL_MAX, Scheduled::Tick(at));
                 }
             }
-            Due::Deliver { to, bytes } => self.deliver(to, &bytes),
-            Due::Ask { from, id, call } => self.asked(from, id, &call),
-            Due::Answer { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
-            Due::Expire { from, id } => self.expire(from, id),
-            Due::Write { head, expect } => {
-                // A write that comes too late meets another revision.
+            Scheduled::Deliver { to, bytes } => self.deliver(to, &bytes),
+            Scheduled::Call { from, id, call } => self.handle_call(from, id, &call),
+            Scheduled::Reply { to, id, reply } => self.feed(to, Event::StoreReply { id, reply }),
+            Scheduled::Expire { from, id } => self.expire(from, id),
+            Scheduled::Write { head, expect } => {
+                // The write is refused if the revision changed meanwhile.
                 let _refused = self.write(&head, Some(expect));
             }
         }
     }
 
     fn deliver(&mut self, to: usize, bytes: &[u8]) {
-        if !self.nodes[to].alive {
+        if !self.nodes[to].is_alive {
             return;
         }
-        let clock = self.clock();
+        let clock = self.start_timer();
         let message = wire::beat::Message::decode(bytes).expect("as encoded");
         let message = Message::try_from(message).expect("as made");
-        self.count(clock);
+        self.add_time(clock);
         let node = &mut self.nodes[to];
         node.bytes[1] += bytes.len() as u64;
         node.messages[1] += 1;
         self.feed(to, Event::Received(message));
     }
 
-    /// Gives an event to a process, or keeps it while the process is frozen.
+    /// Delivers an event to a process, or keeps it while the process is frozen.
     pub fn feed(&mut self, at: usize, event: Event) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if !node.alive {
+        if !node.is_alive {
             return;
         }
-        if node.frozen {
+        if node.is_frozen {
             return node.waiting.push(event);
         }
         let mut out = Vec::new();
-        let clock = self.timed.then(std::time::Instant::now);
+        let clock = self.is_timed.then(std::time::Instant::now);
         node.control.handle(now + node.offset, event, &mut out);
-        self.count(clock);
+        self.add_time(clock);
         for action in out {
             self.act(at, action);
         }
     }
 
-    fn clock(&self) -> Option<std::time::Instant> {
-        self.timed.then(std::time::Instant::now)
+    fn start_timer(&self) -> Option<std::time::Instant> {
+        self.is_timed.then(std::time::Instant::now)
     }
 
-    fn count(&mut self, clock: Option<std::time::Instant>) {
+    fn add_time(&mut self, clock: Option<std::time::Instant>) {
         if let Some(clock) = clock {
-            self.spent += clock.elapsed();
+            self.real_time += clock.elapsed();
         }
     }
 
@@ -406,34 +406,34 @@
             Action::Install { head, bodies } => self.install(at, &head, &bodies),
             Action::Publish(snapshot) => {
                 let node = &mut self.nodes[at];
-                node.shown = Some(snapshot);
-                node.published += 1;
+                node.snapshot = Some(snapshot);
+                node.publications += 1;
             }
             Action::Notice(notice) => self.nodes[at].notices.push((self.now, notice)),
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &Message) {
-        let clock = self.clock();
+        let clock = self.start_timer();
         let bytes = wire::beat::Message::from(message)
             .encode()
             .expect("messages can be written");
-        self.count(clock);
+        self.add_time(clock);
         let node = &mut self.nodes[from];
         node.bytes[0] += bytes.len() as u64;
         node.messages[0] += 1;
         let to = index(to);
         let (a, b) = (self.nodes[from].domain, self.nodes[to].domain);
-        let lost = self.rng.f64() < self.layout.loss;
+        let is_lost = self.rng.f64() < self.layout.loss;
         let (from, at) = (self.nodes[from].slot, self.nodes[to].slot);
-        let joined = self.joined(Place::Domain(a), Place::Domain(b))
-            && self.joined(Place::Slot(from), Place::Slot(at));
-        if lost || !joined {
+        let is_connected = self.is_connected(Place::Domain(a), Place::Domain(b))
+            && self.is_connected(Place::Slot(from), Place::Slot(at));
+        if is_lost || !is_connected {
             return;
         }
         let after = self.latency(a, b);
         let bytes = bytes.into();
-        self.push(after, Due::Deliver { to, bytes });
+        self.push(after, Scheduled::Deliver { to, bytes });
     }
 
     fn latency(&mut self, a: usize, b: usize) -> Duration {
@@ -449,8 +449,8 @@
         Duration::from_micros(micros + jitter)
     }
 
-    /// Plays the verifier: a file of content `bad` makes a version be turned
-    /// down, and a file named `slots` says how many slots there are.
+    /// Stands in for the verifier: rejects a version that has a file with
+    /// content `bad`, and reads the number of slots from a file named `slots`.
     fn install(&mut self, at: usize, head: &Arc<Head>, bodies: &[Body]) {
         let version = head.version;
         if bodies.iter().any(|b| &*b.bytes == b"bad") {
@@ -465,12 +465,12 @@
         let slots = slots.unwrap_or(all);
         let own = u32::try_from(self.nodes[at].slot).expect("small");
         let slots = (own < slots).then_some(slots);
-        self.nodes[at].force.push((self.now, version));
+        self.nodes[at].installs.push((self.now, version));
         self.feed(at, Event::Installed { version, slots });
     }
 }
 
-/// A body of this text; its hash stands in for SHA-256.
+/// A body with this text. Its hash stands in for SHA-256.
 pub fn body(text: &str) -> Body {
     let mut hash = [0; 32];
     for (i, chunk) in hash.chunks_mut(8).enumerate() {
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -1,4 +1,4 @@
-//! The fake of the platform's store, and what its faults do.
+//! Simulation of the platform's store and its faults.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use steer::process::control::store::{Call, CallId, Reply, StoredHead};
 use steer::process::member::Hint;
 
-use super::{CALL_TIMEOUT, Due, Fleet, Place};
+use super::{CALL_TIMEOUT, Fleet, Place, Scheduled};
 
-/// Domain that is nearest to the store.
+/// Failure domain in which the store is.
 const STORE_DOMAIN: usize = 0;
-/// Time that the store takes.
+/// Time that the store takes for a call.
 const STORE_WORK: Duration = Duration::from_millis(2);
 
 pub(super) struct Watch {
@@ -27,25 +27,25 @@
     pub(super) until: Time,
 }
 
-/// The platform's store.
+/// State of the simulated store.
 #[derive(Default)]
 pub struct Store {
     /// The head document.
     pub stored: Option<StoredHead>,
-    /// Heads that were there, newest last.
+    /// All heads ever written, newest last.
     pub past: Vec<StoredHead>,
     pub(super) bodies: Vec<Body>,
     pub(super) watches: Vec<Watch>,
-    /// Whether it answers nobody; the platform's list goes on.
+    /// Whether the store answers no calls, except for the platform's list.
     pub is_down: bool,
-    /// Calls that reached it, by second of virtual time.
+    /// Number of calls that reached the store, by second of virtual time.
     pub calls: Vec<u32>,
     pub(super) list: Vec<Listed>,
 }
 
 impl Fleet {
-    /// Writes a head if the store is at the revision expected; 0 is none, and
-    /// `None` anything. Answers the head that is there if it isn't.
+    /// Writes a head if the store is at the expected revision: 0 if there is
+    /// none, `None` for any. Otherwise returns the present head as an error.
     pub fn write(
         &mut self,
         head: &Arc<Head>,
@@ -73,13 +73,13 @@
         String::from_utf8(bytes.unwrap_or_default()).expect("text")
     }
 
-    /// Lets a write reach the store later.
+    /// Has a write reach the store after `span`.
     pub fn linger(&mut self, head: &Arc<Head>, expect: u64, span: Duration) {
         let head = Arc::clone(head);
-        self.push(span, Due::Write { head, expect });
+        self.push(span, Scheduled::Write { head, expect });
     }
 
-    /// Writes a body under its hash.
+    /// Stores a body under its hash.
     pub fn put_body(&mut self, body: Body) {
         let bodies = &mut self.store.bodies;
         if let Err(at) = bodies.binary_search_by_key(&body.hash, |b| b.hash) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The store stops or starts to answer; its waiting watches are lost.
+    /// Makes the store stop or start to answer. Scheduled watches fail.
     pub fn set_store_down(&mut self, is_down: bool) {
         self.store.is_down = is_down;
         let watches = core::mem::take(&mut self.store.watches);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends every waiting watch an event of this head, whatever it is.
+    /// Answers all pending watches with this head, even an old one.
     pub fn stale_event(&mut self, stored: &StoredHead) {
         let watches = core::mem::take(&mut self.store.watches);
         for watch in watches {
@@ -120,27 +120,27 @@
     }
 
     fn answer(&mut self, to: usize, id: CallId, reply: Reply) {
-        let joined = self.joined(Place::Domain(self.nodes[to].domain), Place::Store);
-        let (after, reply) = if joined {
+        let is_connected = self.is_connected(Place::Domain(self.nodes[to].domain), Place::Store);
+        let (after, reply) = if is_connected {
             let near = self.latency(self.nodes[to].domain, STORE_DOMAIN);
             (near + STORE_WORK, reply)
         } else {
             (CALL_TIMEOUT, Reply::Unavailable)
         };
-        self.push(after, Due::Answer { to, id, reply });
+        self.push(after, Scheduled::Reply { to, id, reply });
     }
 
     pub(super) fn call(&mut self, from: usize, id: CallId, call: Call) {
         let place = Place::Domain(self.nodes[from].domain);
-        if self.joined(place, Place::Store) {
+        if self.is_connected(place, Place::Store) {
             let after = self.latency(self.nodes[from].domain, STORE_DOMAIN);
-            self.push(after, Due::Ask { from, id, call });
+            self.push(after, Scheduled::Call { from, id, call });
         } else {
             self.answer(from, id, Reply::Unavailable);
         }
     }
 
-    pub(super) fn asked(&mut self, from: usize, id: CallId, call: &Call) {
+    pub(super) fn handle_call(&mut self, from: usize, id: CallId, call: &Call) {
         let second = usize::try_from(self.now.as_micros() / 1_000_000).expect("small");
         if self.store.calls.len() <= second {
             self.store.calls.resize(second + 1, 0);
@@ -150,7 +150,7 @@
             let reply = Reply::Unavailable;
             return self.push(
                 CALL_TIMEOUT,
-                Due::Answer {
+                Scheduled::Reply {
                     to: from,
                     id,
                     reply,
@@ -177,7 +177,7 @@
 
     fn watch(&mut self, from: usize, id: CallId, after: u64, wait: Duration) {
         self.store.watches.push(Watch { from, id, after });
-        self.push(wait, Due::Expire { from, id });
+        self.push(wait, Scheduled::Expire { from, id });
         self.wake_watches();
     }
 
