--- a/crates/steer/tests/control_store.rs
+++ b/crates/steer/tests/control_store.rs
@@ -1,4 +1,4 @@
-//! When processes call the store.
+//! Times at which processes call the store.
 
 use core::time::Duration;
 
@@ -11,7 +11,7 @@
     is_alone: false,
 };
 
-/// A policy with a store that answers each call within one step.
+/// A policy, with a store that answers each call within one step.
 struct Process {
     policy: Policy,
     rng: fastrand::Rng,
@@ -33,12 +33,13 @@
         }
     }
 
-    /// One step; returns how many calls of the head were made.
-    fn step(&mut self, away: bool) -> usize {
+    /// Runs one step and returns the number of calls made, without those for
+    /// the list.
+    fn step(&mut self, is_down: bool) -> usize {
         self.now = self.now + STEP;
         for Request { id, call } in core::mem::take(&mut self.open) {
             let reply = match call {
-                _ if away => Reply::Unavailable,
+                _ if is_down => Reply::Unavailable,
                 Call::Head => Reply::Head(None),
                 Call::Watch { .. } => Reply::Watched(None),
                 Call::Body(hash) => Reply::Body(hash, None),
@@ -59,8 +60,8 @@
     }
 }
 
-/// The store is away for two hours. A process calls it about twice a minute, tells
-/// once that it is away and once that it is back.
+/// The store is unavailable for two hours. A process calls it about twice a
+/// minute, and reports the outage and its end once each.
 #[test]
 fn outage_of_hours() {
     let mut process = Process::new(1);
@@ -78,13 +79,13 @@
     );
 }
 
-/// 300 processes meet the store's return after ten minutes. They notice it one by
-/// one within the backoff: in no second more than a tenth of them. Without jitter
-/// all would in the same one.
+/// 300 processes find the store restored after an outage of ten minutes. They
+/// notice it spread over the backoff, at most a tenth of them in any one
+/// second; without jitter all would call in the same second.
 #[test]
 fn return_without_herd() {
     let mut fleet: Vec<Process> = (0..300).map(Process::new).collect();
-    let mut first = vec![None; fleet.len()];
+    let mut noticed_at = vec![None; fleet.len()];
     for _ in 0..6000 {
         for process in &mut fleet {
             process.step(true);
@@ -94,20 +95,23 @@
         for _ in 0..10 {
             for (at, process) in fleet.iter_mut().enumerate() {
                 process.step(false);
-                if !process.policy.is_unavailable() && first[at].is_none() {
-                    first[at] = Some(second);
+                if !process.policy.is_unavailable() && noticed_at[at].is_none() {
+                    noticed_at[at] = Some(second);
                 }
             }
         }
     }
-    let count = |second: usize| first.iter().filter(|f| **f == Some(second)).count();
-    let most = (0..60).map(count).max().unwrap_or(0);
-    assert!(first.iter().all(Option::is_some), "all notice the return");
-    assert!(most <= 30, "{most} in one second");
+    let count = |second: usize| noticed_at.iter().filter(|f| **f == Some(second)).count();
+    let max_count = (0..60).map(count).max().unwrap_or(0);
+    assert!(
+        noticed_at.iter().all(Option::is_some),
+        "all notice the return"
+    );
+    assert!(max_count <= 30, "{max_count} in one second");
 }
 
-/// A driver that never answers: calls are given up, and never more than one of a
-/// kind is open.
+/// The driver never answers. Calls expire, and the head is read at the rate of
+/// the backoff.
 #[test]
 fn answers_missing() {
     let mut rng = fastrand::Rng::with_seed(4);
@@ -122,5 +126,5 @@
     let heads = calls.iter().filter(|r| r.call == Call::Head);
     assert!((10..80).contains(&heads.count()), "{} calls", calls.len());
     let late = policy.take_answer(now, calls[0].id, &Reply::Unavailable, &mut rng);
-    assert!(late.is_none(), "the first call was given up");
+    assert!(late.is_none(), "the first call has expired");
 }
