--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -27,7 +27,7 @@
     /// Runs a request that another domain's entry instance passes on.
     async fn forward(request: peer::Forward) -> peer::Forwarded;
 
-    /// Takes a message between control states; see crate `wire`, `beat`.
+    /// Takes a message between control states; see crate `wire`, `heartbeat`.
     async fn tell(message: Vec<u8>);
 
     /// Says who it is.
--- a/crates/auburnrouter/src/direct/heartbeat.rs
+++ b/crates/auburnrouter/src/direct/heartbeat.rs
@@ -11,7 +11,7 @@
 use smol::net;
 use steer::process::direct::members;
 use steer::process::direct::quota;
-use wire::direct::{Beat, DATAGRAM, Message};
+use wire::direct::{DATAGRAM_MAX, Heartbeat, Message};
 
 use super::{Shared, events, lock};
 
@@ -66,8 +66,8 @@
         observations: Vec::new(),
         ..heartbeat.clone()
     };
-    let complete = Message::Beat(Box::new(Beat::from(heartbeat))).encode();
-    let reduced = Message::Beat(Box::new(Beat::from(reduced))).encode();
+    let complete = Message::Heartbeat(Box::new(Heartbeat::from(heartbeat))).encode();
+    let reduced = Message::Heartbeat(Box::new(Heartbeat::from(reduced))).encode();
     let region = recipients.region.into_iter().filter(|_| all);
     for addr in recipients.local.into_iter().chain(region) {
         // A failed send counts as a lost datagram: the next heartbeat follows soon.
@@ -109,7 +109,7 @@
 /// Receives datagrams until the process ends: heartbeats, quota reports, which are
 /// answered with a grant, and grants.
 pub async fn receive(shared: Arc<Shared>, socket: net::UdpSocket) {
-    let mut bytes = vec![0; DATAGRAM * 2];
+    let mut bytes = vec![0; DATAGRAM_MAX * 2];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut bytes).await else {
             // Errors of earlier sends, such as an unreachable peer, surface here;
@@ -118,7 +118,7 @@
             continue;
         };
         match Message::decode(&bytes[..len]) {
-            Ok(Message::Beat(beat)) => {
+            Ok(Message::Heartbeat(beat)) => {
                 shared.update(|now, d| d.receive_heartbeat(now, (*beat).into()));
             }
             Ok(Message::Report(report)) => {
--- a/crates/auburnrouter/src/direct/member.rs
+++ b/crates/auburnrouter/src/direct/member.rs
@@ -98,7 +98,7 @@
 
     /// Writes the registration under a lease.
     async fn write(&self, id: u64) -> Result<(), Error> {
-        let registration = direct::Row::from(self.shared.registration());
+        let registration = direct::Registration::from(self.shared.registration());
         let value = serde_json::to_vec(&registration).unwrap_or_default();
         let key = format!("{KEY_PREFIX}{}", self.shared.settings.name);
         let put = self.shared.store.put(&key, &value, id).await;
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -160,7 +160,8 @@
         };
         let peer = |item: &platform::store::Item| {
             let name = item.key.strip_prefix(member::KEY_PREFIX)?;
-            let registration: direct::Row = serde_json::from_slice(item.value.as_deref()?).ok()?;
+            let registration: direct::Registration =
+                serde_json::from_slice(item.value.as_deref()?).ok()?;
             let is_local =
                 *registration.domain == *shared.settings.domain && *name != *shared.settings.name;
             is_local.then(|| (Arc::from(name), registration.peers))
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -148,7 +148,7 @@
 /// Adds, updates or removes the registration of an instance. One that can't be read
 /// counts as removed.
 fn put_member(shared: &Shared, name: &str, value: Option<&[u8]>) {
-    let registration = match value.map(serde_json::from_slice::<direct::Row>) {
+    let registration = match value.map(serde_json::from_slice::<direct::Registration>) {
         Some(Ok(registration)) => Some(registration.into()),
         Some(Err(error)) => {
             events::input_rejected(shared, name, &error.to_string());
--- a/crates/wire/src/direct.rs
+++ b/crates/wire/src/direct.rs
@@ -12,16 +12,16 @@
 use thiserror::Error;
 
 /// Bytes of a datagram that crosses any network unbroken.
-pub const DATAGRAM: usize = 1200;
+pub const DATAGRAM_MAX: usize = 1200;
 
 /// Targets named in one heartbeat: what fits a datagram beside the rest.
-pub const FLYING_MOST: usize = 70;
+pub const IN_FLIGHT_MAX: usize = 70;
 
 /// Targets named in one heartbeat that are slow or fail.
-pub const TROUBLES_MOST: usize = 30;
+pub const OBSERVATIONS_MAX: usize = 30;
 
 /// Requests named in one heartbeat that broke targets.
-pub const STRUCK_MOST: usize = 16;
+pub const SUSPECTS_MAX: usize = 16;
 
 /// Thousandths in one.
 const THOUSANDTHS: f64 = 1000.0;
@@ -42,7 +42,7 @@
 
 /// Where an instance is reached, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct Registration {
     /// Its region.
     pub region: String,
     /// Its failure domain.
@@ -57,7 +57,7 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     name: String,
     life: u64,
     seq: u64,
@@ -65,7 +65,7 @@
     doubtful: bool,
     revision: u64,
     version: u64,
-    row: Option<Row>,
+    row: Option<Registration>,
     flying: Vec<(Mark, u8)>,
     held: Vec<(Mark, Mark)>,
     struck: Vec<(Print, u8)>,
@@ -85,7 +85,7 @@
 /// Numbers in as few bytes as they need: most are small, heartbeats are sent a
 /// hundred times a second in a small fleet, and what crosses regions is paid.
 fn form() -> impl Options {
-    DefaultOptions::new().with_limit(DATAGRAM as u64 * 2)
+    DefaultOptions::new().with_limit(DATAGRAM_MAX as u64 * 2)
 }
 
 /// One item of the platform's store.
@@ -122,7 +122,7 @@
 
 /// Longest list of items before it is compressed, in bytes: far more than a
 /// store of this kind holds, far less than an instance's memory.
-const ITEMS_MOST: usize = 48 << 20;
+const ITEMS_MAX: usize = 48 << 20;
 
 impl Changes {
     /// For another instance.
@@ -205,7 +205,7 @@
 
     fn try_from(changes: Changes) -> Result<Self, Error> {
         let (size, packed) = lz4_flex::block::uncompressed_size(&changes.items)?;
-        if size > ITEMS_MOST {
+        if size > ITEMS_MAX {
             return Err(Error::Size(size));
         }
         let plain = lz4_flex::decompress(packed, size)?;
@@ -227,7 +227,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A sign of life.
-    Beat(Box<Beat>),
+    #[serde(rename = "Beat")]
+    Heartbeat(Box<Heartbeat>),
     /// What an instance needs of teams' tokens.
     Report(Report),
     /// What it is given.
@@ -377,7 +378,7 @@
     }
 }
 
-impl From<members::Registration> for Row {
+impl From<members::Registration> for Registration {
     fn from(row: members::Registration) -> Self {
         Self {
             region: row.region.as_ref().to_owned(),
@@ -389,8 +390,8 @@
     }
 }
 
-impl From<Row> for members::Registration {
-    fn from(row: Row) -> Self {
+impl From<Registration> for members::Registration {
+    fn from(row: Registration) -> Self {
         Self {
             region: Arc::from(row.region),
             domain: Arc::from(row.domain),
@@ -401,14 +402,14 @@
     }
 }
 
-impl From<members::Heartbeat> for Beat {
+impl From<members::Heartbeat> for Heartbeat {
     fn from(beat: members::Heartbeat) -> Self {
         let mut flying = beat.in_flight;
-        flying.truncate(FLYING_MOST);
+        flying.truncate(IN_FLIGHT_MAX);
         let mut struck = beat.suspects;
-        struck.truncate(STRUCK_MOST);
+        struck.truncate(SUSPECTS_MAX);
         let mut troubles = beat.observations;
-        troubles.truncate(TROUBLES_MOST);
+        troubles.truncate(OBSERVATIONS_MAX);
         let trouble =
             |t: health::Observation| (t.target_hash.to_le_bytes(), t.failures, t.ratio_eighths);
         Self {
@@ -439,8 +440,8 @@
     }
 }
 
-impl From<Beat> for members::Heartbeat {
-    fn from(beat: Beat) -> Self {
+impl From<Heartbeat> for members::Heartbeat {
+    fn from(beat: Heartbeat) -> Self {
         let count = |(target, count)| (u32::from_le_bytes(target), count);
         let mut flying: Vec<(u32, u8)> = beat.flying.into_iter().map(count).collect();
         flying.sort_unstable();
--- a/crates/wire/tests/direct.rs
+++ b/crates/wire/tests/direct.rs
@@ -55,8 +55,8 @@
 #[case::without_row(beat())]
 #[case::with_row(Heartbeat { registration: Some(row()), ..beat() })]
 fn beat_there_and_back(#[case] beat: Heartbeat) {
-    let bytes = Message::Beat(Box::new(beat.clone().into())).encode();
-    let Message::Beat(read) = Message::decode(&bytes).expect("it is whole") else {
+    let bytes = Message::Heartbeat(Box::new(beat.clone().into())).encode();
+    let Message::Heartbeat(read) = Message::decode(&bytes).expect("it is whole") else {
         panic!("it is a heartbeat");
     };
     assert_eq!(Heartbeat::from(*read), beat);
@@ -82,6 +82,6 @@
         limits: Vec::new(),
         ..beat()
     };
-    let size = Message::Beat(Box::new(far.into())).encode().len();
+    let size = Message::Heartbeat(Box::new(far.into())).encode().len();
     assert!(size <= most, "{size} bytes");
 }
