--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -242,7 +242,7 @@
         let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
         async move {
-            let targets = wire::instance::Part::Targets(context.settings.domain.to_string());
+            let targets = wire::instance::Filter::Targets(context.settings.domain.to_string());
             loop {
                 context.metrics.store_calls.inc();
                 let list = context.store.instances(&targets).await.ok();
@@ -287,7 +287,7 @@
     }
 }
 
-fn hint(who: peer::Who) -> member::Hint {
+fn hint(who: peer::PeerInfo) -> member::Hint {
     member::Hint {
         name: who.name.into(),
         domain: who.domain.into(),
--- a/crates/auburnrouter/src/daemon/control/store_calls.rs
+++ b/crates/auburnrouter/src/daemon/control/store_calls.rs
@@ -75,7 +75,7 @@
 }
 
 async fn list(store: &dyn store::Store) -> Reply {
-    let Ok(list) = store.instances(&instance::Part::Entries).await else {
+    let Ok(list) = store.instances(&instance::Filter::Entries).await else {
         return Reply::Unavailable;
     };
     let hints = list.instances.into_iter().filter_map(|i| match i.role {
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -127,7 +127,7 @@
 
     /// Serves one request to its settled answer. Dropping the future tells the
     /// decisions that nobody waits any more.
-    pub async fn serve(self: &Arc<Self>, request: Inbound, terms: Terms) -> peer::Settled {
+    pub async fn serve(self: &Arc<Self>, request: Inbound, terms: Terms) -> peer::FinalResult {
         let (mailbox, settled) = async_channel::bounded(1);
         let id = self.arrive(request, terms, mailbox);
         let mut waiting = DisconnectGuard {
@@ -253,7 +253,7 @@
         &self,
         request: Inbound,
         terms: Terms,
-        mailbox: async_channel::Sender<peer::Settled>,
+        mailbox: async_channel::Sender<peer::FinalResult>,
     ) -> arrival::RequestId {
         let fingerprint = request.fingerprint();
         let mut inner = self.lock();
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -16,7 +16,7 @@
     id: arrival::RequestId,
     request: Arc<Inbound>,
     /// `None` once the caller has left.
-    mailbox: Option<async_channel::Sender<peer::Settled>>,
+    mailbox: Option<async_channel::Sender<peer::FinalResult>>,
 }
 
 /// An attempt on its way.
@@ -79,7 +79,7 @@
         &mut self,
         id: arrival::RequestId,
         request: Inbound,
-        mailbox: async_channel::Sender<peer::Settled>,
+        mailbox: async_channel::Sender<peer::FinalResult>,
     ) {
         self.requests.push(Pending {
             id,
@@ -108,7 +108,7 @@
     }
 
     /// Gives a request its settled answer.
-    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::Settled) {
+    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::FinalResult) {
         let Ok(at) = self.requests.binary_search_by_key(&id, |p| p.id) else {
             return;
         };
--- a/crates/auburnrouter/src/daemon/metrics.rs
+++ b/crates/auburnrouter/src/daemon/metrics.rs
@@ -94,7 +94,7 @@
     }
 
     /// Counts a settled request.
-    pub fn count_settled(&self, settled: &peer::Settled) {
+    pub fn count_settled(&self, settled: &peer::FinalResult) {
         let (outcome, reason) = match settled {
             Ok(_) => ("ran", "answered"),
             Err(refusal) => (refusal.outcome.as_str(), refusal.reason.as_str()),
--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -31,7 +31,7 @@
     async fn tell(message: Vec<u8>);
 
     /// Says who it is.
-    async fn who() -> peer::Who;
+    async fn who() -> peer::PeerInfo;
 
     /// Hears how many targets broke under a request.
     async fn suspect(suspect: peer::Suspect);
@@ -40,7 +40,7 @@
     async fn lend(route: wire::share::Route, amount: u64) -> u64;
 
     /// Answers as a witness; `None` if this process is ending.
-    async fn witness(question: witness::Question) -> Option<witness::Word>;
+    async fn witness(question: witness::Question) -> Option<witness::Reply>;
 }
 
 /// Longest message in bytes.
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -174,7 +174,7 @@
     }
 
     /// Asks who listens at an address.
-    pub async fn who(&self, addr: SocketAddr) -> Option<peer::Who> {
+    pub async fn who(&self, addr: SocketAddr) -> Option<peer::PeerInfo> {
         let client = self.client(addr).await?;
         let call = client.who(context(CONNECT_TIMEOUT)).compat();
         let Ok(who) = call.await else {
@@ -329,7 +329,7 @@
 }
 
 fn attempt_outcome(forwarded: peer::Forwarded) -> dispatch::AttemptOutcome {
-    match peer::Settled::try_from(forwarded) {
+    match peer::FinalResult::try_from(forwarded) {
         Ok(Ok(answer)) => dispatch::AttemptOutcome::Answered(answer),
         Ok(Err(refusal)) => dispatch::AttemptOutcome::PeerRefused(refusal),
         Err(_) => dispatch::AttemptOutcome::BadAnswer,
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -135,9 +135,9 @@
         }
     }
 
-    async fn who(self, _: context::Context) -> peer::Who {
+    async fn who(self, _: context::Context) -> peer::PeerInfo {
         let identity = self.control.identity();
-        peer::Who {
+        peer::PeerInfo {
             name: identity.name.as_ref().to_owned(),
             domain: identity.domain.as_ref().to_owned(),
             peer: identity.peer,
@@ -158,7 +158,7 @@
         self,
         _: context::Context,
         question: witness::Question,
-    ) -> Option<witness::Word> {
+    ) -> Option<witness::Reply> {
         let reply = self.engine.witness(question.into()).await?;
         Some(reply.into())
     }
--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -36,7 +36,7 @@
 
 /// Sets a target's answer or a refusal on `conn`.
 #[must_use]
-pub fn settled(conn: Conn, settled: &peer::Settled) -> Conn {
+pub fn settled(conn: Conn, settled: &peer::FinalResult) -> Conn {
     match settled {
         Ok(answer) => target_answer(conn, answer),
         Err(refusal) => refused(conn, refusal),
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -164,9 +164,9 @@
     fn grant(&self, ttl: Duration) -> Pending<'_, kv::Lease> {
         let now = Instant::now();
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        Box::pin(
-            async move { self.write(|state| Ok(state.table.grant(now, kv::Grant { ttl_ms }))) },
-        )
+        Box::pin(async move {
+            self.write(|state| Ok(state.table.grant(now, kv::LeaseRequest { ttl_ms })))
+        })
     }
 
     fn renew(&self, id: u64) -> Pending<'_, kv::Lease> {
@@ -174,11 +174,11 @@
         Box::pin(async move { self.write(|state| state.table.renew(now, id)) })
     }
 
-    fn instances<'a>(&'a self, part: &'a instance::Part) -> Pending<'a, instance::Instances> {
+    fn instances<'a>(&'a self, part: &'a instance::Filter) -> Pending<'a, instance::Instances> {
         Box::pin(async move {
             self.read(|state| {
                 let mut list = state.instances.clone();
-                list.instances.retain(|i| part.has(i));
+                list.instances.retain(|i| part.matches(i));
                 list
             })
         })
--- a/crates/standin/src/store/calls.rs
+++ b/crates/standin/src/store/calls.rs
@@ -31,7 +31,7 @@
     Delete(String),
     Grant,
     Renew(u64),
-    Instances(instance::Part),
+    Instances(instance::Filter),
 }
 
 impl Call {
@@ -79,11 +79,11 @@
 }
 
 /// The part of the list that a call asks for.
-fn part(conn: &Conn) -> Option<instance::Part> {
+fn part(conn: &Conn) -> Option<instance::Filter> {
     match (http::query(conn, "kind"), http::query(conn, "domain")) {
-        (None, None) => Some(instance::Part::Whole),
-        (Some("entry"), None) => Some(instance::Part::Entries),
-        (Some("target"), Some(domain)) => Some(instance::Part::Targets(domain.to_owned())),
+        (None, None) => Some(instance::Filter::All),
+        (Some("entry"), None) => Some(instance::Filter::Entries),
+        (Some("target"), Some(domain)) => Some(instance::Filter::Targets(domain.to_owned())),
         _ => None,
     }
 }
@@ -197,7 +197,7 @@
         }
         Call::Instances(part) => {
             let mut list = shared.listed(now);
-            list.instances.retain(|instance| part.has(instance));
+            list.instances.retain(|instance| part.matches(instance));
             http::json(conn, Status::Ok, &list)
         }
     }
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -116,7 +116,7 @@
     }
 
     /// Grants a new lease.
-    pub fn grant(&mut self, now: Instant, grant: kv::Grant) -> kv::Lease {
+    pub fn grant(&mut self, now: Instant, grant: kv::LeaseRequest) -> kv::Lease {
         self.last_lease += 1;
         let ttl = Duration::from_millis(grant.ttl_ms);
         let id = self.last_lease;
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -59,7 +59,7 @@
     // a write under the old lease does not bring the key back.
     let start = Instant::now();
     let mut table = Table::default();
-    let lease = table.grant(start, kv::Grant { ttl_ms: 100 });
+    let lease = table.grant(start, kv::LeaseRequest { ttl_ms: 100 });
     let under = || put("mine", kv::Expect::Absent, Some(lease.id));
     table.put(start, "a", under()).unwrap();
     let renewed = start + Duration::from_millis(90);
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -268,7 +268,7 @@
     fn grant(&self, ttl: Duration) -> Pending<'_, kv::Lease> {
         Box::pin(async move {
             let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-            let body = json(&kv::Grant { ttl_ms });
+            let body = json(&kv::LeaseRequest { ttl_ms });
             self.write(Method::POST, "/leases", body).await?.parse()
         })
     }
@@ -280,7 +280,7 @@
         })
     }
 
-    fn instances<'a>(&'a self, part: &'a instance::Part) -> Pending<'a, instance::Instances> {
+    fn instances<'a>(&'a self, part: &'a instance::Filter) -> Pending<'a, instance::Instances> {
         Box::pin(async move {
             let list = self.read(&part.path()).await?;
             list.ok_or(Error::BadAnswer { status: 404 })
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -49,5 +49,5 @@
     fn renew(&self, id: u64) -> Pending<'_, kv::Lease>;
 
     /// A part of the platform's list of instances. It lags.
-    fn instances<'a>(&'a self, part: &'a instance::Part) -> Pending<'a, instance::Instances>;
+    fn instances<'a>(&'a self, part: &'a instance::Filter) -> Pending<'a, instance::Instances>;
 }
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -78,7 +78,7 @@
         let lease = client.grant(Duration::from_secs(9)).await.unwrap();
         assert_eq!(client.renew(lease.id).await.unwrap(), lease);
         assert_eq!(client.renew(lease.id + 1).await, Err(Error::LeaseLapsed));
-        let list = client.instances(&instance::Part::Whole).await.unwrap();
+        let list = client.instances(&instance::Filter::All).await.unwrap();
         assert_eq!(list, instance::Instances::default());
         assert_eq!(client.counters().calls(), store.stats().calls);
     });
@@ -350,7 +350,7 @@
         let list = instance::Instances { instances };
         store.list(list.clone());
         let began = Instant::now();
-        while client.instances(&instance::Part::Whole).await != Ok(list.clone()) {
+        while client.instances(&instance::Filter::All).await != Ok(list.clone()) {
             smol::Timer::after(Duration::from_millis(1)).await;
         }
         assert!(began.elapsed() >= lag / 2, "{:?}", began.elapsed());
--- a/crates/wire/src/instance.rs
+++ b/crates/wire/src/instance.rs
@@ -66,22 +66,22 @@
 /// A part of the list. An entry instance reads its own domain's targets often,
 /// and the whole list never: that would grow with the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Filter {
     /// All of it.
-    Whole,
+    All,
     /// All entry instances.
     Entries,
     /// The targets of this failure domain.
     Targets(String),
 }
 
-impl Part {
+impl Filter {
     /// The path and query that ask for it. Names hold no characters that a
     /// query can't.
     #[must_use]
     pub fn path(&self) -> String {
         match self {
-            Self::Whole => "/instances".to_owned(),
+            Self::All => "/instances".to_owned(),
             Self::Entries => "/instances?kind=entry".to_owned(),
             Self::Targets(domain) => format!("/instances?kind=target&domain={domain}"),
         }
@@ -89,10 +89,10 @@
 
     /// Whether a line is in it.
     #[must_use]
-    pub fn has(&self, instance: &Instance) -> bool {
+    pub fn matches(&self, instance: &Instance) -> bool {
         let target = matches!(instance.role, Role::Target { .. });
         match self {
-            Self::Whole => true,
+            Self::All => true,
             Self::Entries => !target,
             Self::Targets(domain) => target && instance.domain == *domain,
         }
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -7,7 +7,7 @@
 //! | `GET /kv?prefix=P` | 200 [`Listing`] |
 //! | `PUT /kv/{key}` with [`Put`] | 200 [`Written`], 409 [`Conflict`], 413 |
 //! | `DELETE /kv/{key}?revision=N` | 200 [`Written`], 409 [`Conflict`] |
-//! | `POST /leases` with [`Grant`] | 200 [`Lease`] |
+//! | `POST /leases` with [`LeaseRequest`] | 200 [`Lease`] |
 //! | `POST /leases/{id}/renew` | 200 [`Lease`], 404 once it lapsed |
 //!
 //! Each call counts, a waiting watch as one. A value holds up to a megabyte. A
@@ -75,7 +75,7 @@
 
 /// A wish for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseRequest {
     /// Milliseconds the lease lives without renewal.
     pub ttl_ms: u64,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -90,10 +90,10 @@
 }
 
 /// A final answer or refusal, as decisions know it.
-pub type Settled = Result<Arc<answer::Answer>, outcome::Refusal>;
+pub type FinalResult = Result<Arc<answer::Answer>, outcome::Refusal>;
 
-impl From<&Settled> for Forwarded {
-    fn from(settled: &Settled) -> Self {
+impl From<&FinalResult> for Forwarded {
+    fn from(settled: &FinalResult) -> Self {
         match settled {
             Ok(answer) => Self::Answer {
                 status: answer.status,
@@ -109,7 +109,7 @@
     }
 }
 
-impl TryFrom<Forwarded> for Settled {
+impl TryFrom<Forwarded> for FinalResult {
     type Error = Error;
 
     fn try_from(forwarded: Forwarded) -> Result<Self, Error> {
@@ -175,7 +175,7 @@
 
 /// Who listens at an address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Who {
+pub struct PeerInfo {
     /// Name of its entry instance.
     pub name: String,
     /// Name of its failure domain.
--- a/crates/wire/src/witness.rs
+++ b/crates/wire/src/witness.rs
@@ -18,7 +18,7 @@
 
 /// Twin of [`record::Reply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Reply {
     /// The key is claimed.
     Claimed,
     /// The key never gets a claim.
@@ -53,9 +53,9 @@
     }
 }
 
-impl From<record::Reply> for Word {
-    fn from(word: record::Reply) -> Self {
-        match word {
+impl From<record::Reply> for Reply {
+    fn from(reply: record::Reply) -> Self {
+        match reply {
             record::Reply::Claimed => Self::Claimed,
             record::Reply::Sealed => Self::Sealed,
             record::Reply::Expired => Self::Expired,
@@ -66,15 +66,15 @@
     }
 }
 
-impl From<Word> for record::Reply {
-    fn from(word: Word) -> Self {
-        match word {
-            Word::Claimed => Self::Claimed,
-            Word::Sealed => Self::Sealed,
-            Word::Expired => Self::Expired,
-            Word::Full => Self::Full,
-            Word::Foreign => Self::Foreign,
-            Word::Epoch(epoch) => Self::Epoch(epoch),
+impl From<Reply> for record::Reply {
+    fn from(reply: Reply) -> Self {
+        match reply {
+            Reply::Claimed => Self::Claimed,
+            Reply::Sealed => Self::Sealed,
+            Reply::Expired => Self::Expired,
+            Reply::Full => Self::Full,
+            Reply::Foreign => Self::Foreign,
+            Reply::Epoch(epoch) => Self::Epoch(epoch),
         }
     }
 }
