--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -91,7 +91,9 @@
     own: Arc<Record>,
     load: u8,
     last_event: Time,
+    /// Time of the first confirming answer.
     first_answer: Option<Time>,
+    /// Whether the process may still raise its generation.
     is_joining: bool,
     last_raise: Option<Time>,
     status: MemberStatus,
@@ -100,11 +102,14 @@
     peers: Vec<peer::Peer>,
     domains: Vec<peer::RemoteDomain>,
     hints: hints::Hints,
+    /// Cache for the published list of members.
     sorted_entries: Option<Vec<members::Entry>>,
     tracker: tracker::Tracker,
+    /// Highest version received or reported by anyone.
     newest_seen: Version,
     head_request: Option<rollout::HeadRequest>,
     body_requests: Vec<rollout::BodyRequest>,
+    /// Peer last heard to have the newest version in force.
     body_source: Option<SocketAddr>,
     store: store::Policy,
     reported_faults: rollout::ReportedFaults,
@@ -112,8 +117,11 @@
     next_heartbeat: Time,
     next_sync: Time,
     published_at: Time,
+    /// Whether the state changed since the last snapshot.
     is_dirty: bool,
+    /// Whether the ranks among the representatives have to be computed anew.
     is_rank_stale: bool,
+    /// Digest of the local domain when its last change was announced.
     announced_digest: u64,
     published_share: slot::Share,
     counters: Counters,
--- a/crates/steer/src/process/control/local.rs
+++ b/crates/steer/src/process/control/local.rs
@@ -308,13 +308,11 @@
         let found = self.peers.binary_search_by(|p| p.name.cmp(name));
         let Ok(at) = found else { return };
         let peer = &self.peers[at];
-        let Some(direct) = peer.last_direct else {
-            return;
-        };
+        let Some(seen) = peer.last_direct else { return };
         let content = Content::PeerSeen {
             name: Arc::clone(name),
             stamp: peer.stamp,
-            age: now.since(direct),
+            age: now.since(seen),
         };
         self.send(message.reply_addr(), content, out);
     }
--- a/crates/steer/src/process/control/members.rs
+++ b/crates/steer/src/process/control/members.rs
@@ -1,8 +1,8 @@
 //! Published list of the processes that look-ups may return.
 //!
-//! Invariant: the list holds this process unless it is superseded, the live processes of the local
-//! domain and those of every domain that isn't silent, one for each name,
-//! sorted by name.
+//! Invariant: the list holds this process unless it is superseded, the live
+//! processes of the local domain and those of every domain that isn't silent,
+//! one for each name, sorted by name.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
 impl Control {
     pub(super) fn members(&mut self, now: Time) -> Vec<Member> {
         let entries = self.sorted_entries.take().unwrap_or_else(|| self.entries());
-        let seen = entries.iter().filter_map(|entry| {
+        let members = entries.iter().filter_map(|entry| {
             let health = match entry.origin {
                 Origin::Own => (self.status != MemberStatus::Superseded).then(|| self.health()),
                 Origin::Local => self.local_health(&entry.record.identity.name),
@@ -36,9 +36,9 @@
             let record = Arc::clone(&entry.record);
             health.map(|health| Member { record, health })
         });
-        let seen = seen.collect();
+        let members = members.collect();
         self.sorted_entries = Some(entries);
-        seen
+        members
     }
 
     fn entries(&self) -> Vec<Entry> {
--- a/crates/steer/src/process/control/remote.rs
+++ b/crates/steer/src/process/control/remote.rs
@@ -226,8 +226,9 @@
         remote.last_seen = remote.last_seen.max(Some(last_seen));
     }
 
-    /// Ranks this process anew among the representatives after a change of its
-    /// domain's records, and announces the change to other domains.
+    /// Ranks this process anew among its domain's processes once another domain
+    /// is new or its own domain's records changed, and announces such a change to
+    /// the other domains.
     pub(super) fn update_ranks(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.is_rank_stale {
             return;
--- a/crates/steer/src/process/control/sync.rs
+++ b/crates/steer/src/process/control/sync.rs
@@ -101,7 +101,7 @@
         is_local: bool,
         out: &mut Vec<Action>,
     ) {
-        let mut fresh = Vec::new();
+        let mut merged = Vec::new();
         for record in rows {
             if self.is_own(record) {
                 self.handle_own_name(now, record, out);
@@ -112,22 +112,23 @@
                 continue;
             }
             if self.table.merge(now, record, self.guards.stamps) != Merge::Outdated {
-                fresh.push(Arc::clone(record));
+                merged.push(Arc::clone(record));
             }
         }
-        if fresh.is_empty() {
+        if merged.is_empty() {
             return;
         }
         self.rebuild_peers(now);
         if !is_local {
-            fresh.retain(|r| r.identity.domain != self.own.identity.domain);
-            self.forward_records(&fresh, out);
+            merged.retain(|r| r.identity.domain != self.own.identity.domain);
+            self.forward_records(&merged, out);
         }
     }
 
-    /// Whether a record is a tombstone of a peer that this process still hears
-    /// from. The peer has to be told, as only it can refute the tombstone, and
-    /// the process that wrote it may be gone or in another domain.
+    /// Whether a record is a tombstone that would replace the row of a peer
+    /// which this process still hears from. The peer has to be told, as only it
+    /// can refute the tombstone, and the process that wrote it may be gone or in
+    /// another domain.
     fn is_contradicted(&self, now: Time, record: &Record) -> bool {
         let identity = &record.identity;
         if record.lifecycle != Lifecycle::Dead || identity.domain != self.own.identity.domain {
@@ -140,10 +141,10 @@
         let found = self.peers.binary_search_by(|p| p.name.cmp(&identity.name));
         found.is_ok_and(|at| {
             let peer = &self.peers[at];
-            let last_seen = peer
+            let is_heard = peer
                 .last_direct
                 .is_some_and(|t| now.since(t) <= DROP_TIMEOUT);
-            peer.stamp == record.stamp && last_seen
+            peer.stamp == record.stamp && is_heard
         })
     }
 
