--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -402,7 +402,7 @@
 /// empty value, so that no key is passed on.
 fn replica_item(shared: &Shared, item: platform::store::Item) -> Item {
     let value = match item.value {
-        Some(value) if item.key == document::KEY => match document::digest_keys(&value) {
+        Some(value) if item.key == document::CONFIG_KEY => match document::digest_keys(&value) {
             Ok(concealed) => Some(concealed),
             Err(error) => {
                 events::input_rejected(shared, &item.key, &error.to_string());
--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -49,7 +49,7 @@
     shared.update(|now, direct| direct.peer_answered(now, contact, revision));
     let mut targets = Vec::new();
     for item in &changed {
-        match (item.key.strip_prefix(entry::PREFIX), &item.value) {
+        match (item.key.strip_prefix(entry::TARGET_PREFIX), &item.value) {
             (Some(id), Some(value)) => targets.push((id, &**value)),
             _ => apply_item(shared, &item.key, item.value.as_deref()),
         }
@@ -65,7 +65,7 @@
 /// Applies one item other than a target entry that has a value, which
 /// [`put_targets`] takes. Unknown keys are ignored.
 fn apply_item(shared: &Shared, key: &str, value: Option<&[u8]>) {
-    if key == document::KEY {
+    if key == document::CONFIG_KEY {
         if let Some(value) = value {
             install_config(shared, value);
         }
@@ -76,7 +76,7 @@
             domains.push(domain.into());
         }
         set_evacuated(shared, domains);
-    } else if let Some(id) = key.strip_prefix(entry::PREFIX) {
+    } else if let Some(id) = key.strip_prefix(entry::TARGET_PREFIX) {
         remove_target(shared, id);
     } else if let Some(name) = key.strip_prefix(member::KEY_PREFIX) {
         put_member(shared, name, value);
@@ -97,7 +97,7 @@
         }
         Err(error) => {
             shared.update(|_, direct| direct.config_unreadable());
-            events::input_rejected(shared, document::KEY, &error.to_string());
+            events::input_rejected(shared, document::CONFIG_KEY, &error.to_string());
         }
     }
 }
