--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -1,26 +1,27 @@
-//! Decides whether, and by whom, a request that must not repeat may be run.
+//! Decides whether, and in which process, a non-idempotent request may run.
 //!
 //! Invariants, over all processes and for every key of a service that is not
 //! idempotent:
 //! 1. The key's request is sent to the dispatcher at most once, in one process:
 //!    the owner named in the key, or the one whose claim the store holds.
-//! 2. Whoever answers "not run" has made sure that the key has not run and never
-//!    will. "Not run" ends the key; the caller goes on with a new nonce.
-//! 3. Whoever can't make sure answers "unknown", also for its own lack of room
-//!    or time: another copy of the request may have run elsewhere.
+//! 2. A process answers "not run" only if the key has not run and never will.
+//!    "Not run" ends the key; the caller retries with a new nonce.
+//! 3. A process that cannot establish that answers "unknown", also if the cause
+//!    is its own lack of room or time: another copy of the request may have run
+//!    in another process.
 //!
-//! Requests of idempotent services pass straight through.
+//! Requests for idempotent services bypass the gate.
 
-mod book;
+mod answers;
 mod chosen;
 mod counts;
-mod entry;
+mod forwarding;
 mod held;
-mod issue;
-mod kept;
+mod issuer;
 mod limits;
 mod message;
 mod owner;
+mod record_table;
 mod safeguards;
 mod witness;
 
@@ -37,70 +38,74 @@
 pub use message::{Action, Event, Peer, Verdict};
 pub use safeguards::Safeguards;
 
-/// When a caller is told to come back where nothing better is known.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Time after which a caller is advised to retry, unless a better one is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time a caller is taken to wait if neither it nor its service says.
-const DEADLINE: Duration = Duration::from_secs(10);
+/// Time that a caller is assumed to wait if neither it nor its service sets one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// The gate's state.
+/// State of one process's gate.
 pub struct Gate {
-    me: view::Incarnation,
-    home: dispatch::Identity,
+    incarnation: view::Incarnation,
+    identity: dispatch::Identity,
     limits: Limits,
-    safe: Safeguards,
+    safeguards: Safeguards,
     view: Arc<view::View>,
     /// Members by incarnation, sorted.
     peers: Vec<(view::Incarnation, view::Member)>,
-    book: book::Book<Box<owner::Record>>,
-    kept: kept::Kept,
+    records: record_table::RecordTable<Box<owner::Record>>,
+    answers: answers::RetainedAnswers,
     registry: witness::Registry,
-    issue: issue::Issue,
+    issuer: issuer::KeyIssuer,
     held: held::HeldSet,
     asks: u64,
     attempts: u64,
-    /// Epoch in which records were last forgotten.
-    swept: u64,
+    /// Epoch in which old records were last removed.
+    swept_epoch: u64,
     leaving: bool,
     tally: Tally,
 }
 
 impl Gate {
-    /// A gate with no records and an empty view.
+    /// Creates a gate with no records and an empty view.
     #[must_use]
-    pub fn new(home: dispatch::Identity, me: view::Incarnation, limits: Limits) -> Self {
-        Self::with_safeguards(home, me, limits, Safeguards::ALL)
+    pub fn new(
+        identity: dispatch::Identity,
+        incarnation: view::Incarnation,
+        limits: Limits,
+    ) -> Self {
+        Self::with_safeguards(identity, incarnation, limits, Safeguards::ALL)
     }
 
-    /// The same with safeguards taken out. For the explorer and tests only.
+    /// Creates a gate with some safeguards off. For the explorer and tests only.
     #[must_use]
     pub fn with_safeguards(
-        home: dispatch::Identity,
-        me: view::Incarnation,
+        identity: dispatch::Identity,
+        incarnation: view::Incarnation,
         limits: Limits,
-        safe: Safeguards,
+        safeguards: Safeguards,
     ) -> Self {
         Self {
-            me,
-            home,
+            incarnation,
+            identity,
             limits,
-            safe,
+            safeguards,
             view: Arc::default(),
             peers: Vec::new(),
-            book: book::Book::new(limits.records_max),
-            kept: kept::Kept::new(limits.answer_bytes),
-            registry: witness::Registry::new(me, &limits, safe),
-            issue: issue::Issue::new(me),
+            records: record_table::RecordTable::new(limits.records_max),
+            answers: answers::RetainedAnswers::new(limits.answer_bytes),
+            registry: witness::Registry::new(incarnation, &limits, safeguards),
+            issuer: issuer::KeyIssuer::new(incarnation),
             held: held::HeldSet::default(),
             asks: 0,
             attempts: 0,
-            swept: 0,
+            swept_epoch: 0,
             leaving: false,
             tally: Tally::default(),
         }
     }
 
-    /// Takes one event and appends what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: clock::Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival, out),
@@ -121,8 +126,8 @@
         self.publish(now, out);
     }
 
-    /// Whether the gate owes the request's caller an answer, or keeps the
-    /// request although its caller left.
+    /// Returns whether the gate still holds the request: its caller has no answer
+    /// yet, or left while the request goes on.
     #[must_use]
     pub fn holds(&self, id: arrival::RequestId) -> bool {
         self.held.get(id).is_some()
@@ -134,40 +139,41 @@
         self.held.len()
     }
 
-    /// Number of records, as an owner and as a witness.
+    /// Number of records kept as an owner, and as a witness.
     #[must_use]
     pub const fn records(&self) -> (usize, usize) {
-        (self.book.len(), self.registry.len())
+        (self.records.len(), self.registry.len())
     }
 
-    /// What the gate has done, for counters.
+    /// Counters of what the gate has done since the process started.
     #[must_use]
     pub const fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// What the gate holds, for dumps and counters.
+    /// Numbers of requests, records and bytes held, for dumps and metrics.
     #[must_use]
     pub fn counts(&self) -> Counts {
         Counts {
             stages: self.held.stages(),
-            records: self.book.len(),
+            records: self.records.len(),
             witnessed: self.registry.len(),
-            kept: self.kept.bytes(),
-            witness: self.issue.witness(),
+            kept: self.answers.bytes(),
+            witness: self.issuer.witness(),
             leaving: self.leaving,
         }
     }
 
-    /// The prefix for keys issued now; `None` while the process can't serve.
+    /// Prefix for keys issued now; `None` before the first view and after the
+    /// process was told to leave.
     #[must_use]
     pub fn key_prefix(&self, now: clock::Time) -> Option<key::Prefix> {
         let ready = self.view.version.0 != 0 && !self.leaving;
-        ready.then(|| self.issue.prefix(self.limits.epoch_at(now)))
+        ready.then(|| self.issuer.prefix(self.limits.epoch_at(now)))
     }
 
     fn arrive(&mut self, now: clock::Time, arrival: arrival::Arrival, out: &mut Vec<Action>) {
-        if self.passes(&arrival) {
+        if self.bypasses(&arrival) {
             return out.push(Action::Run(arrival));
         }
         let id = arrival.id;
@@ -186,21 +192,22 @@
             );
         };
         if self.view.version.0 == 0 {
-            return refuse(id, self.elsewhere(outcome::Reason::NotReady), out);
+            return refuse(id, self.unknown_refusal(outcome::Reason::NotReady), out);
         }
         match key {
-            key::Key::Issued(key) if key.prefix.owner.incarnation == self.me => {
-                self.own(now, arrival, &key, out);
+            key::Key::Issued(key) if key.prefix.owner.incarnation == self.incarnation => {
+                self.arrive_owned(now, arrival, &key, out);
             }
-            key::Key::Issued(key) => self.foreign(now, arrival, key, out),
-            key::Key::Chosen(key) => self.chosen(now, arrival, key, out),
+            key::Key::Issued(key) => self.arrive_foreign(now, arrival, key, out),
+            key::Key::Chosen(key) => self.arrive_chosen(now, arrival, key, out),
         }
     }
 
-    /// Whether the gate has no say in the request: a repeat is harmless, or the
-    /// sending peer holds the right to run it, or there is neither a service
-    /// nor a key. A key whose service is unknown here may have run elsewhere.
-    fn passes(&self, arrival: &arrival::Arrival) -> bool {
+    /// Returns whether the request bypasses the gate: its service is idempotent,
+    /// or the sending peer holds the right to run it, or it has neither a known
+    /// service nor a key. With a key and an unknown service it does not: the key
+    /// may have run in another process.
+    fn bypasses(&self, arrival: &arrival::Arrival) -> bool {
         match self.view.service(&arrival.service) {
             _ if arrival.origin == arrival::Origin::Peer => true,
             Some(service) => self.view.services[service].is_idempotent,
@@ -208,30 +215,34 @@
         }
     }
 
-    fn until(&self, now: clock::Time, arrival: &arrival::Arrival) -> clock::Time {
+    fn deadline_of(&self, now: clock::Time, arrival: &arrival::Arrival) -> clock::Time {
         let service = self.view.service(&arrival.service);
-        let usual = service.map(|s| self.view.services[s].deadline);
-        now + arrival.deadline.or(usual).unwrap_or(DEADLINE)
+        let service_default = service.map(|s| self.view.services[s].deadline);
+        now + arrival
+            .deadline
+            .or(service_default)
+            .unwrap_or(DEFAULT_DEADLINE)
     }
 
-    /// What a process says that can't reach the records of a key. The key may
-    /// have run elsewhere and its answer been lost, so a refusal for a reason
-    /// of this process alone must not say "not run": its caller would send the
-    /// request anew under another key.
-    fn elsewhere(&self, reason: outcome::Reason) -> outcome::Refusal {
-        if self.safe.unknown_away {
-            outcome::Refusal::unknown(reason, Some(COME_BACK))
+    /// Refusal by a process without access to the records of a key. The key may
+    /// have run in another process and its answer been lost, so a refusal for a
+    /// local reason must not say "not run": the caller would send the request
+    /// again under another key.
+    fn unknown_refusal(&self, reason: outcome::Reason) -> outcome::Refusal {
+        if self.safeguards.unknown_away {
+            outcome::Refusal::unknown(reason, Some(DEFAULT_RETRY_AFTER))
         } else {
-            outcome::Refusal::not_run(reason, Some(COME_BACK))
+            outcome::Refusal::not_run(reason, Some(DEFAULT_RETRY_AFTER))
         }
     }
 
-    /// Why no further request of this caller can be held, if none can.
-    fn crowded(&self, caller: &str) -> Option<outcome::Reason> {
+    /// Reason for which no further request of this caller can be held, if any.
+    fn held_limit_reached(&self, caller: &str) -> Option<outcome::Reason> {
         if self.held.len() >= self.limits.held_max {
             return Some(outcome::Reason::Overloaded);
         }
-        (self.held.of(caller) >= self.limits.caller_max).then_some(outcome::Reason::CallerLimit)
+        (self.held.count_of(caller) >= self.limits.caller_max)
+            .then_some(outcome::Reason::CallerLimit)
     }
 
     fn peer(&self, incarnation: view::Incarnation) -> Option<Peer> {
@@ -271,15 +282,15 @@
             Some(record::Reply::Epoch(epoch)) => Some(epoch),
             _ => None,
         };
-        if self.issue.told(now, &self.limits, ask, epoch) {
+        if self.issuer.probe_ended(now, &self.limits, ask, epoch) {
             return;
         }
-        let Some(id) = self.held.asking(ask) else {
+        let Some(id) = self.held.waiting_for(ask) else {
             return;
         };
         match self.held.get(id).map(|h| &h.stage) {
-            Some(held::Stage::Claiming { .. }) => self.claimed(now, id, reply, out),
-            _ => self.sealed(id, reply, out),
+            Some(held::Stage::Claiming { .. }) => self.claim_ended(now, id, reply, out),
+            _ => self.seal_ended(id, reply, out),
         }
     }
 
@@ -287,17 +298,17 @@
         let Some(held) = self.held.get(id) else {
             return;
         };
-        let name = held.name.clone();
+        let record_id = held.record_id.clone();
         match held.stage {
-            // The run goes on: its answer is there for the caller's resend.
+            // The run goes on, so that its answer is available to a resend.
             held::Stage::Claiming { .. } | held::Stage::Storing { .. } | held::Stage::Running => {
-                if let Some(record) = self.book.get_mut(&name) {
-                    record.left = true;
+                if let Some(record) = self.records.get_mut(&record_id) {
+                    record.is_detached = true;
                 }
             }
             held::Stage::Waiting => {
                 self.held.remove(id);
-                if let Some(record) = self.book.get_mut(&name) {
+                if let Some(record) = self.records.get_mut(&record_id) {
                     record.waiters.retain(|&w| w != id);
                 }
             }
@@ -308,7 +319,7 @@
     }
 
     fn set_view(&mut self, view: Arc<view::View>) {
-        self.issue.view(&view);
+        self.issuer.set_view(&view);
         let members = view.members.iter();
         self.peers = members.map(|(at, data)| (data.incarnation, at)).collect();
         self.peers.sort_unstable();
@@ -316,66 +327,68 @@
     }
 
     fn tick(&mut self, now: clock::Time, out: &mut Vec<Action>) {
-        self.forget(now);
+        self.sweep(now);
         for id in self.held.overdue(now) {
             self.overdue(now, id, out);
         }
-        let due = self
-            .issue
-            .due(now, &self.limits, &self.view, &self.home.domain);
-        if let Some(peer) = due {
+        let probe = self
+            .issuer
+            .next_probe(now, &self.limits, &self.view, &self.identity.domain);
+        if let Some(peer) = probe {
             let incarnation = peer.incarnation;
             let ask = self.ask(peer, record::Question::Epoch, self.limits.ask_timeout, out);
-            self.issue.asked(now, &self.limits, ask, incarnation);
+            self.issuer.probe_sent(now, &self.limits, ask, incarnation);
         }
     }
 
     fn overdue(&mut self, now: clock::Time, id: arrival::RequestId, out: &mut Vec<Action>) {
         match self.held.get(id).map(|h| &h.stage) {
-            Some(held::Stage::Claiming { .. }) => self.give_up(now, id, out),
-            Some(held::Stage::Storing { .. }) => self.unsettled(id, out),
+            Some(held::Stage::Claiming { .. }) => self.abandon_claim(now, id, out),
+            Some(held::Stage::Storing { .. }) => self.claim_undecided(id, out),
             Some(held::Stage::Waiting) => {
                 self.disconnected(id);
                 refuse(
                     id,
-                    outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(COME_BACK)),
+                    outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(DEFAULT_RETRY_AFTER)),
                     out,
                 );
             }
             Some(held::Stage::Forwarding { .. }) => {
                 self.held.remove(id);
-                refuse(id, self.elsewhere(outcome::Reason::Deadline), out);
+                refuse(id, self.unknown_refusal(outcome::Reason::Deadline), out);
             }
-            Some(held::Stage::Sealing { .. }) => self.sealed(id, None, out),
+            Some(held::Stage::Sealing { .. }) => self.seal_ended(id, None, out),
             Some(held::Stage::Running) | None => {}
         }
     }
 
-    /// Drops what is too old to be asked for; once an epoch.
-    fn forget(&mut self, now: clock::Time) {
+    /// Once per epoch, removes the records that are too old to be asked for.
+    fn sweep(&mut self, now: clock::Time) {
         let epoch = self.limits.epoch_at(now);
-        if epoch == self.swept {
+        if epoch == self.swept_epoch {
             return;
         }
-        self.swept = epoch;
+        self.swept_epoch = epoch;
         self.registry.forget(epoch);
-        let keep = if self.safe.keep_window {
+        let keep_epochs = if self.safeguards.keep_window {
             self.limits.keep_epochs
         } else {
             0
         };
-        let oldest = epoch.saturating_sub(keep);
-        let done = |r: &owner::Record| matches!(r.progress, owner::Progress::Done(_));
-        self.book.forget_before(oldest, |r| done(r));
-        self.book
-            .forget_at(chosen::EPOCH, |r| done(r) && r.born < oldest);
-        let book = &self.book;
-        self.kept.retain(|name| book.get(name).is_some());
+        let oldest = epoch.saturating_sub(keep_epochs);
+        let is_done = |r: &owner::Record| matches!(r.progress, owner::Progress::Done(_));
+        self.records.forget_before(oldest, |r| is_done(r));
+        self.records.forget_at(chosen::UNDATED_EPOCH, |r| {
+            is_done(r) && r.created_epoch < oldest
+        });
+        let records = &self.records;
+        self.answers
+            .retain(|record_id| records.get(record_id).is_some());
     }
 
     fn publish(&mut self, now: clock::Time, out: &mut Vec<Action>) {
         let prefix = self.key_prefix(now);
-        if self.issue.publish(prefix) {
+        if self.issuer.publish(prefix) {
             out.push(Action::Issue(prefix));
         }
     }
--- a/crates/steer/src/process/gate/chosen.rs
+++ b/crates/steer/src/process/gate/chosen.rs
@@ -1,26 +1,28 @@
-//! Keys that callers chose without a look-up: claimed in the platform's store.
+//! Keys chosen by callers without a look-up, which are claimed in the platform's
+//! store.
 //!
-//! Invariant: the request runs only in the process whose attempt the store
-//! holds, and only once that process has seen it there. A lost answer is
-//! settled by reading the key back.
+//! Invariant: the request runs only in the process whose claim the store holds,
+//! and only after that process has seen it there. If the store's answer to a
+//! write is lost, the key is read back.
 
 use std::sync::Arc;
 
-use super::{book, held, message, owner};
+use super::{held, message, owner, record_table};
 use crate::clock;
 use crate::process::gate;
 use crate::request::{arrival, outcome, record};
 
-/// Chosen keys show no age; their records stand behind all others.
-pub const EPOCH: u64 = u64::MAX;
+/// Epoch in the record ids of chosen keys, which carry no age. It sorts their
+/// records behind all others.
+pub const UNDATED_EPOCH: u64 = u64::MAX;
 
-/// Calls to the store for one request. Three settle one lost answer: write,
-/// read, write again.
-const CALLS: u32 = 4;
+/// Maximum number of store calls per request. Three recover from one lost answer:
+/// write, read, write again.
+const STORE_CALLS_MAX: u32 = 4;
 
 impl gate::Gate {
-    /// A request whose key its caller chose.
-    pub(super) fn chosen(
+    /// Handles a request whose key was chosen by its caller.
+    pub(super) fn arrive_chosen(
         &mut self,
         now: clock::Time,
         arrival: arrival::Arrival,
@@ -28,38 +30,42 @@
         out: &mut Vec<message::Action>,
     ) {
         let id = arrival.id;
-        let name = book::Name { epoch: EPOCH, key };
-        if self.book.get(&name).is_some() {
-            return self.resend(now, &arrival, name, out);
+        let record_id = record_table::RecordId {
+            epoch: UNDATED_EPOCH,
+            key,
+        };
+        if self.records.get(&record_id).is_some() {
+            return self.resend(now, &arrival, record_id, out);
         }
         if arrival.origin == arrival::Origin::Forward {
-            // Whoever holds the key in the store won't run it any more.
+            // The store holds a claim of this process, or of its predecessor at
+            // this address. Without a record here the key will not run any more.
             let refusal = outcome::Refusal {
                 retry_after: None,
-                ..self.elsewhere(outcome::Reason::Forgotten)
+                ..self.unknown_refusal(outcome::Reason::Forgotten)
             };
             return gate::refuse(id, refusal, out);
         }
         if self.leaving {
-            return gate::refuse(id, self.elsewhere(outcome::Reason::Leaving), out);
+            return gate::refuse(id, self.unknown_refusal(outcome::Reason::Leaving), out);
         }
-        if let Some(reason) = self.no_room(&arrival.caller) {
-            return gate::refuse(id, self.elsewhere(reason), out);
+        if let Some(reason) = self.limit_reached(&arrival.caller) {
+            return gate::refuse(id, self.unknown_refusal(reason), out);
         }
         self.attempts += 1;
         let attempt = record::Claim {
-            incarnation: self.me,
+            incarnation: self.incarnation,
             number: self.attempts,
             fingerprint: arrival.fingerprint,
         };
-        let born = self.limits.epoch_at(now);
-        let record = Box::new(owner::Record::new(born, &arrival));
-        self.book.insert(name.clone(), record);
-        self.held.insert(held::Held {
+        let created_epoch = self.limits.epoch_at(now);
+        let record = Box::new(owner::Record::new(created_epoch, &arrival));
+        self.records.insert(record_id.clone(), record);
+        self.held.insert(held::HeldRequest {
             id,
             caller: Arc::clone(&arrival.caller),
-            name,
-            until: self.until(now, &arrival),
+            record_id,
+            deadline: self.deadline_of(now, &arrival),
             stage: held::Stage::Storing {
                 attempt,
                 call: record::StoreCall::Create(attempt),
@@ -70,7 +76,7 @@
         self.call(id, record::StoreCall::Create(attempt), out);
     }
 
-    /// A call to the store ended.
+    /// Handles the end of a call to the store.
     pub(super) fn stored(
         &mut self,
         now: clock::Time,
@@ -84,26 +90,27 @@
         };
         let (attempt, call) = (*attempt, *call);
         match (call, result) {
-            (_, record::StoreResult::Created) => self.won(now, id, out),
+            (_, record::StoreResult::Created) => self.claim_created(now, id, out),
             (_, record::StoreResult::Found(Some(other))) if other == attempt => {
-                self.won(now, id, out);
+                self.claim_created(now, id, out);
             }
-            (_, record::StoreResult::Found(Some(other))) => self.taken(now, id, other, out),
+            (_, record::StoreResult::Found(Some(other))) => self.claim_lost(now, id, other, out),
             (record::StoreCall::Read, record::StoreResult::Absent) => {
                 self.call(id, record::StoreCall::Create(attempt), out);
             }
-            // Whether the write took effect is read back; nothing is decided
-            // from silence.
+            // Reads back whether the write took effect: a missing answer decides
+            // nothing.
             (_, record::StoreResult::Unknown | record::StoreResult::Absent) => {
                 self.call(id, record::StoreCall::Read, out);
             }
             (_, record::StoreResult::Unreachable | record::StoreResult::Found(None)) => {
-                self.unsettled(id, out);
+                self.claim_undecided(id, out);
             }
         }
     }
 
-    /// Makes the next call, unless the request has made its share of them.
+    /// Makes the next store call, unless the request has made
+    /// [`STORE_CALLS_MAX`] of them.
     fn call(
         &mut self,
         id: arrival::RequestId,
@@ -113,8 +120,8 @@
         let Some(held::Stage::Storing { call, tries, .. }) = self.held.stage_mut(id) else {
             return;
         };
-        if *tries >= CALLS {
-            return self.unsettled(id, out);
+        if *tries >= STORE_CALLS_MAX {
+            return self.claim_undecided(id, out);
         }
         *call = next;
         *tries += 1;
@@ -124,29 +131,37 @@
         self.tally.calls += 1;
         out.push(message::Action::Store {
             id,
-            key: Arc::clone(&held.name.key),
+            key: Arc::clone(&held.record_id.key),
             call: next,
             budget: self.limits.store_timeout,
         });
     }
 
-    fn won(&mut self, now: clock::Time, id: arrival::RequestId, out: &mut Vec<message::Action>) {
+    fn claim_created(
+        &mut self,
+        now: clock::Time,
+        id: arrival::RequestId,
+        out: &mut Vec<message::Action>,
+    ) {
         let Some(held) = self.held.remove(id) else {
             return;
         };
         let held::Stage::Storing { arrival, .. } = held.stage else {
             return;
         };
-        if held.until <= now {
-            let refusal =
-                outcome::Refusal::not_run(outcome::Reason::Deadline, Some(gate::COME_BACK));
-            return self.finish(&held.name, message::Verdict::Refused(refusal), out);
+        if held.deadline <= now {
+            let refusal = outcome::Refusal::not_run(
+                outcome::Reason::Deadline,
+                Some(gate::DEFAULT_RETRY_AFTER),
+            );
+            return self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
         }
-        self.run_until(now, arrival, held.name, held.until, out);
+        self.run_until(now, arrival, held.record_id, held.deadline, out);
     }
 
-    /// Another attempt holds the key. Its process may have the answer.
-    fn taken(
+    /// Forwards the request to the process whose claim the store holds, since
+    /// that process may have the answer.
+    fn claim_lost(
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
@@ -159,8 +174,8 @@
         let held::Stage::Storing { arrival, .. } = held.stage else {
             return;
         };
-        let left = self.drop_waiters(&held.name, out);
-        if left {
+        let is_detached = self.drop_waiters(&held.record_id, out);
+        if is_detached {
             return;
         }
         if other.fingerprint != arrival.fingerprint {
@@ -173,32 +188,43 @@
         self.forward(now, arrival, other.incarnation, None, out);
     }
 
-    /// The store did not say who holds the key. The key stays open: a later
-    /// copy asks the store again.
-    pub(super) fn unsettled(&mut self, id: arrival::RequestId, out: &mut Vec<message::Action>) {
+    /// Refuses the request if the store did not report who holds the key. The key
+    /// stays open: a later copy queries the store again.
+    pub(super) fn claim_undecided(
+        &mut self,
+        id: arrival::RequestId,
+        out: &mut Vec<message::Action>,
+    ) {
         let Some(held) = self.held.remove(id) else {
             return;
         };
-        if !self.drop_waiters(&held.name, out) {
-            gate::refuse(id, self.elsewhere(outcome::Reason::Store), out);
+        if !self.drop_waiters(&held.record_id, out) {
+            gate::refuse(id, self.unknown_refusal(outcome::Reason::Store), out);
         }
     }
 
-    /// Removes the record of a key that this process does not hold, and sends
-    /// the copies that waited away. Returns whether the first copy's caller
-    /// left.
-    fn drop_waiters(&mut self, name: &book::Name, out: &mut Vec<message::Action>) -> bool {
-        let Some(record) = self.book.remove(name) else {
+    /// Removes the record of a key that this process does not hold, and refuses
+    /// the copies that wait for its outcome. Returns whether the first copy's
+    /// caller left.
+    fn drop_waiters(
+        &mut self,
+        record_id: &record_table::RecordId,
+        out: &mut Vec<message::Action>,
+    ) -> bool {
+        let Some(record) = self.records.remove(record_id) else {
             return false;
         };
         for id in record.waiters {
             self.held.remove(id);
             gate::refuse(
                 id,
-                outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(gate::COME_BACK)),
+                outcome::Refusal::unknown(
+                    outcome::Reason::KeyBusy,
+                    Some(gate::DEFAULT_RETRY_AFTER),
+                ),
                 out,
             );
         }
-        record.left
+        record.is_detached
     }
 }
--- a/crates/steer/src/process/gate/counts.rs
+++ b/crates/steer/src/process/gate/counts.rs
@@ -1,50 +1,52 @@
-//! What a gate holds, as short readable text.
+//! Counters of a gate, with a one-line text form.
 
 use core::fmt;
 
 use crate::version::view;
 
-/// Requests held, by how far they have come.
+/// Number of requests held, by stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stages {
-    /// Wait for their witness's word.
+    /// Waiting for their witness to record a claim.
     pub claiming: usize,
-    /// Wait for the store.
+    /// Waiting for the store.
     pub storing: usize,
-    /// Are with the dispatcher.
+    /// Handed to the dispatcher.
     pub running: usize,
-    /// Wait for the outcome of an earlier copy.
+    /// Waiting for the outcome of an earlier copy.
     pub waiting: usize,
-    /// Were sent to their key's owner.
+    /// Forwarded to their key's owner.
     pub forwarding: usize,
-    /// Wait for the witness of an owner that can't be reached.
+    /// Waiting for the witness of an unreachable owner.
     pub sealing: usize,
 }
 
-/// What a gate has done since its process started.
+/// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Requests handed to the dispatcher, each under a key of its own.
     pub runs: u64,
     /// Copies answered from a record.
     pub replays: u64,
-    /// Copies that waited for an earlier one.
+    /// Copies that waited for the outcome of an earlier copy.
     pub waits: u64,
-    /// Claims asked of witnesses.
+    /// Claims requested from witnesses.
     pub claims: u64,
-    /// Claims given up, for the witness's silence or the caller's deadline.
+    /// Claims abandoned because the witness did not record them in time or the
+    /// caller's deadline passed.
     pub unclaimed: u64,
-    /// Requests sent to their key's owner.
+    /// Requests forwarded to their key's owner.
     pub forwards: u64,
-    /// Seals asked of witnesses.
+    /// Seals requested from witnesses.
     pub seals: u64,
-    /// Questions answered as a witness, those for the epoch included.
+    /// Questions answered as a witness, including probes of the epoch.
     pub words: u64,
     /// Calls to the platform's store.
     pub calls: u64,
-    /// Answers that had to go before their records did.
+    /// Answers evicted before their records expired.
     pub dropped: u64,
-    /// Keys left open for want of room, although their requests did not run.
+    /// Keys whose requests did not run and that stayed open because the record
+    /// table was more than half full.
     pub open: u64,
 }
 
@@ -72,7 +74,7 @@
     }
 }
 
-/// What a gate holds.
+/// Present state of a gate in numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts {
     /// Requests held.
@@ -81,9 +83,9 @@
     pub records: usize,
     /// Records of other processes' keys.
     pub witnessed: usize,
-    /// Bytes of answers kept for resends.
+    /// Bytes of answers retained for resends.
     pub kept: u64,
-    /// The process that new keys name as their witness.
+    /// Process that new keys name as their witness.
     pub witness: Option<view::Incarnation>,
     /// Whether new keys are refused.
     pub leaving: bool,
--- a/crates/steer/src/process/gate/entry.rs
+++ b/crates/steer/src/process/gate/forwarding.rs
@@ -1,31 +1,35 @@
-//! The part of an instance that a caller reached with another's key.
+//! Handling of requests whose key belongs to another process.
 //!
-//! Invariant: it never runs the request. It passes the owner's answer on, or
-//! the witness's word, or says "unknown".
+//! Invariant: this process never runs such a request. It passes on the owner's
+//! answer or the witness's reply, or answers "unknown".
 
 use std::sync::Arc;
 
-use super::{book, held, message};
+use super::{held, message, record_table};
 use crate::clock;
 use crate::process::{dispatch, gate};
 use crate::request::{arrival, key, outcome, record};
 use crate::version::view;
 
 impl gate::Gate {
-    /// A request whose key names another process as its owner.
-    pub(super) fn foreign(
+    /// Handles a request whose key names another process as its owner.
+    pub(super) fn arrive_foreign(
         &mut self,
         now: clock::Time,
         arrival: arrival::Arrival,
         key: key::Issued,
         out: &mut Vec<message::Action>,
     ) {
-        // The owner was replaced and this process listens at its address. It
-        // knows nothing of the key, so it must neither run it nor say anything
-        // of it; the sender goes on to the witness.
+        // The owner was replaced and this process listens on its address. It has
+        // no record of the key, so it must neither run it nor report an outcome;
+        // the sender queries the witness next.
         if arrival.origin == arrival::Origin::Forward {
-            if self.safe.own_only {
-                return gate::refuse(arrival.id, self.elsewhere(outcome::Reason::OwnerGone), out);
+            if self.safeguards.own_only {
+                return gate::refuse(
+                    arrival.id,
+                    self.unknown_refusal(outcome::Reason::OwnerGone),
+                    out,
+                );
             }
             return out.push(message::Action::Run(arrival));
         }
@@ -33,7 +37,8 @@
         self.forward(now, arrival, owner, Some(key), out);
     }
 
-    /// Sends the request to `owner`. `key` is given if it may name a witness.
+    /// Forwards the request to `owner`. `key` is `None` for a chosen key, which
+    /// names no witness.
     pub(super) fn forward(
         &mut self,
         now: clock::Time,
@@ -43,34 +48,34 @@
         out: &mut Vec<message::Action>,
     ) {
         let id = arrival.id;
-        if let Some(reason) = self.crowded(&arrival.caller) {
-            return gate::refuse(id, self.elsewhere(reason), out);
+        if let Some(reason) = self.held_limit_reached(&arrival.caller) {
+            return gate::refuse(id, self.unknown_refusal(reason), out);
         }
-        let until = self.until(now, &arrival);
+        let deadline = self.deadline_of(now, &arrival);
         let Some(peer) = self.peer(owner) else {
-            let lost = Lost {
+            let orphan = Orphan {
                 id,
                 caller: arrival.caller,
-                until,
+                deadline,
             };
-            return self.owner_gone(now, lost, key.as_ref(), out);
+            return self.owner_gone(now, orphan, key.as_ref(), out);
         };
         self.tally.forwards += 1;
         out.push(message::Action::Forward {
             id,
             peer,
-            budget: until.since(now),
+            budget: deadline.since(now),
         });
-        self.held.insert(held::Held {
+        self.held.insert(held::HeldRequest {
             id,
             caller: Arc::clone(&arrival.caller),
-            name: nameless(),
-            until,
+            record_id: no_record_id(),
+            deadline,
             stage: held::Stage::Forwarding { key, arrival },
         });
     }
 
-    /// The hop to the owner ended.
+    /// Handles the end of the hop to the owner.
     pub(super) fn forwarded(
         &mut self,
         now: clock::Time,
@@ -78,7 +83,7 @@
         ending: dispatch::AttemptOutcome,
         out: &mut Vec<message::Action>,
     ) {
-        let forwarding = |h: &held::Held| matches!(h.stage, held::Stage::Forwarding { .. });
+        let forwarding = |h: &held::HeldRequest| matches!(h.stage, held::Stage::Forwarding { .. });
         if !self.held.get(id).is_some_and(forwarding) {
             return;
         }
@@ -98,96 +103,99 @@
                 gate::refuse(id, refusal, out);
             }
             dispatch::AttemptOutcome::BadAnswer => {
-                gate::refuse(id, self.elsewhere(outcome::Reason::BadAnswer), out);
+                gate::refuse(id, self.unknown_refusal(outcome::Reason::BadAnswer), out);
             }
             dispatch::AttemptOutcome::TimedOut => {
-                gate::refuse(id, self.elsewhere(outcome::Reason::Deadline), out);
+                gate::refuse(id, self.unknown_refusal(outcome::Reason::Deadline), out);
             }
-            _ if !self.safe.hop_final => out.push(message::Action::Run(arrival)),
+            _ if !self.safeguards.hop_final => out.push(message::Action::Run(arrival)),
             dispatch::AttemptOutcome::PeerRefused(_)
             | dispatch::AttemptOutcome::Refused { .. }
             | dispatch::AttemptOutcome::Unreachable
             | dispatch::AttemptOutcome::Broken => {
-                let lost = Lost {
+                let orphan = Orphan {
                     id,
                     caller: held.caller,
-                    until: held.until,
+                    deadline: held.deadline,
                 };
-                self.owner_gone(now, lost, key.as_ref(), out);
+                self.owner_gone(now, orphan, key.as_ref(), out);
             }
         }
     }
 
-    /// The owner can't be reached: its witness may know what became of the key.
+    /// Asks the key's witness to seal the key, after the owner could not be
+    /// reached.
     fn owner_gone(
         &mut self,
         now: clock::Time,
-        lost: Lost,
+        orphan: Orphan,
         key: Option<&key::Issued>,
         out: &mut Vec<message::Action>,
     ) {
-        let id = lost.id;
+        let id = orphan.id;
         let witness = key.and_then(|k| Some((k, k.prefix.witness?.incarnation)));
         let Some((key, witness)) = witness else {
-            return gate::refuse(id, self.elsewhere(outcome::Reason::OwnerGone), out);
+            return gate::refuse(id, self.unknown_refusal(outcome::Reason::OwnerGone), out);
         };
         let question = record::Question::Seal(key.text.clone());
-        if witness == self.me {
-            let word = self.registry.answer(self.limits.epoch_at(now), &question);
-            return gate::refuse(id, self.verdict(Some(word)), out);
+        if witness == self.incarnation {
+            let reply = self.registry.answer(self.limits.epoch_at(now), &question);
+            return gate::refuse(id, self.seal_refusal(Some(reply)), out);
         }
         let Some(peer) = self.peer(witness) else {
-            return gate::refuse(id, self.elsewhere(outcome::Reason::OwnerGone), out);
+            return gate::refuse(id, self.unknown_refusal(outcome::Reason::OwnerGone), out);
         };
         self.tally.seals += 1;
         let ask = self.ask(peer, question, self.limits.ask_timeout, out);
-        self.held.insert(held::Held {
+        self.held.insert(held::HeldRequest {
             id,
-            caller: lost.caller,
-            name: nameless(),
-            until: lost.until,
+            caller: orphan.caller,
+            record_id: no_record_id(),
+            deadline: orphan.deadline,
             stage: held::Stage::Sealing {
                 ask,
-                wait: now + self.limits.ask_timeout,
+                wait_until: now + self.limits.ask_timeout,
             },
         });
     }
 
-    /// The witness's word on a seal; `None` if none came.
-    pub(super) fn sealed(
+    /// Handles the witness's reply to a seal; `None` if none came in time.
+    pub(super) fn seal_ended(
         &mut self,
         id: arrival::RequestId,
-        word: Option<record::Reply>,
+        reply: Option<record::Reply>,
         out: &mut Vec<message::Action>,
     ) {
         if self.held.remove(id).is_some() {
-            gate::refuse(id, self.verdict(word), out);
+            gate::refuse(id, self.seal_refusal(reply), out);
         }
     }
 
-    fn verdict(&self, word: Option<record::Reply>) -> outcome::Refusal {
-        match word {
-            Some(record::Reply::Sealed) => {
-                outcome::Refusal::not_run(outcome::Reason::OwnerGone, Some(gate::COME_BACK))
-            }
+    fn seal_refusal(&self, reply: Option<record::Reply>) -> outcome::Refusal {
+        match reply {
+            Some(record::Reply::Sealed) => outcome::Refusal::not_run(
+                outcome::Reason::OwnerGone,
+                Some(gate::DEFAULT_RETRY_AFTER),
+            ),
             Some(record::Reply::Expired) => {
                 outcome::Refusal::unknown(outcome::Reason::KeyExpired, None)
             }
-            _ => self.elsewhere(outcome::Reason::OwnerGone),
+            _ => self.unknown_refusal(outcome::Reason::OwnerGone),
         }
     }
 }
 
-/// A request whose owner can't be reached.
-struct Lost {
+/// A request whose owner cannot be reached.
+struct Orphan {
     id: arrival::RequestId,
     caller: Arc<str>,
-    until: clock::Time,
+    deadline: clock::Time,
 }
 
-/// Requests that this process only passes on have no record.
-fn nameless() -> book::Name {
-    book::Name {
+/// Placeholder id for requests that this process only forwards: they have no
+/// record.
+fn no_record_id() -> record_table::RecordId {
+    record_table::RecordId {
         epoch: 0,
         key: "".into(),
     }
--- a/crates/steer/src/process/gate/held.rs
+++ b/crates/steer/src/process/gate/held.rs
@@ -1,44 +1,44 @@
 //! Requests that the gate has not answered yet.
 //!
-//! Invariant: sorted by request; each request stands here once, and leaves with
-//! exactly one answer.
+//! Invariant: sorted by request id; each request is listed once and is answered
+//! at most once.
 
 use std::sync::Arc;
 
-use super::{book, counts};
+use super::{counts, record_table};
 use crate::clock;
 use crate::request::{admission, arrival, key, record};
 use crate::version::view;
 
-/// How far a held request has come.
+/// Stage of a held request.
 pub enum Stage {
     /// Its witness has been asked for a claim.
     Claiming {
         /// The question.
         ask: record::QuestionId,
-        /// Who was asked.
+        /// Process that was asked.
         witness: view::Incarnation,
-        /// When to give up waiting.
-        wait: clock::Time,
-        /// What to run on the witness's word.
+        /// Time at which to stop waiting for the reply.
+        wait_until: clock::Time,
+        /// Request to run once the witness has recorded the claim.
         arrival: arrival::Arrival,
     },
     /// The store has been asked for a claim.
     Storing {
-        /// What is to hold the key.
+        /// Claim to be stored for the key.
         attempt: record::Claim,
-        /// The call under way.
+        /// Call in progress.
         call: record::StoreCall,
         /// Calls made.
         tries: u32,
-        /// What to run once the key is claimed.
+        /// Request to run once the key is claimed.
         arrival: arrival::Arrival,
     },
-    /// The dispatcher has it; the gate keeps no time for it.
+    /// The dispatcher has the request and enforces its deadline.
     Running,
     /// Waits for the outcome of an earlier copy.
     Waiting,
-    /// The key's owner has been sent it.
+    /// The request was forwarded to the key's owner.
     Forwarding {
         /// The key, if it may name a witness.
         key: Option<key::Issued>,
@@ -49,93 +49,99 @@
     Sealing {
         /// The question.
         ask: record::QuestionId,
-        /// When to give up waiting.
-        wait: clock::Time,
+        /// Time at which to stop waiting for the reply.
+        wait_until: clock::Time,
     },
 }
 
-/// A request in the gate.
-pub struct Held {
+/// A request held by the gate.
+pub struct HeldRequest {
     /// The request.
     pub id: arrival::RequestId,
-    /// Who asks.
+    /// Caller that sent it.
     pub caller: Arc<str>,
-    /// Its key's record.
-    pub name: book::Name,
-    /// When its caller stops waiting.
-    pub until: clock::Time,
-    /// How far it has come.
+    /// Record of its key.
+    pub record_id: record_table::RecordId,
+    /// Time at which its caller stops waiting.
+    pub deadline: clock::Time,
+    /// Present stage.
     pub stage: Stage,
 }
 
 /// All held requests.
 #[derive(Default)]
 pub struct HeldSet {
-    items: Vec<Held>,
+    requests: Vec<HeldRequest>,
     callers: admission::CallerCounts,
 }
 
 impl HeldSet {
     /// Number of requests held.
     pub const fn len(&self) -> usize {
-        self.items.len()
+        self.requests.len()
     }
 
     /// Number of this caller's requests held.
-    pub fn of(&self, caller: &str) -> usize {
+    pub fn count_of(&self, caller: &str) -> usize {
         self.callers.get(caller)
     }
 
     /// Adds a request.
-    pub fn insert(&mut self, held: Held) {
+    pub fn insert(&mut self, held: HeldRequest) {
         self.callers.add(&held.caller);
-        let at = self.items.partition_point(|h| h.id < held.id);
-        self.items.insert(at, held);
+        let at = self.requests.partition_point(|h| h.id < held.id);
+        self.requests.insert(at, held);
     }
 
-    /// The request, if it is held.
-    pub fn get(&self, id: arrival::RequestId) -> Option<&Held> {
+    /// Returns the request, if it is held.
+    pub fn get(&self, id: arrival::RequestId) -> Option<&HeldRequest> {
         let at = self.search(id)?;
-        Some(&self.items[at])
+        Some(&self.requests[at])
     }
 
-    /// The stage of a request, to be changed.
+    /// Returns the stage of a request for modification.
     pub fn stage_mut(&mut self, id: arrival::RequestId) -> Option<&mut Stage> {
         let at = self.search(id)?;
-        Some(&mut self.items[at].stage)
+        Some(&mut self.requests[at].stage)
     }
 
-    /// Takes a request out.
-    pub fn remove(&mut self, id: arrival::RequestId) -> Option<Held> {
+    /// Removes a request and returns it.
+    pub fn remove(&mut self, id: arrival::RequestId) -> Option<HeldRequest> {
         let at = self.search(id)?;
-        let held = self.items.remove(at);
+        let held = self.requests.remove(at);
         self.callers.remove(&held.caller);
         Some(held)
     }
 
-    /// The request that waits for the answer to `ask`.
-    pub fn asking(&self, ask: record::QuestionId) -> Option<arrival::RequestId> {
-        let waits = |h: &&Held| match h.stage {
+    /// Finds the request that waits for the reply to `ask`.
+    pub fn waiting_for(&self, ask: record::QuestionId) -> Option<arrival::RequestId> {
+        let is_waiting = |h: &&HeldRequest| match h.stage {
             Stage::Claiming { ask: a, .. } | Stage::Sealing { ask: a, .. } => a == ask,
             _ => false,
         };
-        self.items.iter().find(waits).map(|h| h.id)
+        self.requests.iter().find(is_waiting).map(|h| h.id)
     }
 
-    /// Requests whose present stage has lasted too long.
+    /// Lists the requests whose stage has passed its time limit.
     pub fn overdue(&self, now: clock::Time) -> Vec<arrival::RequestId> {
-        let late = |h: &&Held| match h.stage {
+        let is_overdue = |h: &&HeldRequest| match h.stage {
             Stage::Running => false,
-            Stage::Claiming { wait, .. } | Stage::Sealing { wait, .. } => wait.min(h.until) <= now,
-            _ => h.until <= now,
+            Stage::Claiming { wait_until, .. } | Stage::Sealing { wait_until, .. } => {
+                wait_until.min(h.deadline) <= now
+            }
+            _ => h.deadline <= now,
         };
-        self.items.iter().filter(late).map(|h| h.id).collect()
+        self.requests
+            .iter()
+            .filter(is_overdue)
+            .map(|h| h.id)
+            .collect()
     }
 
     /// Number of requests at each stage.
     pub fn stages(&self) -> counts::Stages {
         let mut stages = counts::Stages::default();
-        for held in &self.items {
+        for held in &self.requests {
             let count = match held.stage {
                 Stage::Claiming { .. } => &mut stages.claiming,
                 Stage::Storing { .. } => &mut stages.storing,
@@ -150,6 +156,6 @@
     }
 
     fn search(&self, id: arrival::RequestId) -> Option<usize> {
-        self.items.binary_search_by_key(&id, |h| h.id).ok()
+        self.requests.binary_search_by_key(&id, |h| h.id).ok()
     }
 }
--- a/crates/steer/src/process/gate/issue.rs
+++ b/crates/steer/src/process/gate/issuer.rs
@@ -1,9 +1,10 @@
-//! What look-up answers put in front of a caller's nonce.
+//! Chooses the key prefix that look-up answers hand out to callers.
 //!
-//! Invariant: a witness is only named after it told its epoch, and it stands in
-//! another failure domain. With no such peer keys are issued without a witness:
-//! they run all the same, and only lose the certain answer after this process's
-//! death. A cut-off failure domain goes on serving that way.
+//! Invariant: a key names a witness only after that process reported its epoch,
+//! and the witness is in another failure domain. Without such a peer keys are
+//! issued without a witness: they run all the same, but after this process's
+//! death their outcome is unknown. A partitioned failure domain keeps serving
+//! that way.
 
 use super::{limits, message};
 use crate::clock;
@@ -21,35 +22,35 @@
     until: clock::Time,
 }
 
-/// Chooses the witness and remembers which prefix is published.
-pub struct Issue {
-    me: view::Incarnation,
+/// Chooses the witness and tracks the published prefix.
+pub struct KeyIssuer {
+    incarnation: view::Incarnation,
     witness: Option<Witness>,
     probe: Option<Probe>,
-    due: clock::Time,
+    next_probe_at: clock::Time,
     suspects: Vec<(view::Incarnation, clock::Time)>,
     published: Option<key::Prefix>,
 }
 
-impl Issue {
-    /// Nothing chosen, nothing published.
-    pub const fn new(me: view::Incarnation) -> Self {
+impl KeyIssuer {
+    /// Creates an issuer with no witness chosen and no prefix published.
+    pub const fn new(incarnation: view::Incarnation) -> Self {
         Self {
-            me,
+            incarnation,
             witness: None,
             probe: None,
-            due: clock::Time::ZERO,
+            next_probe_at: clock::Time::ZERO,
             suspects: Vec::new(),
             published: None,
         }
     }
 
-    /// The witness that new keys name.
+    /// Witness that new keys name.
     pub fn witness(&self) -> Option<view::Incarnation> {
         self.witness.as_ref().map(|w| w.incarnation)
     }
 
-    /// The prefix for keys issued at this process's epoch `epoch`.
+    /// Prefix for keys issued in this process's epoch `epoch`.
     pub fn prefix(&self, epoch: u64) -> key::Prefix {
         let stamp = |w: &Witness| key::Stamp {
             incarnation: w.incarnation,
@@ -57,49 +58,51 @@
         };
         key::Prefix {
             owner: key::Stamp {
-                incarnation: self.me,
+                incarnation: self.incarnation,
                 epoch,
             },
             witness: self.witness.as_ref().map(stamp),
         }
     }
 
-    /// Remembers what is published; `true` if that is a change.
+    /// Records the published prefix and returns whether it changed.
     pub fn publish(&mut self, prefix: Option<key::Prefix>) -> bool {
         let changed = self.published != prefix;
         self.published = prefix;
         changed
     }
 
-    /// Drops a witness that the view no longer holds as live.
-    pub fn view(&mut self, view: &view::View) {
+    /// Drops the witness if the view no longer lists it as live.
+    pub fn set_view(&mut self, view: &view::View) {
         let Some(witness) = &self.witness else {
             return;
         };
-        let stays = |m: &view::MemberData| {
+        let is_live = |m: &view::MemberData| {
             m.incarnation == witness.incarnation && m.state == view::State::Live
         };
-        if !view.members.values().any(stays) {
+        if !view.members.values().any(is_live) {
             self.drop_witness();
         }
     }
 
-    /// Stops naming a process that did not answer, for a while.
+    /// Excludes a process that did not answer from being the witness for
+    /// [`Limits::suspect_time`](limits::Limits::suspect_time).
     pub fn suspect(
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
         incarnation: view::Incarnation,
     ) {
-        self.suspects.retain(|&(who, _)| who != incarnation);
+        self.suspects.retain(|&(suspect, _)| suspect != incarnation);
         self.suspects.push((incarnation, now + limits.suspect_time));
         if self.witness.as_ref().map(|w| w.incarnation) == Some(incarnation) {
             self.drop_witness();
         }
     }
 
-    /// Takes a peer's epoch, or its silence. `false` if `ask` is no probe.
-    pub fn told(
+    /// Handles the end of a probe: the peer's epoch, or `None` if it did not
+    /// answer. Returns `false` if `ask` is not the open probe.
+    pub fn probe_ended(
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
@@ -112,37 +115,37 @@
         let incarnation = probe.incarnation;
         match epoch {
             Some(epoch) => self.witness = Some(Witness { incarnation, epoch }),
-            None => self.silent(now, limits, incarnation),
+            None => self.probe_failed(now, limits, incarnation),
         }
         true
     }
 
-    /// The peer to ask for its epoch now, if one is due. The caller follows up
-    /// with [`Issue::asked`].
-    pub fn due(
+    /// Returns the peer to probe for its epoch now, if a probe is due. After
+    /// sending it the caller calls [`KeyIssuer::probe_sent`].
+    pub fn next_probe(
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
         view: &view::View,
-        home: &str,
+        own_domain: &str,
     ) -> Option<message::Peer> {
         self.suspects.retain(|&(_, until)| now < until);
-        if let Some(late) = self.probe.take_if(|p| p.until <= now) {
-            self.silent(now, limits, late.incarnation);
+        if let Some(expired) = self.probe.take_if(|p| p.until <= now) {
+            self.probe_failed(now, limits, expired.incarnation);
         }
-        if self.probe.is_some() || now < self.due {
+        if self.probe.is_some() || now < self.next_probe_at {
             return None;
         }
-        self.due = now + limits.probe_interval;
-        let best = self.best(view, home);
-        if best.is_none() {
+        self.next_probe_at = now + limits.probe_interval;
+        let candidate = self.best_witness(view, own_domain);
+        if candidate.is_none() {
             self.witness = None;
         }
-        best.map(message::Peer::from)
+        candidate.map(message::Peer::from)
     }
 
-    /// A probe is on its way.
-    pub fn asked(
+    /// Records that a probe was sent.
+    pub fn probe_sent(
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
@@ -156,38 +159,48 @@
         });
     }
 
-    fn silent(
+    fn probe_failed(
         &mut self,
         now: clock::Time,
         limits: &limits::Limits,
         incarnation: view::Incarnation,
     ) {
         self.suspect(now, limits, incarnation);
-        self.due = now;
+        self.next_probe_at = now;
     }
 
     fn drop_witness(&mut self) {
         self.witness = None;
-        self.due = clock::Time::ZERO;
+        self.next_probe_at = clock::Time::ZERO;
     }
 
-    /// The nearest candidate in another failure domain. Among equals the order
-    /// is random for each pair of processes but fixed, so that witnesses are
-    /// spread and change only when they have to.
-    fn best<'a>(&self, view: &'a view::View, home: &str) -> Option<&'a view::MemberData> {
-        let home = view.domain(home)?;
+    /// Returns the best live candidate in another failure domain, preferring the
+    /// own region. Ties are broken by a hash of both incarnations, so that
+    /// witnesses are spread evenly and change only when they have to.
+    fn best_witness<'a>(
+        &self,
+        view: &'a view::View,
+        own_domain: &str,
+    ) -> Option<&'a view::MemberData> {
+        let own_domain = view.domain(own_domain)?;
         let region = |m: &view::MemberData| view.domains[m.domain].region;
-        let fit = |m: &&view::MemberData| {
-            m.domain != home
+        let is_eligible = |m: &&view::MemberData| {
+            m.domain != own_domain
                 && m.state == view::State::Live
-                && m.incarnation != self.me
-                && !self.suspects.iter().any(|&(who, _)| who == m.incarnation)
+                && m.incarnation != self.incarnation
+                && !self
+                    .suspects
+                    .iter()
+                    .any(|&(suspect, _)| suspect == m.incarnation)
         };
         let rank = |m: &&view::MemberData| {
-            let far = region(m) != view.domains[home].region;
-            (far, mix(self.me.0 ^ m.incarnation.0.rotate_left(32)))
+            let is_remote = region(m) != view.domains[own_domain].region;
+            (
+                is_remote,
+                mix(self.incarnation.0 ^ m.incarnation.0.rotate_left(32)),
+            )
         };
-        view.members.values().filter(fit).min_by_key(rank)
+        view.members.values().filter(is_eligible).min_by_key(rank)
     }
 }
 
--- a/crates/steer/src/process/gate/limits.rs
+++ b/crates/steer/src/process/gate/limits.rs
@@ -1,10 +1,10 @@
-//! The gate's bounds in number, age and time.
+//! Limits of the gate in number, age and time.
 
 use core::time::Duration;
 
 use crate::clock;
 
-/// Bounds of one process's gate.
+/// Limits of one process's gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Length of an epoch by the process's own clock.
@@ -17,19 +17,19 @@
     pub records_max: usize,
     /// Requests held at a time.
     pub held_max: usize,
-    /// Requests held at a time for one caller, so that none takes all the room.
+    /// Requests held at a time for one caller, so that none can use up the total.
     pub caller_max: usize,
-    /// Resends that wait for one first run.
+    /// Resends that may wait for the outcome of one first copy.
     pub waiters_max: usize,
-    /// Memory in bytes for answers that a resend may ask for.
+    /// Memory in bytes for answers retained for resends.
     pub answer_bytes: u64,
-    /// Time given to a peer for its word.
+    /// Time within which a peer has to answer a question.
     pub ask_timeout: Duration,
-    /// Time between two questions to the witness for its epoch.
+    /// Time between two probes of the witness for its epoch.
     pub probe_interval: Duration,
-    /// Time for which a silent witness is not chosen again.
+    /// Time for which a witness that did not answer is not chosen again.
     pub suspect_time: Duration,
-    /// Time given to the platform's store for one call.
+    /// Time within which the platform's store has to answer one call.
     pub store_timeout: Duration,
 }
 
@@ -53,8 +53,8 @@
 }
 
 impl Limits {
-    /// The same with records that outlive what is accepted. If they didn't, a
-    /// key whose record is forgotten would pass for a new one and run again.
+    /// Raises `keep_epochs` above `accept_epochs` if it is not. Otherwise a key
+    /// whose record was removed would pass for a new one and run again.
     #[must_use]
     pub fn with_valid_ages(self) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The epoch that a process counts at `now`.
+    /// Epoch at `now` by the process's own clock.
     #[must_use]
     pub fn epoch_at(&self, now: clock::Time) -> u64 {
         let span = u64::try_from(self.epoch_length.as_micros()).unwrap_or(u64::MAX);
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -1,4 +1,4 @@
-//! What happens to the gate, and what it wants done.
+//! Events that the gate handles, and actions that it requests.
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use crate::request::{answer, arrival, key, outcome, record};
 use crate::version::view;
 
-/// Another process of this system, as a destination.
+/// Another process of the system, as a destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Name of its entry instance.
     pub name: Arc<str>,
-    /// Which process.
+    /// Incarnation of the process.
     pub incarnation: view::Incarnation,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub addr: SocketAddr,
 }
 
@@ -29,32 +29,32 @@
     }
 }
 
-/// What became of a request that was run, or was to be.
+/// Final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The target's whole answer.
+    /// The target's complete answer.
     Answered(Arc<answer::Answer>),
-    /// A refusal and what is certain.
+    /// A refusal and whether the request may have run.
     Refused(outcome::Refusal),
 }
 
-/// What happens to the gate.
+/// Event handled by the gate.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request arrived.
     Arrive(arrival::Arrival),
-    /// The dispatcher is done with a request that the gate had it run.
+    /// The dispatcher finished a request that the gate handed to it.
     Completed {
         /// The request.
         id: arrival::RequestId,
-        /// What became of it.
+        /// Its result.
         verdict: Verdict,
     },
-    /// A request sent to its key's owner came to an end.
+    /// The hop of a request that was forwarded to its key's owner ended.
     Forwarded {
         /// The request.
         id: arrival::RequestId,
-        /// How.
+        /// Outcome of the hop.
         outcome: dispatch::AttemptOutcome,
     },
     /// A peer answered a question; `None` if no answer came.
@@ -66,29 +66,29 @@
     },
     /// A peer asks this process.
     PeerAsked {
-        /// The driver's name for the question.
+        /// Id that the driver gave the question.
         ask: record::QuestionId,
-        /// What it asks.
+        /// The question.
         question: record::Question,
     },
     /// A call to the store ended.
     Stored {
         /// The request.
         id: arrival::RequestId,
-        /// How.
+        /// Result of the call.
         result: record::StoreResult,
     },
     /// The caller left without waiting for its answer.
     Disconnected(arrival::RequestId),
     /// A new view is in force.
     View(Arc<view::View>),
-    /// Time passed.
+    /// Periodic tick that drives time limits.
     Tick,
-    /// The process is to stop: no new key may run any more.
+    /// The process is about to stop: no new key may run from now on.
     Leave,
 }
 
-/// What the gate wants done.
+/// Action requested by the gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Hand the request to the dispatcher.
@@ -97,44 +97,44 @@
     Reply {
         /// The request.
         id: arrival::RequestId,
-        /// The whole answer.
+        /// The complete answer.
         answer: Arc<answer::Answer>,
     },
     /// Give the caller a final refusal.
     Refuse {
         /// The request.
         id: arrival::RequestId,
-        /// What to say.
+        /// The refusal to send.
         refusal: outcome::Refusal,
     },
-    /// Send the whole request to its key's owner.
+    /// Forward the complete request to its key's owner.
     Forward {
         /// The request.
         id: arrival::RequestId,
         /// The owner.
         peer: Peer,
-        /// Time after which to give up.
+        /// Time limit for the answer.
         budget: Duration,
     },
     /// Ask a peer.
     Ask {
-        /// Name of the question, for the answer.
+        /// Id of the question, to be returned with the reply.
         ask: record::QuestionId,
         /// The peer.
         peer: Peer,
         /// The question.
         question: record::Question,
-        /// Time after which to give up.
+        /// Time limit for the answer.
         budget: Duration,
     },
     /// Answer a peer's question.
     Respond {
-        /// The driver's name for the question.
+        /// Id that the driver gave the question.
         ask: record::QuestionId,
         /// The answer.
         reply: record::Reply,
     },
-    /// Call the platform's store about a key that its caller chose.
+    /// Call the platform's store about a chosen key.
     Store {
         /// The request.
         id: arrival::RequestId,
@@ -142,9 +142,9 @@
         key: Arc<str>,
         /// The call.
         call: record::StoreCall,
-        /// Time after which to give up.
+        /// Time limit for the answer.
         budget: Duration,
     },
-    /// Look-up answers carry this key prefix from now on; `None`: none.
+    /// Use this key prefix in look-up answers from now on; `None`: no prefix.
     Issue(Option<key::Prefix>),
 }
--- a/crates/steer/src/process/gate/owner.rs
+++ b/crates/steer/src/process/gate/owner.rs
@@ -1,46 +1,46 @@
-//! The owner's part: runs its own keys, each at most once.
+//! Handling of keys that this process owns: runs each at most once.
 //!
-//! Invariant: a record is made before anything else happens to a key, and its
-//! progress only ever goes forward: claiming, running, done.
+//! Invariant: a record is inserted before any other action on a key, and its
+//! progress only goes forward: claiming, running, done.
 
 use std::sync::Arc;
 
-use super::{book, chosen, held, message};
+use super::{chosen, held, message, record_table};
 use crate::clock;
 use crate::process::gate;
 use crate::request::{arrival, key, outcome, record};
 
-/// How far a key has come.
+/// Progress of a key.
 pub enum Progress {
     /// Its request has not been sent, or is being sent.
     Open,
-    /// What every further copy is told.
+    /// The outcome that every further copy is answered with.
     Done(message::Verdict),
 }
 
-/// What a process knows of a key that it may run.
+/// Record of a key that this process may run.
 pub struct Record {
-    /// The request that the key stands for.
+    /// Fingerprint of the request that the key was first sent with.
     pub fingerprint: arrival::Fingerprint,
-    /// Epoch in which the record was made.
-    pub born: u64,
-    /// The first copy, which is the one that runs.
+    /// Epoch in which the record was inserted.
+    pub created_epoch: u64,
+    /// First copy, which is the one that runs.
     pub first: arrival::RequestId,
-    /// Whether the first copy's caller left, or has its answer already.
-    pub left: bool,
+    /// Set if the first copy's caller left or was already answered.
+    pub is_detached: bool,
     /// Later copies that wait for the outcome.
     pub waiters: Vec<arrival::RequestId>,
-    /// How far it has come.
+    /// Progress of the key.
     pub progress: Progress,
 }
 
 impl Record {
-    pub(super) fn new(born: u64, arrival: &arrival::Arrival) -> Self {
+    pub(super) fn new(created_epoch: u64, arrival: &arrival::Arrival) -> Self {
         Self {
             fingerprint: arrival.fingerprint,
-            born,
+            created_epoch,
             first: arrival.id,
-            left: false,
+            is_detached: false,
             waiters: Vec::new(),
             progress: Progress::Open,
         }
@@ -48,8 +48,8 @@
 }
 
 impl gate::Gate {
-    /// A request whose key only this process may run.
-    pub(super) fn own(
+    /// Handles a request whose key only this process may run.
+    pub(super) fn arrive_owned(
         &mut self,
         now: clock::Time,
         mut arrival: arrival::Arrival,
@@ -57,36 +57,43 @@
         out: &mut Vec<message::Action>,
     ) {
         let id = arrival.id;
-        let name = book::Name {
+        let record_id = record_table::RecordId {
             epoch: key.prefix.owner.epoch,
             key: key.text.clone(),
         };
-        if self.book.get(&name).is_some() {
-            return self.resend(now, &arrival, name, out);
+        if self.records.get(&record_id).is_some() {
+            return self.resend(now, &arrival, record_id, out);
         }
-        if let Some(refusal) = self.turned_away(now, name.epoch, &arrival.caller) {
+        if let Some(refusal) = self.admission_refusal(now, record_id.epoch, &arrival.caller) {
             return gate::refuse(id, refusal, out);
         }
-        // A forwarded request has met no cap yet: it counts as a caller's here.
+        // No cap was applied to a forwarded request yet, so it counts as a
+        // caller's own here.
         arrival.origin = arrival::Origin::Caller;
-        let born = self.limits.epoch_at(now);
-        let record = Box::new(Record::new(born, &arrival));
-        self.book.insert(name.clone(), record);
+        let created_epoch = self.limits.epoch_at(now);
+        let record = Box::new(Record::new(created_epoch, &arrival));
+        self.records.insert(record_id.clone(), record);
         match key.prefix.witness {
-            None => self.run(now, arrival, name, out),
-            Some(witness) => self.claim(now, arrival, name, witness, out),
+            None => self.run(now, arrival, record_id, out),
+            Some(witness) => self.claim(now, arrival, record_id, witness, out),
         }
     }
 
-    /// Why a key without a record can't be run, if it can't.
+    /// Refusal of a key without a record, if it can't be run.
     ///
     /// Records outlive the age up to which keys are accepted. Between the two
-    /// ages no record means that the key never ran, and it never will: epochs
-    /// only grow. The same holds once this process is leaving.
-    fn turned_away(&self, now: clock::Time, issued: u64, caller: &str) -> Option<outcome::Refusal> {
+    /// ages a missing record means that the key never ran, and it never will,
+    /// since epochs only grow. The same holds once this process is leaving.
+    fn admission_refusal(
+        &self,
+        now: clock::Time,
+        issued: u64,
+        caller: &str,
+    ) -> Option<outcome::Refusal> {
         let Some(age) = self.limits.epoch_at(now).checked_sub(issued) else {
-            // Not issued yet, so not by this process. It must not be called
-            // "not run", as it would be accepted once its epoch has come.
+            // An epoch in the future was not issued by this process. The answer
+            // must not be "not run": the key would be accepted once that epoch
+            // has come.
             return Some(outcome::Refusal::unknown(
                 outcome::Reason::KeyMalformed,
                 None,
@@ -101,34 +108,37 @@
         if self.leaving {
             return Some(outcome::Refusal::not_run(
                 outcome::Reason::Leaving,
-                Some(gate::COME_BACK),
+                Some(gate::DEFAULT_RETRY_AFTER),
             ));
         }
-        // Without room for a record nothing can be promised about the key.
-        let reason = self.no_room(caller)?;
-        Some(outcome::Refusal::unknown(reason, Some(gate::COME_BACK)))
+        // Without room for a record no outcome can be guaranteed.
+        let reason = self.limit_reached(caller)?;
+        Some(outcome::Refusal::unknown(
+            reason,
+            Some(gate::DEFAULT_RETRY_AFTER),
+        ))
     }
 
-    /// Why a key can't be given a record, if it can't.
-    pub(super) fn no_room(&self, caller: &str) -> Option<outcome::Reason> {
-        if self.book.is_full() {
+    /// Reason for which no record can be inserted for this caller, if any.
+    pub(super) fn limit_reached(&self, caller: &str) -> Option<outcome::Reason> {
+        if self.records.is_full() {
             return Some(outcome::Reason::Overloaded);
         }
-        self.crowded(caller)
+        self.held_limit_reached(caller)
     }
 
-    /// A further copy of a request that has a record.
+    /// Handles a further copy of a request that has a record.
     pub(super) fn resend(
         &mut self,
         now: clock::Time,
         arrival: &arrival::Arrival,
-        name: book::Name,
+        record_id: record_table::RecordId,
         out: &mut Vec<message::Action>,
     ) {
         let id = arrival.id;
-        let until = self.until(now, arrival);
-        let crowd = self.crowded(&arrival.caller).is_some();
-        let Some(record) = self.book.get_mut(&name) else {
+        let deadline = self.deadline_of(now, arrival);
+        let is_full = self.held_limit_reached(&arrival.caller).is_some();
+        let Some(record) = self.records.get_mut(&record_id) else {
             return;
         };
         if record.fingerprint != arrival.fingerprint {
@@ -140,20 +150,22 @@
         }
         if let Progress::Done(verdict) = &record.progress {
             self.tally.replays += 1;
-            return gate::answer(id, &again(verdict), out);
+            return gate::answer(id, &replay_verdict(verdict), out);
         }
-        if crowd || record.waiters.len() >= self.limits.waiters_max {
-            let refusal =
-                outcome::Refusal::unknown(outcome::Reason::KeyBusy, Some(gate::COME_BACK));
+        if is_full || record.waiters.len() >= self.limits.waiters_max {
+            let refusal = outcome::Refusal::unknown(
+                outcome::Reason::KeyBusy,
+                Some(gate::DEFAULT_RETRY_AFTER),
+            );
             return gate::refuse(id, refusal, out);
         }
         self.tally.waits += 1;
         record.waiters.push(id);
-        self.held.insert(held::Held {
+        self.held.insert(held::HeldRequest {
             id,
             caller: Arc::clone(&arrival.caller),
-            name,
-            until,
+            record_id,
+            deadline,
             stage: held::Stage::Waiting,
         });
     }
@@ -162,58 +174,58 @@
         &mut self,
         now: clock::Time,
         arrival: arrival::Arrival,
-        name: book::Name,
+        record_id: record_table::RecordId,
         witness: key::Stamp,
         out: &mut Vec<message::Action>,
     ) {
         let Some(peer) = self.peer(witness.incarnation) else {
-            return self.finish(&name, message::Verdict::Refused(no_witness()), out);
+            return self.finish_key(&record_id, message::Verdict::Refused(no_witness()), out);
         };
-        let question = record::Question::Claim(name.key.clone());
+        let question = record::Question::Claim(record_id.key.clone());
         self.tally.claims += 1;
         let ask = self.ask(peer, question, self.limits.ask_timeout, out);
-        if !self.safe.wait_word {
-            return self.run(now, arrival, name, out);
+        if !self.safeguards.wait_word {
+            return self.run(now, arrival, record_id, out);
         }
-        self.held.insert(held::Held {
+        self.held.insert(held::HeldRequest {
             id: arrival.id,
             caller: Arc::clone(&arrival.caller),
-            name,
-            until: self.until(now, &arrival),
+            record_id,
+            deadline: self.deadline_of(now, &arrival),
             stage: held::Stage::Claiming {
                 ask,
                 witness: witness.incarnation,
-                wait: now + self.limits.ask_timeout,
+                wait_until: now + self.limits.ask_timeout,
                 arrival,
             },
         });
     }
 
-    /// The witness's word on a claim; `None` if none came.
-    pub(super) fn claimed(
+    /// Handles the witness's reply to a claim; `None` if none came in time.
+    pub(super) fn claim_ended(
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
-        word: Option<record::Reply>,
+        reply: Option<record::Reply>,
         out: &mut Vec<message::Action>,
     ) {
-        let reason = match word {
-            Some(record::Reply::Claimed) => return self.granted(now, id, out),
+        let reason = match reply {
+            Some(record::Reply::Claimed) => return self.claim_granted(now, id, out),
             Some(record::Reply::Sealed) => outcome::Reason::KeySealed,
             Some(record::Reply::Expired) => outcome::Reason::KeyExpired,
             // A full witness stays full for minutes. New keys have to name
-            // another one, or none, or they would all be refused as well.
+            // another witness or none, or they would all be refused as well.
             Some(record::Reply::Full | record::Reply::Foreign | record::Reply::Epoch(_)) | None => {
-                return self.give_up(now, id, out);
+                return self.abandon_claim(now, id, out);
             }
         };
         if let Some(held) = self.held.remove(id) {
-            let refusal = outcome::Refusal::not_run(reason, Some(gate::COME_BACK));
-            self.finish(&held.name, message::Verdict::Refused(refusal), out);
+            let refusal = outcome::Refusal::not_run(reason, Some(gate::DEFAULT_RETRY_AFTER));
+            self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
         }
     }
 
-    fn granted(
+    fn claim_granted(
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
@@ -225,24 +237,26 @@
         let held::Stage::Claiming { arrival, .. } = held.stage else {
             return;
         };
-        if held.until <= now && self.safe.stay_given_up {
-            let refusal =
-                outcome::Refusal::not_run(outcome::Reason::Deadline, Some(gate::COME_BACK));
-            return self.finish(&held.name, message::Verdict::Refused(refusal), out);
+        if held.deadline <= now && self.safeguards.stay_given_up {
+            let refusal = outcome::Refusal::not_run(
+                outcome::Reason::Deadline,
+                Some(gate::DEFAULT_RETRY_AFTER),
+            );
+            return self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
         }
-        self.run_until(now, arrival, held.name, held.until, out);
+        self.run_until(now, arrival, held.record_id, held.deadline, out);
     }
 
-    /// Stops waiting for the witness. The record turns to "not run" before the
-    /// caller hears of it, so a word that comes later finds nothing to start.
-    pub(super) fn give_up(
+    /// Stops waiting for the witness. The record is set to "not run" before the
+    /// caller is answered, so a late reply finds nothing to start.
+    pub(super) fn abandon_claim(
         &mut self,
         now: clock::Time,
         id: arrival::RequestId,
         out: &mut Vec<message::Action>,
     ) {
-        if !self.safe.stay_given_up {
-            return self.give_up_halfway(id, out);
+        if !self.safeguards.stay_given_up {
+            return self.answer_unclaimed(id, out);
         }
         let Some(held) = self.held.remove(id) else {
             return;
@@ -251,27 +265,27 @@
             return;
         };
         self.tally.unclaimed += 1;
-        // A caller in a hurry says nothing about the witness.
-        let refusal = if held.until <= now {
-            outcome::Refusal::not_run(outcome::Reason::Deadline, Some(gate::COME_BACK))
+        // A passed deadline of the caller is no evidence against the witness.
+        let refusal = if held.deadline <= now {
+            outcome::Refusal::not_run(outcome::Reason::Deadline, Some(gate::DEFAULT_RETRY_AFTER))
         } else {
-            self.issue.suspect(now, &self.limits, witness);
+            self.issuer.suspect(now, &self.limits, witness);
             no_witness()
         };
-        self.finish(&held.name, message::Verdict::Refused(refusal), out);
+        self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
     }
 
-    /// [`Safeguards::stay_given_up`](super::Safeguards) off: the caller is
-    /// answered, the claim stays open.
-    fn give_up_halfway(&mut self, id: arrival::RequestId, out: &mut Vec<message::Action>) {
+    /// Answers the caller but leaves the claim open. Only with the safeguard
+    /// [`Safeguards::stay_given_up`](super::Safeguards) off.
+    fn answer_unclaimed(&mut self, id: arrival::RequestId, out: &mut Vec<message::Action>) {
         let Some(held) = self.held.get(id) else {
             return;
         };
-        let name = held.name.clone();
-        if let Some(record) = self.book.get_mut(&name)
-            && !record.left
+        let record_id = held.record_id.clone();
+        if let Some(record) = self.records.get_mut(&record_id)
+            && !record.is_detached
         {
-            record.left = true;
+            record.is_detached = true;
             gate::refuse(id, no_witness(), out);
         }
     }
@@ -280,34 +294,34 @@
         &mut self,
         now: clock::Time,
         arrival: arrival::Arrival,
-        name: book::Name,
+        record_id: record_table::RecordId,
         out: &mut Vec<message::Action>,
     ) {
-        let until = self.until(now, &arrival);
-        self.run_until(now, arrival, name, until, out);
+        let deadline = self.deadline_of(now, &arrival);
+        self.run_until(now, arrival, record_id, deadline, out);
     }
 
     pub(super) fn run_until(
         &mut self,
         now: clock::Time,
         mut arrival: arrival::Arrival,
-        name: book::Name,
-        until: clock::Time,
+        record_id: record_table::RecordId,
+        deadline: clock::Time,
         out: &mut Vec<message::Action>,
     ) {
         self.tally.runs += 1;
-        arrival.deadline = Some(until.since(now));
-        self.held.insert(held::Held {
+        arrival.deadline = Some(deadline.since(now));
+        self.held.insert(held::HeldRequest {
             id: arrival.id,
             caller: Arc::clone(&arrival.caller),
-            name,
-            until,
+            record_id,
+            deadline,
             stage: held::Stage::Running,
         });
         out.push(message::Action::Run(arrival));
     }
 
-    /// The dispatcher is done with a request.
+    /// Handles the outcome of a request that the dispatcher has run.
     pub(super) fn completed(
         &mut self,
         id: arrival::RequestId,
@@ -317,61 +331,63 @@
         let Some(held) = self.held.remove(id) else {
             return;
         };
-        self.finish(&held.name, verdict, out);
+        self.finish_key(&held.record_id, verdict, out);
     }
 
-    /// Ends a key: records the verdict, then tells all who wait for it.
-    pub(super) fn finish(
+    /// Ends a key: records the verdict, then answers all copies that wait for it.
+    pub(super) fn finish_key(
         &mut self,
-        name: &book::Name,
+        record_id: &record_table::RecordId,
         verdict: message::Verdict,
         out: &mut Vec<message::Action>,
     ) {
-        let open = self.stays_open(name, &verdict);
-        let verdict = if open && self.safe.not_run_final {
-            doubtful(verdict)
+        let is_open = self.stays_open(record_id, &verdict);
+        let verdict = if is_open && self.safeguards.not_run_final {
+            with_unknown_outcome(verdict)
         } else {
             verdict
         };
-        let Some(record) = self.book.get_mut(name) else {
+        let Some(record) = self.records.get_mut(record_id) else {
             return;
         };
-        let first = (!record.left).then_some(record.first);
+        let first = (!record.is_detached).then_some(record.first);
         let waiters = core::mem::take(&mut record.waiters);
         record.progress = Progress::Done(verdict.clone());
         for id in first.into_iter().chain(waiters) {
             self.held.remove(id);
             gate::answer(id, &verdict, out);
         }
-        self.tally.open += u64::from(open);
-        if open {
-            self.book.remove(name);
+        self.tally.open += u64::from(is_open);
+        if is_open {
+            self.records.remove(record_id);
         } else if let message::Verdict::Answered(answer) = verdict {
-            self.keep(name, answer.bytes());
+            self.retain_answer(record_id, answer.bytes());
         }
     }
 
-    /// Whether a key that did not run stays open, so that a later copy may run.
+    /// Returns whether a key that did not run stays open, so that a later copy
+    /// may run.
     ///
-    /// Closing a key takes its record for as long as records are kept. Under
-    /// overload far more requests are refused than run; their records would
-    /// fill the table and keep every new key out for minutes after the overload
-    /// is over. So beyond half of the room such a key stays open, its record
-    /// goes, and its callers are told "unknown", which promises only that it
-    /// won't run twice. A chosen key stays claimed in the store and could not
-    /// run again, so its record stays.
-    fn stays_open(&self, name: &book::Name, verdict: &message::Verdict) -> bool {
+    /// A closed key occupies a record until records of its age are removed. Under
+    /// overload far more requests are refused than run; their records would fill
+    /// the table and block every new key for minutes after the overload has
+    /// ended. So once the table is more than half full such a key stays open, its
+    /// record is removed, and its callers are answered "unknown", which
+    /// guarantees only that it does not run twice. A chosen key stays claimed in
+    /// the store and could not run again, so its record is kept.
+    fn stays_open(&self, record_id: &record_table::RecordId, verdict: &message::Verdict) -> bool {
         let message::Verdict::Refused(refusal) = verdict else {
             return false;
         };
-        let crowded = self.book.is_crowded() && name.epoch != chosen::EPOCH;
-        refusal.outcome == outcome::Outcome::NotRun && (crowded || !self.safe.not_run_final)
+        let is_crowded = self.records.is_crowded() && record_id.epoch != chosen::UNDATED_EPOCH;
+        refusal.outcome == outcome::Outcome::NotRun
+            && (is_crowded || !self.safeguards.not_run_final)
     }
 
-    fn keep(&mut self, name: &book::Name, bytes: u64) {
-        for dropped in self.kept.keep(name.clone(), bytes) {
+    fn retain_answer(&mut self, record_id: &record_table::RecordId, bytes: u64) {
+        for evicted in self.answers.insert(record_id.clone(), bytes) {
             self.tally.dropped += 1;
-            if let Some(record) = self.book.get_mut(&dropped) {
+            if let Some(record) = self.records.get_mut(&evicted) {
                 let refusal = outcome::Refusal::unknown(outcome::Reason::Forgotten, None);
                 record.progress = Progress::Done(message::Verdict::Refused(refusal));
             }
@@ -379,9 +395,10 @@
     }
 }
 
-/// What a resend is told after the fact. A key that did not run is sealed; its
-/// first refusal's reason has passed and would only invite another resend.
-fn again(verdict: &message::Verdict) -> message::Verdict {
+/// Verdict for a resend of a finished key. A key that did not run is reported as
+/// sealed: the reason of its first refusal is outdated and would only invite
+/// another resend.
+fn replay_verdict(verdict: &message::Verdict) -> message::Verdict {
     match verdict {
         message::Verdict::Refused(refusal) if refusal.outcome == outcome::Outcome::NotRun => {
             message::Verdict::Refused(outcome::Refusal::not_run(outcome::Reason::KeySealed, None))
@@ -390,8 +407,8 @@
     }
 }
 
-/// The same refusal without its promise.
-fn doubtful(verdict: message::Verdict) -> message::Verdict {
+/// Changes the outcome of a refusal to "unknown"; its reason stays.
+fn with_unknown_outcome(verdict: message::Verdict) -> message::Verdict {
     match verdict {
         message::Verdict::Refused(refusal) => message::Verdict::Refused(outcome::Refusal {
             outcome: outcome::Outcome::Unknown,
@@ -402,5 +419,5 @@
 }
 
 const fn no_witness() -> outcome::Refusal {
-    outcome::Refusal::not_run(outcome::Reason::Witness, Some(gate::COME_BACK))
+    outcome::Refusal::not_run(outcome::Reason::Witness, Some(gate::DEFAULT_RETRY_AFTER))
 }
--- a/crates/steer/src/process/gate/safeguards.rs
+++ b/crates/steer/src/process/gate/safeguards.rs
@@ -1,47 +1,47 @@
-//! Switches that take single safeguards out, to show that each is needed.
+//! Switches that turn off single safeguards, to show that each is needed.
 //!
-//! Invariant: the product only ever uses [`Safeguards::ALL`]. The explorer turns
-//! one off at a time and must then find a key that ran twice, or ran although
-//! somebody was told "not run".
+//! Invariant: production only uses [`Safeguards::ALL`]. The explorer turns one off
+//! at a time and must then find a key that ran twice, or ran although a caller was
+//! answered "not run".
 
 /// Which safeguards of the gate are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each switch is independent of the others; that is what they are for"
+    reason = "each switch is independent of the others"
 )]
 pub struct Safeguards {
-    /// The owner sends only once the witness has recorded the key. Off: a
+    /// The owner runs a key only after the witness has recorded its claim. Off: a
     /// resend after the owner's death seals a key that is running.
     pub wait_word: bool,
-    /// An owner that gave up waiting for its witness never sends. Off: the
-    /// witness's late word starts a request that was answered "not run".
+    /// An owner that stopped waiting for its witness never runs the key. Off: a
+    /// late reply of the witness starts a request that was answered "not run".
     pub stay_given_up: bool,
-    /// The witness doesn't vouch for keys older than its records. Off: it says
-    /// "not run" of a key whose claim it has forgotten.
+    /// The witness seals no keys older than its records. Off: it reports a key
+    /// as not run although its claim was granted and the record removed.
     pub seal_window: bool,
-    /// The witness refuses claims of old keys. Off: it forgets that it sealed a
-    /// key, and a delayed owner claims the key after all.
+    /// The witness refuses claims of old keys. Off: a key that was sealed, and
+    /// whose record was removed, is claimed by a delayed owner after all.
     pub claim_window: bool,
-    /// The owner's records outlive the age up to which it accepts keys. Off: it
-    /// forgets that a key ran, takes a resend for a first copy and runs it.
+    /// The owner's records outlive the age up to which it accepts keys. Off: the
+    /// record of a key that ran is removed, and a resend runs as a first copy.
     pub keep_window: bool,
-    /// "Not run" ends a key. Off: a copy of the request that was under way when
-    /// the caller was told "not run" runs later.
+    /// "Not run" ends a key. Off: a copy of the request that was in transit when
+    /// the caller was answered "not run" runs later.
     pub not_run_final: bool,
-    /// A process runs only keys of its own incarnation. Off: the replacement of
-    /// a dead owner, reached at the same address, runs its keys again.
+    /// A process runs only keys of its own incarnation. Off: the replacement of a
+    /// dead owner, reached at the same address, runs that owner's keys again.
     pub own_only: bool,
-    /// Who can't reach the record of a key says "unknown". Off: it says "not
-    /// run" of a key that ran elsewhere.
+    /// A process that can't reach the record of a key answers "unknown". Off: it
+    /// answers "not run" for a key that ran in another process.
     pub unknown_away: bool,
-    /// A hop to the owner that broke is never taken again elsewhere. Off: the
-    /// near side runs what the owner may have run.
+    /// A request whose hop to the owner broke is not run anywhere else. Off: the
+    /// process that forwarded it runs it, although the owner may have done so.
     pub hop_final: bool,
 }
 
 impl Safeguards {
-    /// All of them, as in the product.
+    /// All safeguards on, as in production.
     pub const ALL: Self = Self {
         wait_word: true,
         stay_given_up: true,
--- a/crates/steer/src/process/gate/witness.rs
+++ b/crates/steer/src/process/gate/witness.rs
@@ -1,133 +1,133 @@
-//! The witness's part: records claims and seals for other processes' keys.
+//! Records claims and seals as a witness for keys of other processes.
 //!
-//! Invariant: a key is claimed or sealed, never first one and then the other,
-//! also after its record is forgotten. That holds because a key that is older
-//! than the records is neither claimed nor sealed any more.
+//! Invariant: a key is either claimed or sealed, and never changes from one to
+//! the other, not even after its record was removed: a key older than the records
+//! can be neither claimed nor sealed.
 
 use std::sync::Arc;
 
-use super::{book, limits, safeguards};
+use super::{limits, record_table, safeguards};
 use crate::request::{key, record};
 use crate::version::view;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Mark {
+enum KeyState {
     Claimed,
     Sealed,
 }
 
-impl From<Mark> for record::Reply {
-    fn from(mark: Mark) -> Self {
-        match mark {
-            Mark::Claimed => Self::Claimed,
-            Mark::Sealed => Self::Sealed,
+impl From<KeyState> for record::Reply {
+    fn from(state: KeyState) -> Self {
+        match state {
+            KeyState::Claimed => Self::Claimed,
+            KeyState::Sealed => Self::Sealed,
         }
     }
 }
 
-/// What this process has vouched for.
+/// Claims and seals that this process has granted.
 pub struct Registry {
-    me: view::Incarnation,
-    accept: u64,
-    keep: u64,
-    safe: safeguards::Safeguards,
-    marks: book::Book<Mark>,
+    incarnation: view::Incarnation,
+    accept_epochs: u64,
+    keep_epochs: u64,
+    safeguards: safeguards::Safeguards,
+    states: record_table::RecordTable<KeyState>,
 }
 
 impl Registry {
-    /// A registry without records.
+    /// Creates a registry without records.
     pub const fn new(
-        me: view::Incarnation,
+        incarnation: view::Incarnation,
         limits: &limits::Limits,
-        safe: safeguards::Safeguards,
+        safeguards: safeguards::Safeguards,
     ) -> Self {
         Self {
-            me,
-            accept: limits.accept_epochs,
-            keep: limits.keep_epochs,
-            safe,
-            marks: book::Book::new(limits.records_max),
+            incarnation,
+            accept_epochs: limits.accept_epochs,
+            keep_epochs: limits.keep_epochs,
+            safeguards,
+            states: record_table::RecordTable::new(limits.records_max),
         }
     }
 
     /// Number of records.
     pub const fn len(&self) -> usize {
-        self.marks.len()
+        self.states.len()
     }
 
-    /// Answers a question at this process's epoch `epoch`.
+    /// Answers a question in this process's epoch `epoch`.
     pub fn answer(&mut self, epoch: u64, question: &record::Question) -> record::Reply {
         match question {
             record::Question::Epoch => record::Reply::Epoch(epoch),
-            record::Question::Claim(text) => self.about(epoch, text, Self::claim),
-            record::Question::Seal(text) => self.about(epoch, text, Self::seal),
+            record::Question::Claim(text) => self.answer_for_key(epoch, text, Self::claim),
+            record::Question::Seal(text) => self.answer_for_key(epoch, text, Self::seal),
         }
     }
 
-    /// Drops records too old to be asked about.
+    /// Removes the records that are too old to be asked about.
     pub fn forget(&mut self, epoch: u64) {
-        let oldest = epoch.saturating_sub(self.keep);
-        self.marks.forget_before(oldest, |_| true);
+        let oldest = epoch.saturating_sub(self.keep_epochs);
+        self.states.forget_before(oldest, |_| true);
     }
 
-    /// Looks the key up; a key without a record goes to `decide` with its age.
-    fn about(
+    /// Answers from the key's record. Without one `decide` answers, given the
+    /// key's age in epochs.
+    fn answer_for_key(
         &mut self,
         epoch: u64,
         text: &Arc<str>,
-        decide: fn(&mut Self, u64, book::Name) -> record::Reply,
+        decide: fn(&mut Self, u64, record_table::RecordId) -> record::Reply,
     ) -> record::Reply {
         let Ok(key::Key::Issued(key::Issued { prefix, .. })) = key::Key::try_from(text) else {
             return record::Reply::Foreign;
         };
-        let Some(stamp) = prefix.witness.filter(|s| s.incarnation == self.me) else {
+        let Some(stamp) = prefix.witness.filter(|s| s.incarnation == self.incarnation) else {
             return record::Reply::Foreign;
         };
-        // An epoch that has not come yet was not told by this process. To
-        // refuse it now and take it once it has come would be to say "not run"
-        // and run it later.
+        // An epoch in the future was not reported by this process. If it were
+        // sealed now and claimed once it has come, the key would be answered
+        // "not run" and run later.
         let Some(age) = epoch.checked_sub(stamp.epoch) else {
             return record::Reply::Expired;
         };
-        let name = book::Name {
+        let record_id = record_table::RecordId {
             epoch: stamp.epoch,
             key: Arc::clone(text),
         };
-        match self.marks.get(&name) {
-            Some(&mark) => mark.into(),
-            None => decide(self, age, name),
+        match self.states.get(&record_id) {
+            Some(&state) => state.into(),
+            None => decide(self, age, record_id),
         }
     }
 
-    /// Claims end before records do. If they ended together or later, a seal
-    /// could be forgotten while the owner's claim is still on its way; the
-    /// claim would be granted, and a request that its caller was told had not
-    /// run would run.
-    fn claim(&mut self, age: u64, name: book::Name) -> record::Reply {
-        if self.safe.claim_window && age > self.accept {
+    /// Claims expire before records do. Otherwise a seal could be removed while
+    /// the owner's claim is still in transit; the claim would be granted, and a
+    /// request whose caller was answered "not run" would run.
+    fn claim(&mut self, age: u64, record_id: record_table::RecordId) -> record::Reply {
+        if self.safeguards.claim_window && age > self.accept_epochs {
             return record::Reply::Expired;
         }
-        self.mark(name, Mark::Claimed)
+        self.record(record_id, KeyState::Claimed)
     }
 
-    /// Beyond the records' age a claim may have been forgotten, so there is no
-    /// word to give. Between the claims' age and the records' age no record
-    /// means that there never was nor will be a claim: nothing need be kept.
-    fn seal(&mut self, age: u64, name: book::Name) -> record::Reply {
-        if self.safe.seal_window && age > self.keep {
+    /// Beyond the age of records a claim may have been removed, so the answer is
+    /// `Expired`. Between the ages of claims and of records a missing record means
+    /// that there was no claim and will be none, so the seal need not be recorded.
+    fn seal(&mut self, age: u64, record_id: record_table::RecordId) -> record::Reply {
+        if self.safeguards.seal_window && age > self.keep_epochs {
             return record::Reply::Expired;
         }
-        if self.safe.claim_window && age > self.accept {
+        if self.safeguards.claim_window && age > self.accept_epochs {
             return record::Reply::Sealed;
         }
-        self.mark(name, Mark::Sealed)
+        self.record(record_id, KeyState::Sealed)
     }
 
-    fn mark(&mut self, name: book::Name, mark: Mark) -> record::Reply {
-        if self.marks.is_full() {
+    fn record(&mut self, record_id: record_table::RecordId, state: KeyState) -> record::Reply {
+        if self.states.is_full() {
             return record::Reply::Full;
         }
-        self.marks.insert(name, mark);
-        mark.into()
+        self.states.insert(record_id, state);
+        state.into()
     }
 }
