--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -1,12 +1,12 @@
-//! The entry instance: listeners, traffic threads, one control thread.
+//! The entry instance: three listeners, traffic threads and one control thread.
 //!
-//! Life cycle, by type: [`Bound`] has its sockets and secret, [`Running`]
-//! serves, and [`Running::stop`] consumes it, so that nothing can be asked of
-//! a daemon that has stopped.
+//! The type encodes the state: [`Bound`] holds open sockets and the secret,
+//! [`Running`] serves, and [`Running::stop`] consumes it, so that a stopped
+//! daemon can't be called.
 //!
-//! Invariant: whatever is started here has ended when [`Running::stop`]
-//! returns, and no request in flight was cut by it, unless it outlived the
-//! longest deadline.
+//! Invariant: every thread and listener started here has ended when
+//! [`Running::stop`] returns, and it interrupts a request in flight only if the
+//! request outlives the longest deadline and the grace period after it.
 
 mod accept;
 mod callers;
@@ -46,50 +46,51 @@
 use thiserror::Error;
 use trillium_http::Stopper;
 
-/// Why a daemon can't start.
+/// An error that keeps a daemon from starting.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The secret's file can't be read.
+    /// The secret file can't be read.
     #[error("can't read secret file {0}: {1}; create it, readable by its owner only")]
     SecretFile(String, io::Error),
-    /// The secret is unfit.
+    /// The secret is invalid, or others may read its file.
     #[error("secret: {0}")]
     Secret(#[from] secret::Error),
-    /// An address can't be listened on.
+    /// Binding a listener's address failed.
     #[error("can't listen on {0}: {1}; name a free address of this instance under `listen`")]
     Listen(SocketAddr, io::Error),
-    /// A thread can't be started.
+    /// The platform did not start a thread.
     #[error("can't start a thread: {0}; raise the limit on threads")]
     Thread(io::Error),
-    /// Metrics can't be set up.
+    /// The metrics can't be registered.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Longest time a stop waits for requests in flight beyond their deadlines.
+/// Time that a stop waits for requests in flight beyond the longest deadline.
 const STOP_GRACE: Duration = Duration::from_secs(5);
 
-/// Time between looks at what a stop waits for.
+/// Interval at which a stop polls for requests and connections still open.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time for which a leaving instance still serves, so that callers who hold an
-/// old look-up's answer aren't refused. Longer than an answer's lifetime.
+/// Time for which a leaving instance still accepts connections, so that callers
+/// with an unexpired look-up answer aren't rejected. It exceeds the lifetime of
+/// such an answer.
 const LEAVE_DURATION: Duration = Duration::from_millis(2500);
 
-/// Where a daemon listens.
+/// Addresses on which a daemon listens.
 #[derive(Clone, Debug, Serialize)]
 pub struct Addresses {
     /// The entry instance's name.
     pub name: Arc<str>,
-    /// Callers' listener.
+    /// Listener for callers' requests and look-ups.
     pub callers: SocketAddr,
-    /// Peers' listener.
+    /// Listener for other entry instances.
     pub peers: SocketAddr,
-    /// Operators' listener.
+    /// Listener for operators' calls.
     pub operators: SocketAddr,
 }
 
-/// A daemon whose sockets are open and whose secret is read.
+/// A daemon with open sockets and a loaded secret that does not serve yet.
 pub struct Bound {
     settings: Settings,
     secret: secret::Secret,
@@ -99,7 +100,7 @@
     addresses: Addresses,
 }
 
-/// A daemon that serves.
+/// A serving daemon.
 pub struct Running {
     addresses: Addresses,
     deadline_max: Duration,
@@ -114,11 +115,11 @@
 }
 
 impl Bound {
-    /// Reads the secret and opens the sockets. `file` is the settings file,
-    /// whose mode is checked if the secret stands in it.
+    /// Reads the secret and opens the sockets. `file` is the settings file; its
+    /// mode is checked if it contains the secret.
     ///
     /// # Errors
-    /// If the secret or an address can't be had.
+    /// If the secret can't be read or is invalid, or if binding an address fails.
     pub fn new(settings: Settings, file: Option<&Path>) -> Result<Self, Error> {
         let secret = read_secret(&settings.secret, file)?;
         let callers = listen(settings.listen.callers)?;
@@ -140,10 +141,10 @@
         })
     }
 
-    /// Starts to serve.
+    /// Starts the threads and all listeners.
     ///
     /// # Errors
-    /// If threads or metrics can't be set up.
+    /// If a thread can't be started or the metrics can't be registered.
     pub fn start(self) -> Result<Running, Error> {
         let limits = self.settings.limits;
         let traffic = workers::Workers::start(limits.threads()).map_err(Error::Thread)?;
@@ -245,7 +246,7 @@
     }
 }
 
-/// What the listeners share.
+/// State shared by the listeners.
 struct Core {
     engine: Arc<engine::Engine>,
     control: control::Handle,
@@ -255,7 +256,7 @@
 }
 
 impl Core {
-    /// Gives the count of callers' open connections.
+    /// Starts the callers' listener; returns the number of its open connections.
     fn serve_callers(
         &self,
         socket: net::TcpListener,
@@ -308,7 +309,8 @@
     }
 }
 
-/// The dispatcher bounds a caller by its share of the instance.
+/// Converts the settings' limits. The dispatcher bounds each caller's requests by a
+/// percentage of all requests in flight or queued, so the count is converted.
 fn tuning(limits: &limits::Limits) -> tuning::Tuning {
     let all = limits.in_flight() + limits.queue();
     let caller = limits.caller_in_flight() * 100 / all.max(1);
@@ -334,45 +336,45 @@
 }
 
 impl Running {
-    /// Where the daemon listens.
+    /// Addresses on which the daemon listens.
     #[must_use]
     pub const fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Whether look-ups are answered.
+    /// Returns true if look-ups are answered.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.snapshot.load().ready
     }
 
-    /// Version in force; 0 if there is none.
+    /// Configuration version in force; 0 before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.control.version()
     }
 
-    /// Entry instances believed alive, this one included.
+    /// Number of entry instances in the view in force, this one included.
     #[must_use]
     pub fn members(&self) -> usize {
         self.snapshot.load().view.members.len()
     }
 
-    /// Bytes and messages of control sent to peers so far, without framing.
+    /// Control bytes and messages sent to peers so far; framing is not counted.
     #[must_use]
     pub fn peer_traffic(&self) -> (u64, u64) {
         self.control.peer_traffic()
     }
 
-    /// Waits until a newer process has taken the name over: then this one is to
-    /// finish what it has and stop.
+    /// Waits until a newer process runs under this instance's name. This process
+    /// must then finish its requests and stop.
     pub async fn replaced(&self) {
         self.control.replaced().await;
     }
 
-    /// Shuts down gracefully: leaves the look-ups' answers, tells the peers,
-    /// serves on for as long as callers may hold an old answer, finishes what
-    /// is in flight, and joins every thread.
+    /// Shuts down gracefully: announces to the peers that the instance is leaving,
+    /// which removes it from look-up answers, serves until earlier answers have
+    /// expired, finishes the requests in flight, and joins every thread.
     pub fn stop(self) {
         log::info!("event=leaving name={}", self.addresses.name);
         self.control.leave();
@@ -401,8 +403,8 @@
     }
 }
 
-/// Time between ticks while nothing is in flight. Ticks that wake an idle
-/// process a hundred times a second take a whole percent of a core.
+/// Interval between ticks while nothing is in flight. Waking an idle process a
+/// hundred times a second takes a full percent of a core.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn tick(engine: Arc<engine::Engine>, stopper: Stopper) {
--- a/crates/auburnrouter/src/daemon/accept.rs
+++ b/crates/auburnrouter/src/daemon/accept.rs
@@ -1,11 +1,11 @@
-//! Accepts connections on one listener and speaks HTTP on them.
+//! Accepts connections on one listener and serves HTTP on them.
 //!
-//! The server adapter of the HTTP library isn't used: it counts connections by
-//! closing them without a word, takes addresses from the environment, and
-//! leaves the number of threads to its own executor.
+//! The server adapter of the HTTP library isn't used: it closes connections beyond
+//! its limit without an answer, reads addresses from the environment, and leaves
+//! the number of threads to its own executor.
 //!
-//! Invariant: whoever connects gets a typed refusal or an answer, also when
-//! there are too many connections or the request can't be parsed.
+//! Invariant: a connection beyond the limit and a request that can't be parsed get
+//! a typed rejection, not a silent close.
 
 use std::future::Future;
 use std::io;
@@ -23,29 +23,29 @@
 use super::reply;
 use super::workers::Executor;
 
-/// Bounds on one listener.
+/// Limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bounds on each connection.
     pub bounds: Bounds,
-    /// Longest request head in bytes.
+    /// Maximum size of a request head.
     pub head_bytes: usize,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body.
     pub body_bytes: u64,
-    /// Connections at a time.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
-/// Whom a request comes from.
+/// The remote end of a connection.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Address of the other end.
+    /// IP address of the remote end.
     pub ip: IpAddr,
-    /// To be set once the request is whole.
+    /// Flag to set once a request has been received completely.
     pub serving: ServingFlag,
 }
 
-/// One listener and its connections.
+/// One listener with the count of its open connections.
 pub struct Listener {
     limits: Limits,
     executor: Executor,
@@ -53,7 +53,7 @@
     open: Arc<AtomicUsize>,
 }
 
-/// Counts a connection for as long as it lives.
+/// Decrements the count of open connections when dropped.
 struct OpenGuard(Arc<AtomicUsize>);
 
 impl Drop for OpenGuard {
@@ -62,12 +62,12 @@
     }
 }
 
-/// Pause after a failed accept: descriptors ran out, and trying at once would
-/// spin until some are returned.
+/// Pause after a failed accept. When file descriptors run out, an immediate retry
+/// would spin until some are closed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 impl Listener {
-    /// A listener that serves on `executor` until `stopper` stops.
+    /// Creates a listener that serves on `executor` until `stopper` stops.
     #[must_use]
     pub fn new(limits: Limits, executor: Executor, stopper: Stopper) -> Self {
         Self {
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Number of open connections.
+    /// Shared count of open connections.
     #[must_use]
     pub fn count(&self) -> Arc<AtomicUsize> {
         Arc::clone(&self.open)
     }
 
-    /// Accepts until stopped. Connections in use go on; [`Listener::count`]
-    /// tells when they have ended.
+    /// Accepts until stopped. Connections in use continue; [`Listener::count`]
+    /// drops to 0 when all have ended.
     pub async fn run<H, F>(self, socket: net::TcpListener, handler: H)
     where
         H: Fn(Conn, Peer) -> F + Clone + Send + Sync + 'static,
@@ -144,7 +144,7 @@
     H: Fn(Conn, Peer) -> F + Send + Sync,
     F: Future<Output = Conn> + Send,
 {
-    // Not fatal: answers are only a little later without it.
+    // Not fatal: without it answers are only delayed a little.
     let _ = stream.set_nodelay(true);
     let raw = stream.clone();
     let guarded = Guarded::new(stream, limits.bounds, reply::REQUEST_TIMEOUT);
@@ -165,7 +165,7 @@
 }
 
 async fn refuse(mut stream: net::TcpStream, text: &'static [u8]) {
-    // Best effort: the other end may be gone already.
+    // Best effort: the remote end may have closed already.
     let _ = stream.write_all(text).await;
     let _ = stream.close().await;
 }
--- a/crates/auburnrouter/src/daemon/callers.rs
+++ b/crates/auburnrouter/src/daemon/callers.rs
@@ -1,13 +1,13 @@
-//! What callers may ask: look-ups and requests.
+//! The callers' API: look-ups, idempotency keys and requests to services.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `GET /lookup?service=S[&client=A.B.C.D]` | 200 with the entry instances to use, in order |
-//! | `GET /key` | 200 with what idempotency keys for this instance start with |
-//! | any method on `/s/{service}/{path}` | the target's answer, or a refusal |
+//! | `GET /key` | 200 with the prefix for idempotency keys owned by this instance |
+//! | any method on `/s/{service}/{path}` | the target's answer, or a rejection |
 //!
-//! Invariant: every answer says by its `Outcome` header whether the request
-//! ran; a request that isn't received whole is never passed on.
+//! Invariant: every answer to a request states in its `Outcome` header whether
+//! the request ran; an incomplete request is never passed on.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -29,33 +29,33 @@
 use super::reply;
 use super::snapshot::{LastRun, Snapshot};
 
-/// How long a caller may use a look-up's answer.
+/// Lifetime of a look-up answer at the caller.
 const LOOKUP_LIFETIME: Duration = Duration::from_secs(2);
 
-/// How long a caller may make new keys from one prefix.
+/// Time for which a caller may create new keys from one prefix.
 const KEY_LIFETIME: Duration = Duration::from_mins(1);
 
-/// When a caller is told to come back to an instance that isn't ready.
+/// Retry delay sent to callers of an instance that isn't ready.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest name of a caller in bytes; longer ones are cut.
+/// Maximum length of a caller's name; longer names are truncated.
 const CALLER_NAME_MAX_BYTES: usize = 128;
 
-/// What the callers' listener needs.
+/// State of the callers' listener.
 pub struct Callers {
-    /// What the control thread published last.
+    /// Latest snapshot published by the control thread.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
-    /// When the control loop last ran.
+    /// Time at which the control loop last ran.
     pub last_run: Arc<LastRun>,
-    /// Where requests go.
+    /// Engine that serves the requests.
     pub engine: Arc<Engine>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Longest time that a caller may ask for.
+    /// Upper bound on a caller's deadline.
     pub deadline_max: Duration,
 }
 
-/// A look-up's answer.
+/// Body of a look-up answer.
 #[derive(Debug, Serialize)]
 struct LookupAnswer<'a> {
     version: u64,
@@ -63,14 +63,14 @@
     choices: Vec<Choice<'a>>,
 }
 
-/// What idempotency keys start with.
+/// Body of an answer with a prefix for idempotency keys.
 #[derive(Debug, Serialize)]
 struct KeyAnswer<'a> {
     prefix: &'a str,
     lifetime_ms: u64,
 }
 
-/// One entry instance to use.
+/// One entry instance in a look-up answer.
 #[derive(Debug, Serialize)]
 struct Choice<'a> {
     name: &'a str,
@@ -82,8 +82,9 @@
     pub async fn handle(self: Arc<Self>, mut conn: Conn, peer: Peer) -> Conn {
         if has_invalid_length(&conn) {
             let refusal = unread_refusal(&conn, outcome::Reason::BadRequest);
-            // Without it the library doesn't wait for a body; nothing that
-            // follows on this connection can be told apart from one.
+            // Without this header the library doesn't wait for a body. The
+            // connection is closed, since a body that follows can't be told from
+            // the next request.
             conn.request_headers_mut().remove(CONTENT_LENGTH);
             let mut refused = self.refuse(conn, refusal);
             let headers = refused.response_headers_mut();
@@ -156,9 +157,10 @@
         }
     }
 
-    /// Whether this process may act on what it knows. After a freeze it may be
-    /// long replaced: whom it names may be gone, and a key of it would get
-    /// "unknown" wherever it is sent.
+    /// Checks that a configuration is in force and the control loop ran recently.
+    /// After a freeze this process may have been replaced: the instances in its
+    /// look-up answers may be gone, and a request with one of its keys would be
+    /// answered "unknown".
     fn check_ready(&self, snapshot: &Snapshot) -> Result<(), outcome::Refusal> {
         let is_fresh = self.last_run.is_fresh(self.engine.now());
         if snapshot.ready && is_fresh {
@@ -229,8 +231,9 @@
     outcome::Refusal::not_run(outcome::Reason::NotReady, Some(NOT_READY_RETRY_AFTER))
 }
 
-/// Refuses what no decision has seen. With a key it is "unknown": another copy
-/// may have run under the key, and "not run" would have it billed anew.
+/// Rejection of a request that did not reach the engine. With a key its outcome is
+/// "unknown": another copy may have run under the key, and after "not run" the
+/// caller could repeat it under a new key, to be charged twice.
 fn unread_refusal(conn: &Conn, reason: outcome::Reason) -> outcome::Refusal {
     match header(conn, headers::IDEMPOTENCY_KEY) {
         Some(_) => outcome::Refusal::unknown(reason, None),
@@ -238,9 +241,9 @@
     }
 }
 
-/// Whether a request's length is given twice or is none. The HTTP library takes
-/// the first of two lengths; whoever passed the request on may have taken the
-/// other, and what is left of the body would be read as a request of its own.
+/// Returns true if `Content-Length` occurs more than once or isn't a number. The HTTP
+/// library takes the first of two lengths; a proxy in front may have taken the
+/// second, and the rest of the body would be read as a smuggled request.
 fn has_invalid_length(conn: &Conn) -> bool {
     let Some(lengths) = conn.request_headers().get_values(CONTENT_LENGTH) else {
         return false;
@@ -251,7 +254,7 @@
         .is_some_and(|v| v.as_str().is_some_and(digits))
 }
 
-/// Region whose client block holds an address.
+/// Returns the region whose client block contains an address.
 fn region(view: &view::View, ip: IpAddr) -> Option<view::Region> {
     match ip {
         IpAddr::V4(v4) => view.blocks.region(v4),
@@ -315,7 +318,7 @@
     name[..end].into()
 }
 
-/// The parameters of a look-up.
+/// Query parameters of a look-up.
 #[derive(Debug, Default)]
 struct Query<'a> {
     service: Option<&'a str>,
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -1,7 +1,7 @@
-//! Drives the traffic decisions: carries events in and actions out.
+//! Drives the dispatcher: passes events to it and executes its actions.
 //!
-//! Invariant: each request's mailbox gets exactly one settled answer, unless
-//! its holder is gone; a cancelled attempt's task is dropped, and with it its
+//! Invariant: each request's mailbox gets exactly one final answer, unless the
+//! receiver was dropped. Cancelling an attempt drops its task and with it the
 //! connection.
 
 mod claim;
@@ -26,39 +26,39 @@
 use super::peers::Peers;
 use super::workers::Executor;
 
-/// Time for a target to answer a probe.
+/// Timeout of a health probe of a target.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for a peer to lend a part of a cap.
+/// Timeout of a request for a loan of a peer's share of a cap.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for a peer to take the word on a request that breaks targets.
+/// Timeout of a call that reports a suspect request to a peer.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the drivers give the decisions about a request.
+/// Parameters of a request besides its content.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// Time the caller allows, if it said.
+    /// Time left until the caller's deadline, if it set one.
     pub deadline: Option<Duration>,
-    /// Where the request came from.
+    /// Sender of the request: a caller or a peer.
     pub origin: arrival::Origin,
-    /// Name of the region of the peer that passed it on.
+    /// Region of the peer that forwarded the request.
     pub via: Option<Arc<str>>,
 }
 
-/// What errands are run with.
+/// Executor and connections that operations use.
 pub struct Resources {
-    /// Where errands run.
+    /// Executor of operations.
     pub executor: Executor,
     /// Connections to targets.
     pub outbound: Outbound,
     /// Connections to peers.
     pub peers: Arc<Peers>,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Arc<dyn store::Store>,
 }
 
-/// The engine of one process.
+/// Request engine of one process.
 pub struct Engine {
     start: Instant,
     incarnation: view::Incarnation,
@@ -68,12 +68,12 @@
     peer_addrs: ArcSwap<Vec<SocketAddr>>,
     identity: dispatch::Identity,
     region: ArcSwapOption<Arc<str>>,
-    /// Holds a word while something has arrived since it was last taken.
+    /// Set when a request arrives; cleared by [`Engine::arrival`].
     arrival_signal: Signal,
     inner: Mutex<Inner>,
 }
 
-/// A channel with room for one word.
+/// A flag that can be awaited, as a channel of capacity 1.
 struct Signal {
     sender: async_channel::Sender<()>,
     receiver: async_channel::Receiver<()>,
@@ -86,8 +86,7 @@
     }
 }
 
-/// Tells the decisions that whoever waited for a request has left, unless its
-/// answer came first.
+/// Reports a disconnected caller when dropped before the request's final answer.
 struct DisconnectGuard {
     engine: Arc<Engine>,
     id: arrival::RequestId,
@@ -103,7 +102,7 @@
 }
 
 impl Engine {
-    /// An engine with nothing in flight.
+    /// Creates an engine with no requests.
     #[must_use]
     pub fn new(
         decide: traffic::Traffic,
@@ -125,8 +124,8 @@
         })
     }
 
-    /// Serves one request to its settled answer. Dropping the future tells the
-    /// decisions that nobody waits any more.
+    /// Serves one request until its final answer. Dropping the future reports to the
+    /// dispatcher that the caller has disconnected.
     pub async fn serve(self: &Arc<Self>, request: Inbound, terms: Terms) -> peer::Settled {
         let (mailbox, settled) = async_channel::bounded(1);
         let id = self.arrive(request, terms, mailbox);
@@ -143,27 +142,28 @@
         })
     }
 
-    /// Answers a peer's question to this process as a witness; `None` if the
-    /// process ends first.
+    /// Answers a peer's question about a key as its witness; `None` if the process
+    /// ends first.
     pub async fn witness(&self, question: record::Question) -> Option<record::Reply> {
         let (mailbox, reply) = async_channel::bounded(1);
         self.ask_witness(question, mailbox);
         reply.recv().await.ok()
     }
 
-    /// Says whether this process holds its part of every cap.
+    /// Sets whether this process holds the slot that entitles it to its share of caps.
     pub fn set_slot_held(&self, is_held: bool) {
         self.handle(&mut self.lock(), traffic::Event::SlotHeld(is_held));
     }
 
-    /// Lends a peer a part of a cap; zero is "nothing".
+    /// Lends a peer part of this process's share of a cap; returns the amount lent,
+    /// or 0.
     pub async fn lend(&self, route: share::Route, amount: u64) -> u64 {
         let (mailbox, reply) = async_channel::bounded(1);
         self.request_loan(route, amount, mailbox);
         reply.recv().await.unwrap_or(0)
     }
 
-    /// Takes a peer's word on a request that breaks targets.
+    /// Handles a peer's report of a request under which targets broke.
     pub fn report_suspect(&self, fingerprint: arrival::Fingerprint, strikes: u8) {
         let event = traffic::Event::Suspected {
             fingerprint,
@@ -172,7 +172,7 @@
         self.handle(&mut self.lock(), event);
     }
 
-    /// Puts a new view in force.
+    /// Installs a new view.
     pub fn install(&self, view: Arc<view::View>) {
         let others = view.members.values();
         let others = others.filter(|m| m.incarnation != self.incarnation);
@@ -191,31 +191,31 @@
         self.handle(&mut self.lock(), traffic::Event::View(view));
     }
 
-    /// Lets time pass for the decisions and the connections.
+    /// Runs the timers of the dispatcher and maintains the target connections.
     pub fn tick(&self) {
         self.resources.outbound.upkeep();
         self.handle(&mut self.lock(), traffic::Event::Tick);
     }
 
-    /// Waits until a request arrives.
+    /// Waits until a request has arrived since the last call.
     pub async fn arrival(&self) {
-        // The sending end lives as long as the engine, so it can't fail.
+        // Can't fail: the engine owns the sender.
         let _ = self.arrival_signal.receiver.recv().await;
     }
 
-    /// Runs no new keys from now on.
+    /// Stops running requests with new keys.
     pub fn leave(&self) {
         self.handle(&mut self.lock(), traffic::Event::Leave);
     }
 
-    /// Whether nothing is in flight, also for callers that have left.
+    /// Returns true if nothing is in flight, including for disconnected callers.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         let inner = self.lock();
         inner.decide.is_drained() && inner.waiting() == 0
     }
 
-    /// The state of the traffic decisions, as lines for people.
+    /// Dump of the dispatcher's state, as lines of text for operators.
     #[must_use]
     pub fn dump(&self) -> Vec<String> {
         let now = self.now();
@@ -230,19 +230,19 @@
         lines
     }
 
-    /// Requests that have no settled answer yet.
+    /// Number of requests whose caller waits for the final answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().waiting()
     }
 
-    /// What a key issued now starts with; `None` while none can be issued.
+    /// Prefix of keys issued now; `None` while none can be issued.
     #[must_use]
     pub fn prefix(&self) -> Option<Arc<String>> {
         self.prefix.load_full()
     }
 
-    /// Time since the process's start, as decisions see it.
+    /// Time since the engine was created, which is the dispatcher's clock.
     #[must_use]
     pub fn now(&self) -> Time {
         let micros = self.start.elapsed().as_micros();
@@ -271,7 +271,7 @@
             peer_region: terms.via,
         };
         inner.admit(id, request, mailbox);
-        // A word that is there already says the same.
+        // A full channel means that the flag is set already.
         let _ = self.arrival_signal.sender.try_send(());
         self.handle(&mut inner, traffic::Event::Arrive(arrival));
         id
@@ -386,7 +386,7 @@
         }
     }
 
-    /// Starts an operation that nothing cancels.
+    /// Starts an operation that is never cancelled.
     fn spawn(&self, kind: Kind, budget: Duration) {
         if let Some(engine) = self.this.upgrade() {
             let operation = Operation {
--- a/crates/auburnrouter/src/daemon/engine/claim.rs
+++ b/crates/auburnrouter/src/daemon/engine/claim.rs
@@ -1,7 +1,7 @@
-//! Claims of keys that callers chose, in the platform's store.
+//! Claims of caller-chosen idempotency keys in the platform's store.
 //!
-//! Invariant: [`record::StoreResult::Unreachable`] is only said when the write
-//! certainly took no effect and never will.
+//! Invariant: [`record::StoreResult::Unreachable`] is returned only if the write
+//! certainly had no effect and will have none.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -12,10 +12,11 @@
 use store::error;
 use wire::kv;
 
-/// Where claims stand in the store.
+/// Prefix of claims in the store.
 const CLAIMS: &str = "auburnrouter/claims/";
 
-/// Makes one call about a key, in bounded time.
+/// Creates or reads the claim of a key; the result is `Unknown` once `budget` is
+/// spent.
 pub async fn settle(
     store: &dyn store::Store,
     key: &str,
@@ -51,7 +52,8 @@
         Err(error::Error::Conflict {
             current: Some(entry),
         }) => found(&entry),
-        // Deleted between the write and its refusal: nothing is known.
+        // The claim was deleted before the store read it for the conflict, so the
+        // owner is unknown.
         Err(error::Error::Conflict { current: None }) => record::StoreResult::Unknown,
         Err(error) => failed(&error),
     }
@@ -76,11 +78,12 @@
     }
 }
 
-/// Callers choose any characters and lengths; the store's keys can't.
+/// Store key of a claim. It contains a hash, since callers choose keys of any length
+/// and with any characters, which the store doesn't accept.
 fn path(key: &str) -> String {
     let mut path = CLAIMS.to_owned();
     for byte in Sha256::digest(key.as_bytes()) {
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(path, "{byte:02x}");
     }
     path
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -1,8 +1,8 @@
-//! What the engine keeps for each request, attempt and question.
+//! State of the engine: unfinished requests, attempts and questions.
 //!
-//! Invariant: lists are sorted, since names are handed out in rising order. A
-//! request's bytes stay until the decisions settle it, also when its caller
-//! has left: what must not repeat is finished and recorded all the same.
+//! Invariant: lists are sorted by id, since ids are assigned in ascending order. A
+//! request's content is kept until the dispatcher settles it, even after the caller
+//! has disconnected: a non-idempotent request is still finished and recorded.
 
 use std::sync::Arc;
 
@@ -15,38 +15,38 @@
 struct Pending {
     id: arrival::RequestId,
     request: Arc<Inbound>,
-    /// `None` once the caller has left.
+    /// `None` once the caller has disconnected.
     mailbox: Option<async_channel::Sender<peer::Settled>>,
 }
 
-/// An attempt on its way.
+/// An attempt in progress.
 pub struct ActiveAttempt {
     id: arrival::AttemptId,
-    /// Its name on the wire.
+    /// Name of the attempt on the wire.
     pub name: Arc<str>,
-    /// Where it goes.
+    /// Target or peer that it was sent to.
     pub destination: dispatch::Destination,
-    /// Dropping it drops the attempt's connection.
+    /// Dropping the task closes the attempt's connection.
     _task: smol::Task<()>,
 }
 
-/// A peer's question, until it is answered with a `T`.
+/// A peer's question that waits for an answer of type `T`.
 struct PendingQuestion<T> {
     id: record::QuestionId,
     mailbox: async_channel::Sender<T>,
 }
 
-/// Answers a question. The peer may have given up; it then treats the answer as
-/// not given.
+/// Answers a question. A send error is ignored: the peer has timed out and treats
+/// the question as unanswered.
 fn answer<T>(questions: &mut Vec<PendingQuestion<T>>, id: record::QuestionId, with: T) {
     if let Ok(at) = questions.binary_search_by_key(&id, |a| a.id) {
         let _ = questions.remove(at).mailbox.try_send(with);
     }
 }
 
-/// The engine's state behind its lock.
+/// State of the engine behind its lock.
 pub struct Inner {
-    /// The decisions.
+    /// The dispatcher and the other traffic decisions.
     pub decide: traffic::Traffic,
     requests: Vec<Pending>,
     attempts: Vec<ActiveAttempt>,
@@ -56,7 +56,7 @@
 }
 
 impl Inner {
-    /// Nothing in flight.
+    /// Creates a state with no requests.
     pub const fn new(decide: traffic::Traffic) -> Self {
         Self {
             decide,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// A name for a request.
+    /// Assigns the id of a request.
     pub const fn next_request(&mut self) -> arrival::RequestId {
         self.next += 1;
         arrival::RequestId(self.next)
     }
 
-    /// Keeps a request until it is settled.
+    /// Adds a request, which stays until it is settled.
     pub fn admit(
         &mut self,
         id: arrival::RequestId,
@@ -88,7 +88,8 @@
         });
     }
 
-    /// Forgets who waits for a request; false if it is settled already.
+    /// Drops the mailbox of a request; returns false if the request is settled or its
+    /// mailbox is gone already.
     pub fn abandon(&mut self, id: arrival::RequestId) -> bool {
         match self.requests.binary_search_by_key(&id, |p| p.id) {
             Ok(at) => self.requests[at].mailbox.take().is_some(),
@@ -96,29 +97,29 @@
         }
     }
 
-    /// A request that isn't settled.
+    /// Returns a request that isn't settled.
     pub fn request(&self, id: arrival::RequestId) -> Option<Arc<Inbound>> {
         let at = self.requests.binary_search_by_key(&id, |p| p.id).ok()?;
         Some(Arc::clone(&self.requests[at].request))
     }
 
-    /// Requests whose caller waits.
+    /// Number of requests whose caller waits.
     pub fn waiting(&self) -> usize {
         self.requests.iter().filter(|p| p.mailbox.is_some()).count()
     }
 
-    /// Gives a request its settled answer.
+    /// Removes a request and sends its final answer to the caller, if one waits.
     pub fn settle(&mut self, id: arrival::RequestId, settled: peer::Settled) {
         let Ok(at) = self.requests.binary_search_by_key(&id, |p| p.id) else {
             return;
         };
         if let Some(mailbox) = self.requests.remove(at).mailbox {
-            // Nobody may be waiting any more; then nobody is to be told.
+            // Fails if the receiver was dropped; no caller waits then.
             let _ = mailbox.try_send(settled);
         }
     }
 
-    /// Keeps an attempt's task.
+    /// Adds an attempt with its task.
     pub fn add_attempt(
         &mut self,
         id: arrival::AttemptId,
@@ -135,13 +136,13 @@
         self.attempts.push(active);
     }
 
-    /// Takes an attempt out; `None` if it has ended or was cancelled.
+    /// Removes an attempt; `None` if it has ended or was cancelled.
     pub fn remove_attempt(&mut self, id: arrival::AttemptId) -> Option<ActiveAttempt> {
         let at = self.attempts.binary_search_by_key(&id, |f| f.id).ok()?;
         Some(self.attempts.remove(at))
     }
 
-    /// Keeps a peer's question until it is answered.
+    /// Adds a peer's question and assigns its id.
     pub fn add_question(
         &mut self,
         mailbox: async_channel::Sender<record::Reply>,
@@ -152,12 +153,12 @@
         id
     }
 
-    /// Answers a peer's question.
+    /// Answers a peer's question and removes it.
     pub fn answer_question(&mut self, id: record::QuestionId, reply: record::Reply) {
         answer(&mut self.questions, id, reply);
     }
 
-    /// Keeps a peer's wish for a loan until it is answered.
+    /// Adds a peer's loan request and assigns its id.
     pub fn add_loan(&mut self, mailbox: async_channel::Sender<u64>) -> record::QuestionId {
         self.next += 1;
         let id = record::QuestionId(self.next);
@@ -165,7 +166,7 @@
         id
     }
 
-    /// Answers a peer's wish for a loan.
+    /// Answers a peer's loan request and removes it.
     pub fn answer_loan(&mut self, id: record::QuestionId, amount: u64) {
         answer(&mut self.loans, id, amount);
     }
--- a/crates/auburnrouter/src/daemon/engine/operation.rs
+++ b/crates/auburnrouter/src/daemon/engine/operation.rs
@@ -1,6 +1,7 @@
-//! One action that takes time: carried out, then reported to the decisions.
+//! Asynchronous actions of the dispatcher.
 //!
-//! Invariant: an operation reports exactly once, unless it is cancelled.
+//! Invariant: an operation with a result reports it at most once; an attempt reports
+//! exactly once unless it is cancelled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,94 +15,94 @@
 use crate::daemon::inbound::Inbound;
 use crate::daemon::{outbound, peers};
 
-/// What is to be done.
+/// Kind and parameters of an operation.
 pub enum Kind {
-    /// Send a request to a destination.
+    /// Send a request to a target or a peer.
     Attempt {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
-        /// The attempt's name.
+        /// Id of the attempt.
         attempt: arrival::AttemptId,
-        /// Its name on the wire.
+        /// Name of the attempt on the wire.
         name: Arc<str>,
-        /// Where to.
+        /// Target or peer to send it to.
         destination: dispatch::Destination,
-        /// What to send.
+        /// Request to send.
         request: Arc<Inbound>,
     },
-    /// Send a request to its key's owner.
+    /// Forward a request to the owner of its key.
     Forward {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
-        /// Where the owner listens.
+        /// Address of the owner's peer listener.
         addr: SocketAddr,
-        /// What to send.
+        /// Request to send.
         request: Arc<Inbound>,
     },
-    /// Ask a witness.
+    /// Ask a witness about a key.
     Ask {
-        /// The question's name.
+        /// Id of the question.
         ask: record::QuestionId,
-        /// Where the witness listens.
+        /// Address of the witness's peer listener.
         addr: SocketAddr,
         /// The question.
         question: record::Question,
     },
     /// Claim a key in the store, or read its claim.
     Store {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
         /// The key.
         key: Arc<str>,
-        /// The call.
+        /// Whether to create or to read the claim.
         call: record::StoreCall,
     },
-    /// Ask a peer for a part of a cap.
+    /// Borrow part of a peer's share of a cap.
     Borrow {
-        /// Where the peer listens.
+        /// Address of the peer's listener.
         addr: SocketAddr,
-        /// The cap.
+        /// Route that the cap applies to.
         route: share::Route,
-        /// How much of it.
+        /// Amount requested.
         amount: u64,
-        /// When the decision was made.
+        /// Time of the decision to borrow.
         asked: Time,
     },
-    /// Ask a target how it is.
+    /// Query a target's load and state.
     Probe {
-        /// Its name.
+        /// Name of the target.
         target: Arc<str>,
-        /// Where it listens.
+        /// Address of the target.
         addr: SocketAddr,
     },
-    /// Tell the peers how many targets broke under a request.
+    /// Report to the peers how many targets broke under a request.
     Suspect {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: arrival::Fingerprint,
-        /// Targets that broke.
+        /// Number of targets that broke.
         strikes: u8,
     },
-    /// Tell a target that an answer is no longer wanted.
+    /// Notify a target that an attempt was cancelled.
     Cancel {
-        /// Where the target listens.
+        /// Address of the target.
         addr: SocketAddr,
-        /// The attempt's name on the wire.
+        /// Name of the attempt on the wire.
         name: Arc<str>,
     },
 }
 
-/// An action under way.
+/// An operation in progress.
 pub struct Operation {
-    /// Whom to report to.
+    /// Engine that gets the result.
     pub engine: Arc<Engine>,
-    /// What to do.
+    /// Kind and parameters.
     pub kind: Kind,
-    /// Time for it.
+    /// Time limit.
     pub budget: Duration,
 }
 
 impl Operation {
-    /// Carries it out and reports.
+    /// Executes the operation and reports its result to the engine.
     pub async fn run(self) {
         let Self {
             engine,
@@ -224,12 +225,12 @@
         };
         self.handle(&mut inner, event);
         drop(inner);
-        // The attempt holds the very task that runs this; dropped any earlier,
-        // it would be cancelled in the middle of its report.
+        // `active` owns the task that runs this function. Dropping it earlier would
+        // cancel the task before the report.
         drop(active);
     }
 
-    /// What a peer is told of a hop.
+    /// Describes a hop to the peer that receives the request.
     fn hop(&self, owned: bool) -> peers::Hop {
         let region = self.region.load();
         let via = region.as_ref().map(|name| Arc::clone(&**name));
--- a/crates/auburnrouter/src/daemon/guarded.rs
+++ b/crates/auburnrouter/src/daemon/guarded.rs
@@ -1,8 +1,8 @@
-//! A caller's connection that can't be held open for nothing.
+//! A connection with time and size limits against slow or greedy callers.
 //!
-//! Invariant: a request arrives whole within the time allowed, an answer is
-//! taken within the time allowed, an idle connection is closed, and what a
-//! caller sends ahead of its answer is bounded.
+//! Invariant: receiving a request has a time limit, and so has a write of the answer
+//! that makes no progress; an idle connection is closed; and the bytes that a caller
+//! sends before the answer are bounded.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -18,21 +18,21 @@
 /// Bounds on one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time for a request to arrive, and for an answer to be taken.
+    /// Maximum time to receive a request, and for a write of the answer to progress.
     pub transfer_time: Duration,
-    /// Time a connection may lie idle.
+    /// Maximum time without a request.
     pub idle_time: Duration,
-    /// Bytes a caller may send before it takes an answer.
+    /// Maximum number of bytes received before an answer is written.
     pub unanswered_max: usize,
 }
 
-/// Set while a request is served, so that waiting for its answer isn't taken
-/// for a caller that sends slowly.
+/// Set while a request is served, so that the wait for its answer doesn't count as
+/// a slow caller.
 #[derive(Clone, Debug, Default)]
 pub struct ServingFlag(Arc<AtomicBool>);
 
 impl ServingFlag {
-    /// Says that a whole request is in hand.
+    /// Marks a request as received completely.
     pub fn begin(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -46,10 +46,10 @@
     }
 }
 
-/// A request on a guarded connection.
+/// An HTTP exchange on a guarded connection.
 pub type Conn = trillium_http::Conn<Guarded>;
 
-/// The connection.
+/// A TCP stream that enforces [`Bounds`].
 pub struct Guarded {
     stream: net::TcpStream,
     bounds: Bounds,
@@ -60,7 +60,8 @@
 }
 
 impl Guarded {
-    /// Guards a connection; a request that is not whole in time gets `timeout_reply`.
+    /// Wraps a stream; `timeout_reply` is sent if a request is incomplete at its time
+    /// limit.
     #[must_use]
     pub fn new(stream: net::TcpStream, bounds: Bounds, timeout_reply: &'static [u8]) -> Self {
         Self {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The mark to set while a request is served.
+    /// Flag to set while a request is served.
     #[must_use]
     pub fn serving(&self) -> ServingFlag {
         self.serving.clone()
@@ -98,7 +99,7 @@
             return Poll::Pending;
         }
         if has_begun {
-            // Best effort: whoever sends this slowly may not read either.
+            // Best effort: a caller that sends this slowly may not read either.
             let _ = Pin::new(&mut self.stream).poll_write(cx, self.timeout_reply);
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
--- a/crates/auburnrouter/src/daemon/inbound.rs
+++ b/crates/auburnrouter/src/daemon/inbound.rs
@@ -1,33 +1,33 @@
-//! A whole request, as the drivers hold it while decisions are made.
+//! A complete request, held while the dispatcher decides where it runs.
 
 use std::sync::Arc;
 
 use sha2::{Digest, Sha256};
 use steer::request::arrival;
 
-/// A request received to its end.
+/// A request that has been received completely.
 #[derive(Clone, Debug)]
 pub struct Inbound {
     /// Name of the service.
     pub service: Arc<str>,
     /// HTTP method.
     pub method: Arc<str>,
-    /// Path and query at the target, from the slash on.
+    /// Path and query at the target, with the leading slash.
     pub path: Arc<str>,
     /// End-to-end headers.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// The whole body.
+    /// The complete body.
     pub body: hyper::body::Bytes,
-    /// Who asks.
+    /// Name of the caller, or its IP address.
     pub caller: Arc<str>,
     /// Idempotency key, if any.
     pub key: Option<Arc<str>>,
-    /// Name of the region whose caller sent it, if known.
+    /// Name of the caller's region, if known.
     pub caller_region: Option<Arc<str>>,
 }
 
 impl Inbound {
-    /// Digest that is equal for a repeat: service, method, path and body.
+    /// Digest of service, method, path and body; retries have the same digest.
     #[must_use]
     pub fn fingerprint(&self) -> arrival::Fingerprint {
         let mut hash = Sha256::new();
@@ -41,7 +41,7 @@
         arrival::Fingerprint(u128::from_le_bytes(first))
     }
 
-    /// Size as it counts against links.
+    /// Bytes of path, headers and body, as counted against link capacity.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a header is meant for the next hop only, or is ours to set.
+/// Returns true for hop-by-hop headers and for those that the router sets itself.
 #[must_use]
 pub fn is_hop_header(name: &str) -> bool {
     const HOP: [&str; 21] = [
--- a/crates/auburnrouter/src/daemon/metrics.rs
+++ b/crates/auburnrouter/src/daemon/metrics.rs
@@ -1,13 +1,13 @@
-//! Counters and gauges, as operators scrape them.
+//! Counters and gauges in the Prometheus text format.
 //!
-//! Invariant: the number of series is fixed when the process starts, but for
-//! the reasons of refusals, which are an enumeration.
+//! Invariant: the number of series is bounded. The only labels are the outcome and
+//! the reason of a request, which are enumerations.
 
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use thiserror::Error;
 use wire::peer;
 
-/// Metrics could not be set up or printed.
+/// Failure to register or encode metrics.
 #[derive(Debug, Error)]
 #[error("metrics: {0}; this is a fault of the program, report it")]
 pub struct Error(#[from] prometheus::Error);
@@ -15,7 +15,7 @@
 /// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    /// Look-ups answered or refused.
+    /// Look-ups answered or rejected.
     pub lookups: IntCounter,
     /// Requests by outcome and reason.
     requests: IntCounterVec,
@@ -40,10 +40,10 @@
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Registers all metrics, with value 0.
     ///
     /// # Errors
-    /// If two metrics have one name.
+    /// If two metrics have the same name.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let requests = IntCounterVec::new(
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Counts a settled request.
+    /// Counts a request by its final outcome.
     pub fn count_settled(&self, settled: &peer::Settled) {
         let (outcome, reason) = match settled {
             Ok(_) => ("ran", "answered"),
@@ -102,10 +102,10 @@
         self.requests.with_label_values(&[outcome, reason]).inc();
     }
 
-    /// The metrics in the text format that scrapers read.
+    /// Encodes the metrics as Prometheus text.
     ///
     /// # Errors
-    /// If a metric can't be printed.
+    /// If a metric can't be encoded.
     pub fn text(&self) -> Result<Vec<u8>, Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/auburnrouter/src/daemon/operators.rs
+++ b/crates/auburnrouter/src/daemon/operators.rs
@@ -1,19 +1,19 @@
-//! What operators may ask, on a listener of their own.
+//! The operators' API, on a listener of its own.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `GET /metrics` | the metrics, as text |
 //! | `GET /dump` | the state of the process, as JSON |
-//! | `GET /config` | the files in force, as JSON |
-//! | `GET /status` | the version in force at every instance reached, as JSON |
+//! | `GET /config` | the configuration files in force, as JSON |
+//! | `GET /status` | the version in force at each entry instance, as JSON |
 //! | `GET /changes/{id}` | whether that change was accepted, as JSON |
-//! | `POST /apply` | makes a change; says what became of it |
+//! | `POST /apply` | applies a configuration change; the answer gives its result, as JSON |
 //!
-//! Every call wants `Authorization: Bearer SECRET`. The listener runs on the
-//! control thread, so that it answers while traffic threads are overloaded.
+//! Every call requires `Authorization: Bearer SECRET`. The listener runs on the
+//! control thread, so that it answers while the traffic threads are overloaded.
 //!
-//! Invariant: nothing is answered, not even whether a path exists, before the
-//! secret has been compared, in constant time.
+//! Invariant: a call without the secret gets status 401 whether or not its path
+//! exists, and the secret is compared in constant time.
 
 use std::sync::Arc;
 
@@ -30,38 +30,38 @@
 use super::metrics::Metrics;
 use super::reply;
 
-/// Longest body that operators may send: a whole configuration.
+/// Maximum size of an operator's request body, which holds a full configuration.
 const BODY_MAX_BYTES: u32 = 256 << 20;
 
-/// What the operators' listener needs.
+/// State of the operators' listener.
 pub struct Operators {
-    /// What callers of this listener must know.
+    /// Shared secret that every call must present.
     pub secret: Secret,
-    /// The control thread.
+    /// Handle to the control thread.
     pub control: control::Handle,
     /// The traffic engine.
     pub engine: Arc<Engine>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
 }
 
-/// Where changes are asked for by their ids.
+/// Path prefix of queries for a change by its id.
 const CHANGES_PATH: &str = "/changes/";
 
-/// What became of a change; `None` if nobody can tell any more.
+/// Acceptance of a change; `None` if it can't be determined, or no longer.
 #[derive(Debug, Serialize)]
 struct ChangeStatus {
     accepted: Option<bool>,
 }
 
-/// The files in force.
+/// Version and files of the configuration in force.
 #[derive(Debug, Serialize)]
 struct Config {
     version: u64,
     files: Vec<control::File>,
 }
 
-/// Bounds on the operators' listener.
+/// Limits of the operators' listener.
 #[must_use]
 pub const fn limits(bounds: Bounds) -> Limits {
     Limits {
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -1,6 +1,6 @@
-//! Carries one attempt to a target and says how it ended.
+//! Sends attempts, cancellations and probes to targets.
 //!
-//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is only said when no byte of
+//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is returned only if no byte of
 //! the request left this process.
 
 use std::net::SocketAddr;
@@ -18,41 +18,41 @@
 use super::inbound::{self, Inbound};
 use super::workers::Executor;
 
-/// Longest answer taken from a target, in bytes.
+/// Maximum size of the body of a target's answer.
 const ANSWER_MAX_BYTES: usize = 16 << 20;
 
-/// Time to open a connection to a target, which is in this failure domain.
-/// Past it the request certainly did not leave, and may go elsewhere.
+/// Timeout for connecting to a target, which is in this failure domain. After it
+/// the request has certainly not been sent and can go to another target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections kept open to each target ahead of need.
+/// Number of idle connections kept open to each target.
 const WARM_CONNECTIONS: usize = 2;
 
-/// Time allowed to tell a target that an attempt is cancelled.
+/// Timeout of the call that cancels an attempt at a target.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections to targets, and what is sent on them.
+/// Client of targets, with a connection pool.
 pub struct Outbound {
     pool: Arc<pool::Pool>,
 }
 
-/// An attempt as it crosses the wire.
+/// An attempt to be sent to a target.
 pub struct Attempt<'a> {
-    /// Name of the attempt, unique among all processes.
+    /// Name of the attempt, unique across processes.
     pub name: &'a str,
-    /// Where the target listens.
+    /// Address of the target.
     pub addr: SocketAddr,
-    /// What to send.
+    /// Request to send.
     pub request: &'a Inbound,
-    /// Time left.
+    /// Time left until the deadline.
     pub budget: Duration,
 }
 
-/// How an attempt ended, and what the target said of itself.
+/// Outcome of an attempt, with the target's report of its load and state.
 pub struct AttemptResult {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: dispatch::AttemptOutcome,
-    /// The target's report, if it gave one.
+    /// Report in the answer's headers, if any.
     pub report: Option<dispatch::Report>,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Outbound {
-    /// No connections yet; at most `connections_max` are opened to each target.
+    /// Creates a client that opens at most `connections_max` connections per target.
     #[must_use]
     pub fn new(executor: Executor, connections_max: usize) -> Self {
         let limits = pool::Limits {
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Keeps connections to these targets only.
+    /// Sets the targets; connections to others are closed.
     pub fn set_targets(&self, mut addrs: Vec<SocketAddr>) {
         addrs.sort_unstable();
         addrs.dedup();
         self.pool.retain_addresses(&addrs);
     }
 
-    /// Opens connections ahead of need and closes those idle too long.
+    /// Opens connections in advance and closes those idle for too long.
     pub fn upkeep(&self) {
         self.pool.maintain();
     }
 
-    /// Sends an attempt and waits for its end or for its budget to run out.
+    /// Sends an attempt and waits for its answer until its budget is spent.
     pub async fn send(&self, attempt: Attempt<'_>) -> AttemptResult {
         let late = async {
             smol::Timer::after(attempt.budget).await;
@@ -100,14 +100,14 @@
         future::or(self.exchange(&attempt), late).await
     }
 
-    /// Tells a target that an attempt's answer is no longer wanted.
+    /// Notifies a target that an attempt was cancelled.
     pub async fn cancel(&self, addr: SocketAddr, name: &str) {
         let request = hyper::Request::delete(format!("/attempts/{name}"))
             .header(hyper::header::HOST, addr.to_string())
             .body(Full::default());
         let Ok(request) = request else { return };
         let send = async {
-            // Best effort: the broken connection says the same.
+            // Best effort: the closed connection also signals the cancellation.
             if let Ok(exchange) = self.pool.send(addr, request).await {
                 let (response, rest) = exchange.split();
                 if response.into_body().collect().await.is_ok() {
@@ -121,7 +121,7 @@
         future::or(send, late).await;
     }
 
-    /// Asks a target how it is; `None` if it doesn't say in time.
+    /// Queries a target's load and state; `None` without a valid answer in time.
     pub async fn probe(&self, addr: SocketAddr, budget: Duration) -> Option<dispatch::Report> {
         let request = hyper::Request::get("/health")
             .header(hyper::header::HOST, addr.to_string())
@@ -159,13 +159,14 @@
     }
 }
 
-/// Reads an answer, and makes sure that it is this attempt's.
+/// Reads an answer and checks that it belongs to this attempt.
 ///
-/// Failure: a target answers a request twice, or after it was given up, and the
-/// second answer comes when the connection is in use again. Symptom: a caller
-/// gets the answer to somebody else's request, or is told "not run" on the word
-/// of another's refusal. It suffices that an answer names its attempt, or is
-/// the first on its connection; a connection whose answer doesn't is dropped.
+/// A target may answer a request twice, or after the attempt was abandoned, and the
+/// late answer then arrives while the connection serves another attempt. Without the
+/// check a caller would get the answer to another request, or "not run" because
+/// another request was refused. An answer is accepted if it names this attempt, or
+/// if it names none and is the first on its connection. The connection is reused
+/// only after an answer that names this attempt.
 async fn receive(name: &str, exchange: pool::Exchange) -> AttemptResult {
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
@@ -176,7 +177,7 @@
     }
     let report = report(&head.headers);
     let Some(body) = collect(body).await else {
-        // The connection is dropped with its half-read answer.
+        // The connection is dropped with its partially read answer.
         let outcome = dispatch::AttemptOutcome::BadAnswer;
         return AttemptResult { outcome, report };
     };
@@ -190,7 +191,8 @@
     AttemptResult { outcome, report }
 }
 
-/// As good as a refusal by the target: it has more than it can take from here.
+/// Outcome when all connections to a target are in use; treated like a refusal by the
+/// target, since no more requests can be sent to it from here.
 fn target_full() -> AttemptResult {
     dispatch::AttemptOutcome::Refused {
         after: None,
@@ -232,8 +234,8 @@
     Some(dispatch::Report { load, state })
 }
 
-/// A 503 counts as "not run" only with the header that says so: a 503 from the
-/// service's own code may come after the work was done.
+/// Outcome of a 503 with the header for a refused attempt. A 503 without the header
+/// doesn't count as "not run": the service's own code may send it after the work.
 fn refusal(head: &hyper::http::response::Parts) -> Option<dispatch::AttemptOutcome> {
     if head.status != hyper::StatusCode::SERVICE_UNAVAILABLE {
         return None;
--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -1,8 +1,8 @@
-//! Answers and refusals as callers see them.
+//! Writes answers and rejections to callers' connections.
 //!
-//! Invariant: every refusal carries `Outcome` and `Reason`, and `Retry-After`
-//! wherever asking again can help. What is refused before its head is read is
-//! "unknown": it may repeat a key that another copy has run under already.
+//! Invariant: every rejection has `Outcome` and `Reason`, and `Retry-After` if it
+//! has a retry delay. A rejection sent before the head is read has the outcome
+//! "unknown": the request may repeat a key under which another copy ran.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 
 use super::guarded::Conn;
 
-/// Sent to a connection beyond the number allowed.
+/// Response on a connection beyond the limit.
 pub const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nOutcome: unknown\r\nReason: overloaded\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// Sent when a request isn't whole in time.
+/// Response to a request that is incomplete at its time limit.
 pub const REQUEST_TIMEOUT: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nOutcome: unknown\r\nReason: bad-request\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// Sent when a request's head is longer than allowed.
+/// Response to a request whose head exceeds the size limit.
 pub const HEAD_TOO_LONG: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// Sent when a request's head can't be parsed.
+/// Response to a request whose head can't be parsed.
 pub const MALFORMED: &[u8] = b"HTTP/1.1 400 Bad Request\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// The body of a refusal.
+/// JSON body of a rejection.
 #[derive(Debug, Serialize)]
 struct Body<'a> {
     outcome: &'a str,
@@ -34,7 +34,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Sets a target's answer or a refusal on `conn`.
+/// Writes a target's answer or a rejection to `conn`.
 #[must_use]
 pub fn settled(conn: Conn, settled: &peer::Settled) -> Conn {
     match settled {
@@ -53,14 +53,14 @@
     conn
 }
 
-/// The status as the HTTP library knows it; a number it doesn't know is given
-/// as the first of its hundred, as HTTP asks of a reader.
+/// Converts a status code. A code unknown to the HTTP library becomes the x00 code
+/// of its class, as HTTP prescribes.
 fn status(number: u16) -> Status {
     let known = Status::try_from(number).or_else(|_| Status::try_from(number / 100 * 100));
     known.unwrap_or(Status::BadGateway)
 }
 
-/// Sets a refusal on `conn`.
+/// Writes a rejection to `conn`.
 #[must_use]
 pub fn refused(mut conn: Conn, refusal: &outcome::Refusal) -> Conn {
     append(&mut conn, headers::OUTCOME, refusal.outcome.as_str());
@@ -86,7 +86,7 @@
     json(conn, status(refusal.reason.status()), &body)
 }
 
-/// Sets a status and a JSON body on `conn`.
+/// Writes a status and a JSON body to `conn`.
 #[must_use]
 pub fn json(mut conn: Conn, status: Status, body: &impl Serialize) -> Conn {
     match serde_json::to_vec(body) {
@@ -101,7 +101,7 @@
     conn
 }
 
-/// Appends a header, unless its name or value can't stand in a head.
+/// Appends a header; one with an invalid name or value is skipped.
 pub fn append(conn: &mut Conn, name: &str, value: &str) {
     let name = HeaderName::from(name.to_owned());
     let value = HeaderValue::from(value.to_owned());
@@ -114,7 +114,7 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Whole seconds, rounded up, so that nobody comes back too early.
+/// Rounds up to full seconds, so that callers don't retry too early.
 const fn seconds_up(span: Duration) -> u64 {
     span.as_secs() + (span.subsec_nanos() > 0) as u64
 }
--- a/crates/auburnrouter/src/daemon/workers.rs
+++ b/crates/auburnrouter/src/daemon/workers.rs
@@ -1,4 +1,4 @@
-//! The traffic threads: one executor, run by a fixed number of threads.
+//! A fixed number of threads that run one executor.
 //!
 //! Invariant: every thread started here is joined by [`Workers::join`].
 
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Where traffic tasks are spawned.
+/// Executor on which tasks are spawned.
 pub type Executor = Arc<smol::Executor<'static>>;
 
-/// The running threads.
+/// Running threads and their executor.
 pub struct Workers {
     executor: Executor,
     stop: async_channel::Sender<()>,
@@ -20,7 +20,7 @@
     /// Starts `count` threads.
     ///
     /// # Errors
-    /// If the platform refuses a thread.
+    /// If the platform can't start a thread.
     pub fn start(count: usize) -> io::Result<Self> {
         let executor: Executor = Arc::new(smol::Executor::new());
         let (stop, stopped) = async_channel::bounded(1);
@@ -30,7 +30,7 @@
             let stopped: async_channel::Receiver<()> = stopped.clone();
             let name = format!("traffic-{i}");
             let run = move || {
-                // An error means that `stop` was dropped: the end was asked for.
+                // An error means that `stop` was closed, which ends the thread.
                 let _ = smol::block_on(executor.run(stopped.recv()));
             };
             threads.push(thread::Builder::new().name(name).spawn(run)?);
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The executor the threads run.
+    /// Executor that the threads run.
     #[must_use]
     pub fn executor(&self) -> &Executor {
         &self.executor
