--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -1,12 +1,12 @@
-//! The entry instance: listeners, traffic threads, one control thread.
+//! The entry instance: three listeners, traffic threads and one control thread.
 //!
-//! Life cycle, by type: [`Bound`] has its sockets and secret, [`Running`]
-//! serves, and [`Running::stop`] consumes it, so that nothing can be asked of
-//! a daemon that has stopped.
+//! The type encodes the state: [`Bound`] holds open sockets and the secret,
+//! [`Running`] serves, and [`Running::stop`] consumes it, so that a stopped
+//! daemon can't be called.
 //!
-//! Invariant: whatever is started here has ended when [`Running::stop`]
-//! returns, and no request in flight was cut by it, unless it outlived the
-//! longest deadline.
+//! Invariant: every thread and listener started here has ended when
+//! [`Running::stop`] returns, and it interrupts a request in flight only if the
+//! request outlives the longest deadline and the grace period after it.
 
 mod accept;
 mod callers;
@@ -46,50 +46,51 @@
 use thiserror::Error;
 use trillium_http::Stopper;
 
-/// Why a daemon can't start.
+/// An error that keeps a daemon from starting.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The secret's file can't be read.
+    /// The secret file can't be read.
     #[error("can't read secret file {0}: {1}; create it, readable by its owner only")]
     SecretFile(String, io::Error),
-    /// The secret is unfit.
+    /// The secret is invalid, or others may read its file.
     #[error("secret: {0}")]
     Secret(#[from] secret::Error),
-    /// An address can't be listened on.
+    /// Binding a listener's address failed.
     #[error("can't listen on {0}: {1}; name a free address of this instance under `listen`")]
     Listen(SocketAddr, io::Error),
-    /// A thread can't be started.
+    /// The platform did not start a thread.
     #[error("can't start a thread: {0}; raise the limit on threads")]
     Thread(io::Error),
-    /// Metrics can't be set up.
+    /// The metrics can't be registered.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Longest time a stop waits for requests in flight beyond their deadlines.
+/// Time that a stop waits for requests in flight beyond the longest deadline.
 const STOP_GRACE: Duration = Duration::from_secs(5);
 
-/// Time between looks at what a stop waits for.
-const STOP_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a stop polls for requests and connections still open.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time for which a leaving instance still serves, so that callers who hold an
-/// old look-up's answer aren't refused. Longer than an answer's lifetime.
-const LEAVE_TIME: Duration = Duration::from_millis(2500);
+/// Time for which a leaving instance still accepts connections, so that callers
+/// with an unexpired look-up answer aren't rejected. It exceeds the lifetime of
+/// such an answer.
+const LEAVE_DURATION: Duration = Duration::from_millis(2500);
 
-/// Where a daemon listens.
+/// Addresses on which a daemon listens.
 #[derive(Clone, Debug, Serialize)]
 pub struct Addresses {
     /// The entry instance's name.
     pub name: Arc<str>,
-    /// Callers' listener.
+    /// Listener for callers' requests and look-ups.
     pub callers: SocketAddr,
-    /// Peers' listener.
+    /// Listener for other entry instances.
     pub peers: SocketAddr,
-    /// Operators' listener.
+    /// Listener for operators' calls.
     pub operators: SocketAddr,
 }
 
-/// A daemon whose sockets are open and whose secret is read.
+/// A daemon with open sockets and a loaded secret that does not serve yet.
 pub struct Bound {
     settings: Settings,
     secret: secret::Secret,
@@ -99,26 +100,26 @@
     addresses: Addresses,
 }
 
-/// A daemon that serves.
+/// A serving daemon.
 pub struct Running {
     addresses: Addresses,
-    longest: Duration,
+    deadline_max: Duration,
     engine: Arc<engine::Engine>,
     control: control::Handle,
     snapshot: Arc<ArcSwap<snapshot::Snapshot>>,
-    open: Arc<AtomicUsize>,
-    listening: Stopper,
-    ticking: Stopper,
+    open_connections: Arc<AtomicUsize>,
+    accept_stopper: Stopper,
+    service_stopper: Stopper,
     traffic: workers::Workers,
-    steering: workers::Workers,
+    control_workers: workers::Workers,
 }
 
 impl Bound {
-    /// Reads the secret and opens the sockets. `file` is the settings file,
-    /// whose mode is checked if the secret stands in it.
+    /// Reads the secret and opens the sockets. `file` is the settings file; its
+    /// mode is checked if it contains the secret.
     ///
     /// # Errors
-    /// If the secret or an address can't be had.
+    /// If the secret can't be read or is invalid, or if binding an address fails.
     pub fn new(settings: Settings, file: Option<&Path>) -> Result<Self, Error> {
         let secret = read_secret(&settings.secret, file)?;
         let callers = listen(settings.listen.callers)?;
@@ -140,29 +141,35 @@
         })
     }
 
-    /// Starts to serve.
+    /// Starts the threads and all listeners.
     ///
     /// # Errors
-    /// If threads or metrics can't be set up.
+    /// If a thread can't be started or the metrics can't be registered.
     pub fn start(self) -> Result<Running, Error> {
         let limits = self.settings.limits;
         let traffic = workers::Workers::start(limits.threads()).map_err(Error::Thread)?;
-        let steering = workers::Workers::start(1).map_err(Error::Thread)?;
-        let core = self.core(&traffic, &steering)?;
-        let listening = Stopper::new();
-        let ticking = Stopper::new();
-        let open = core.serve_callers(self.callers, &limits, &traffic, &listening);
-        let serving = peers::Serving {
+        let control_workers = workers::Workers::start(1).map_err(Error::Thread)?;
+        let core = self.core(&traffic, &control_workers)?;
+        let accept_stopper = Stopper::new();
+        let service_stopper = Stopper::new();
+        let open_connections = core.serve_callers(self.callers, &limits, &traffic, &accept_stopper);
+        let service = peers::Service {
             secret: self.secret.clone(),
             engine: Arc::clone(&core.engine),
             control: core.control.clone(),
-            traffic: Arc::clone(traffic.executor()),
-            steering: Arc::clone(steering.executor()),
+            traffic_executor: Arc::clone(traffic.executor()),
+            control_executor: Arc::clone(control_workers.executor()),
         };
-        let peering = peers::serve(self.peers, serving, ticking.clone());
-        steering.executor().spawn(peering).detach();
-        core.serve_operators(self.operators, self.secret, &limits, &steering, &ticking);
-        let ticks = tick(Arc::clone(&core.engine), ticking.clone());
+        let serve_peers = peers::serve(self.peers, service, service_stopper.clone());
+        control_workers.executor().spawn(serve_peers).detach();
+        core.serve_operators(
+            self.operators,
+            self.secret,
+            &limits,
+            &control_workers,
+            &service_stopper,
+        );
+        let ticks = tick(Arc::clone(&core.engine), service_stopper.clone());
         traffic.executor().spawn(ticks).detach();
         log::info!(
             "event=started name={} callers={}",
@@ -171,102 +178,107 @@
         );
         Ok(Running {
             addresses: self.addresses,
-            longest: limits.request_time(),
+            deadline_max: limits.request_time(),
             engine: core.engine,
             control: core.control,
             snapshot: core.snapshot,
-            open,
-            listening,
-            ticking,
+            open_connections,
+            accept_stopper,
+            service_stopper,
             traffic,
-            steering,
+            control_workers,
         })
     }
 
-    fn core(&self, traffic: &workers::Workers, steering: &workers::Workers) -> Result<Core, Error> {
+    fn core(
+        &self,
+        traffic: &workers::Workers,
+        control_workers: &workers::Workers,
+    ) -> Result<Core, Error> {
         let settings = &self.settings;
         let metrics = Arc::new(metrics::Metrics::new()?);
         let snapshot = Arc::new(ArcSwap::from_pointee(snapshot::Snapshot::default()));
-        let pulse = Arc::new(snapshot::Pulse::default());
+        let last_run = Arc::new(snapshot::LastRun::default());
         let incarnation = view::Incarnation(fastrand::u64(1..));
         let executor = Arc::clone(traffic.executor());
         let store = store::http::Config::new(settings.store.clone());
         let store = store::http::Client::new(store, Arc::clone(&executor), fastrand::Rng::new());
         let store: Arc<dyn store::Store> = Arc::new(store);
-        let home = dispatch::Identity {
+        let identity = dispatch::Identity {
             name: Arc::clone(&settings.name),
             domain: Arc::clone(&settings.domain),
         };
         let limits = gate::Limits::default();
         let tuning = tuning(&settings.limits);
         let rng = fastrand::Rng::new();
-        let decide = traffic::Traffic::with_tuning(home.clone(), incarnation, limits, tuning, rng);
+        let decisions =
+            traffic::Traffic::with_tuning(identity.clone(), incarnation, limits, tuning, rng);
         let idle = settings.limits.target_connections();
-        let means = engine::Means {
+        let resources = engine::Resources {
             executor: Arc::clone(&executor),
             outbound: outbound::Outbound::new(Arc::clone(&executor), idle),
-            peers: self.peering(executor, peers::Lane::Traffic),
+            peers: self.peer_calls(executor, peers::Lane::Traffic),
             store: Arc::clone(&store),
         };
-        let engine = engine::Engine::new(decide, home, incarnation, means);
-        let parts = control::Parts {
+        let engine = engine::Engine::new(decisions, identity, incarnation, resources);
+        let context = control::Context {
             settings: settings.clone(),
             addresses: self.addresses.clone(),
             incarnation,
             engine: Arc::clone(&engine),
-            peers: self.peering(Arc::clone(steering.executor()), peers::Lane::Control),
+            peers: self.peer_calls(Arc::clone(control_workers.executor()), peers::Lane::Control),
             snapshot: Arc::clone(&snapshot),
-            pulse: Arc::clone(&pulse),
+            last_run: Arc::clone(&last_run),
             metrics: Arc::clone(&metrics),
             store,
         };
         Ok(Core {
             engine,
-            control: control::Handle::start(parts, steering.executor()),
+            control: control::Handle::start(context, control_workers.executor()),
             snapshot,
-            pulse,
+            last_run,
             metrics,
         })
     }
 
-    fn peering(&self, executor: workers::Executor, lane: peers::Lane) -> Arc<peers::Peers> {
+    fn peer_calls(&self, executor: workers::Executor, lane: peers::Lane) -> Arc<peers::Peers> {
         Arc::new(peers::Peers::new(executor, self.secret.clone(), lane))
     }
 }
 
-/// What the listeners share.
+/// State shared by the listeners.
 struct Core {
     engine: Arc<engine::Engine>,
     control: control::Handle,
     snapshot: Arc<ArcSwap<snapshot::Snapshot>>,
-    pulse: Arc<snapshot::Pulse>,
+    last_run: Arc<snapshot::LastRun>,
     metrics: Arc<metrics::Metrics>,
 }
 
 impl Core {
-    /// Gives the count of callers' open connections.
+    /// Starts the callers' listener; returns the number of its open connections.
     fn serve_callers(
         &self,
         socket: net::TcpListener,
         limits: &limits::Limits,
         traffic: &workers::Workers,
-        listening: &Stopper,
+        accept_stopper: &Stopper,
     ) -> Arc<AtomicUsize> {
         let callers = Arc::new(callers::Callers {
             snapshot: Arc::clone(&self.snapshot),
-            pulse: Arc::clone(&self.pulse),
+            last_run: Arc::clone(&self.last_run),
             engine: Arc::clone(&self.engine),
             metrics: Arc::clone(&self.metrics),
-            longest: limits.request_time(),
+            deadline_max: limits.request_time(),
         });
         let bounds = accept::Limits {
             bounds: bounds(limits),
-            head: limits.head_bytes(),
-            body: limits.body_bytes() as u64,
+            head_bytes: limits.head_bytes(),
+            body_bytes: limits.body_bytes() as u64,
             connections: limits.connections(),
         };
         let executor = Arc::clone(traffic.executor());
-        let listener = accept::Listener::new(bounds, executor, listening.clone());
+        let listener = accept::Listener::new(bounds, executor, accept_stopper.clone());
         let open = listener.count();
         let answer = move |conn, peer| callers::Callers::handle(Arc::clone(&callers), conn, peer);
         let run = listener.run(socket, answer);
@@ -279,8 +291,8 @@
         socket: net::TcpListener,
         secret: secret::Secret,
         limits: &limits::Limits,
-        steering: &workers::Workers,
-        ticking: &Stopper,
+        control_workers: &workers::Workers,
+        service_stopper: &Stopper,
     ) {
         let operators = Arc::new(operators::Operators {
             secret,
@@ -289,15 +301,16 @@
             metrics: Arc::clone(&self.metrics),
         });
         let bounds = operators::limits(bounds(limits));
-        let executor = Arc::clone(steering.executor());
-        let listener = accept::Listener::new(bounds, executor, ticking.clone());
+        let executor = Arc::clone(control_workers.executor());
+        let listener = accept::Listener::new(bounds, executor, service_stopper.clone());
         let answer = move |conn, _| operators::Operators::handle(Arc::clone(&operators), conn);
         let run = listener.run(socket, answer);
-        steering.executor().spawn(run).detach();
+        control_workers.executor().spawn(run).detach();
     }
 }
 
-/// The dispatcher bounds a caller by its share of the instance.
+/// Converts the settings' limits. The dispatcher bounds each caller's requests by a
+/// percentage of all requests in flight or queued, so the count is converted.
 fn tuning(limits: &limits::Limits) -> tuning::Tuning {
     let all = limits.in_flight() + limits.queue();
     let caller = limits.caller_in_flight() * 100 / all.max(1);
@@ -316,86 +329,89 @@
 
 fn bounds(limits: &limits::Limits) -> guarded::Bounds {
     guarded::Bounds {
-        whole: limits.request_time(),
-        idle: limits.idle_time(),
-        ahead: limits.head_bytes() + 2 * limits.body_bytes(),
+        transfer_time: limits.request_time(),
+        idle_time: limits.idle_time(),
+        unanswered_max: limits.head_bytes() + 2 * limits.body_bytes(),
     }
 }
 
 impl Running {
-    /// Where the daemon listens.
+    /// Addresses on which the daemon listens.
     #[must_use]
     pub const fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Whether look-ups are answered.
+    /// Returns true if look-ups are answered.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.snapshot.load().ready
     }
 
-    /// Version in force; 0 if there is none.
+    /// Configuration version in force; 0 before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.control.version()
     }
 
-    /// Entry instances believed alive, this one included.
+    /// Number of entry instances in the view in force, this one included.
     #[must_use]
     pub fn members(&self) -> usize {
         self.snapshot.load().view.members.len()
     }
 
-    /// Bytes and messages of control sent to peers so far, without framing.
+    /// Control bytes and messages sent to peers so far; framing is not counted.
     #[must_use]
     pub fn peer_traffic(&self) -> (u64, u64) {
         self.control.peer_traffic()
     }
 
-    /// Waits until a newer process has taken the name over: then this one is to
-    /// finish what it has and stop.
+    /// Waits until a newer process runs under this instance's name. This process
+    /// must then finish its requests and stop.
     pub async fn replaced(&self) {
         self.control.replaced().await;
     }
 
-    /// Shuts down gracefully: leaves the look-ups' answers, tells the peers,
-    /// serves on for as long as callers may hold an old answer, finishes what
-    /// is in flight, and joins every thread.
+    /// Shuts down gracefully: announces to the peers that the instance is leaving,
+    /// which removes it from look-up answers, serves until earlier answers have
+    /// expired, finishes the requests in flight, and joins every thread.
     pub fn stop(self) {
         log::info!("event=leaving name={}", self.addresses.name);
         self.control.leave();
-        let until = Instant::now() + LEAVE_TIME + self.longest + STOP_GRACE;
-        let left = Instant::now() + LEAVE_TIME;
-        while Instant::now() < left {
-            std::thread::sleep(STOP_POLL);
+        let stop_until = Instant::now() + LEAVE_DURATION + self.deadline_max + STOP_GRACE;
+        let leave_until = Instant::now() + LEAVE_DURATION;
+        while Instant::now() < leave_until {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
-        self.listening.stop();
-        while self.busy() && Instant::now() < until {
-            std::thread::sleep(STOP_POLL);
+        self.accept_stopper.stop();
+        while self.is_busy() && Instant::now() < stop_until {
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
-        let cut = self.engine.in_flight();
-        self.ticking.stop();
+        let cut_requests = self.engine.in_flight();
+        self.service_stopper.stop();
         self.control.stop();
         self.traffic.join();
-        self.steering.join();
-        log::info!("event=stopped name={} cut={cut}", self.addresses.name);
+        self.control_workers.join();
+        log::info!(
+            "event=stopped name={} cut={cut_requests}",
+            self.addresses.name
+        );
     }
 
-    fn busy(&self) -> bool {
-        !self.engine.drained() || self.open.load(Ordering::Relaxed) > 0
+    fn is_busy(&self) -> bool {
+        !self.engine.is_drained() || self.open_connections.load(Ordering::Relaxed) > 0
     }
 }
 
-/// Time between ticks while nothing is in flight. Ticks that wake an idle
-/// process a hundred times a second take a whole percent of a core.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+/// Interval between ticks while nothing is in flight. Waking an idle process a
+/// hundred times a second takes a full percent of a core.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn tick(engine: Arc<engine::Engine>, stopper: Stopper) {
     while !stopper.is_stopped() {
-        if engine.drained() {
+        if engine.is_drained() {
             let rest = async {
-                smol::Timer::after(IDLE_TICK).await;
+                smol::Timer::after(IDLE_TICK_INTERVAL).await;
             };
             future::or(engine.arrival(), rest).await;
         } else {
--- a/crates/auburnrouter/src/daemon/operators.rs
+++ b/crates/auburnrouter/src/daemon/operators.rs
@@ -1,19 +1,19 @@
-//! What operators may ask, on a listener of their own.
+//! The operators' API, on a listener of its own.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `GET /metrics` | the metrics, as text |
 //! | `GET /dump` | the state of the process, as JSON |
-//! | `GET /config` | the files in force, as JSON |
-//! | `GET /status` | the version in force at every instance reached, as JSON |
+//! | `GET /config` | the configuration files in force, as JSON |
+//! | `GET /status` | the version in force at each entry instance, as JSON |
 //! | `GET /changes/{id}` | whether that change was accepted, as JSON |
-//! | `POST /apply` | makes a change; says what became of it |
+//! | `POST /apply` | applies a configuration change; the answer gives its result, as JSON |
 //!
-//! Every call wants `Authorization: Bearer SECRET`. The listener runs on the
-//! control thread, so that it answers while traffic threads are overloaded.
+//! Every call requires `Authorization: Bearer SECRET`. The listener runs on the
+//! control thread, so that it answers while the traffic threads are overloaded.
 //!
-//! Invariant: nothing is answered, not even whether a path exists, before the
-//! secret has been compared, in constant time.
+//! Invariant: a call without the secret gets status 401 whether or not its path
+//! exists, and the secret is compared in constant time.
 
 use std::sync::Arc;
 
@@ -30,47 +30,47 @@
 use super::metrics::Metrics;
 use super::reply;
 
-/// Longest body that operators may send: a whole configuration.
-const BODY_MAX: u32 = 256 << 20;
+/// Maximum size of an operator's request body, which holds a full configuration.
+const BODY_MAX_BYTES: u32 = 256 << 20;
 
-/// What the operators' listener needs.
+/// State of the operators' listener.
 pub struct Operators {
-    /// What callers of this listener must know.
+    /// Shared secret that every call must present.
     pub secret: Secret,
-    /// The control thread.
+    /// Handle to the control thread.
     pub control: control::Handle,
     /// The traffic engine.
     pub engine: Arc<Engine>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
 }
 
-/// Where changes are asked for by their ids.
-const CHANGES: &str = "/changes/";
+/// Path prefix of queries for a change by its id.
+const CHANGES_PATH: &str = "/changes/";
 
-/// What became of a change; `None` if nobody can tell any more.
+/// Acceptance of a change; `None` if it can't be determined, or no longer.
 #[derive(Debug, Serialize)]
-struct Fate {
+struct ChangeStatus {
     accepted: Option<bool>,
 }
 
-/// The files in force.
+/// Version and files of the configuration in force.
 #[derive(Debug, Serialize)]
 struct Config {
     version: u64,
     files: Vec<control::File>,
 }
 
-/// Bounds on the operators' listener.
+/// Limits of the operators' listener.
 #[must_use]
 pub const fn limits(bounds: Bounds) -> Limits {
     Limits {
         bounds: Bounds {
-            ahead: BODY_MAX as usize,
+            unanswered_max: BODY_MAX_BYTES as usize,
             ..bounds
         },
-        head: 16 << 10,
-        body: BODY_MAX as u64,
+        head_bytes: 16 << 10,
+        body_bytes: BODY_MAX_BYTES as u64,
         connections: 64,
     }
 }
@@ -78,7 +78,7 @@
 impl Operators {
     /// Answers one call.
     pub async fn handle(self: Arc<Self>, mut conn: Conn) -> Conn {
-        if !self.knows_secret(&conn) {
+        if !self.has_secret(&conn) {
             conn.set_status(401);
             return conn;
         }
@@ -88,9 +88,9 @@
             (Method::Get, "/dump") => self.dump(conn).await,
             (Method::Get, "/config") => self.config(conn),
             (Method::Get, "/status") => reply::json(conn, Status::Ok, &self.control.status().await),
-            (Method::Get, path) if path.starts_with(CHANGES) => {
-                let accepted = self.control.accepted(&path[CHANGES.len()..]).await;
-                reply::json(conn, Status::Ok, &Fate { accepted })
+            (Method::Get, path) if path.starts_with(CHANGES_PATH) => {
+                let accepted = self.control.accepted(&path[CHANGES_PATH.len()..]).await;
+                reply::json(conn, Status::Ok, &ChangeStatus { accepted })
             }
             (Method::Post, "/apply") => self.apply(conn).await,
             _ => {
@@ -100,12 +100,12 @@
         }
     }
 
-    fn knows_secret(&self, conn: &Conn) -> bool {
-        let given = conn
+    fn has_secret(&self, conn: &Conn) -> bool {
+        let presented = conn
             .request_headers()
             .get_str(KnownHeaderName::Authorization);
-        let given = given.and_then(|v| v.strip_prefix("Bearer "));
-        given.is_some_and(|g| g.as_bytes().ct_eq(self.secret.bytes()).into())
+        let presented = presented.and_then(|v| v.strip_prefix("Bearer "));
+        presented.is_some_and(|g| g.as_bytes().ct_eq(self.secret.bytes()).into())
     }
 
     fn metrics(&self, mut conn: Conn) -> Conn {
@@ -131,10 +131,10 @@
     }
 
     fn config(&self, conn: Conn) -> Conn {
-        let force = self.control.force();
+        let active = self.control.active_config();
         let config = Config {
-            version: force.as_ref().map_or(0, |f| f.version.0),
-            files: force.map(|f| f.listing()).unwrap_or_default(),
+            version: active.as_ref().map_or(0, |f| f.version.0),
+            files: active.map(|f| f.listing()).unwrap_or_default(),
         };
         reply::json(conn, Status::Ok, &config)
     }
