--- a/crates/auburnrouter/src/daemon/engine/errand.rs
+++ b/crates/auburnrouter/src/daemon/engine/operation.rs
@@ -1,6 +1,7 @@
-//! One action that takes time: carried out, then reported to the decisions.
+//! Asynchronous actions of the dispatcher.
 //!
-//! Invariant: an errand reports exactly once, unless it is cancelled.
+//! Invariant: an operation with a result reports it at most once; an attempt reports
+//! exactly once unless it is cancelled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,94 +15,94 @@
 use crate::daemon::inbound::Inbound;
 use crate::daemon::{outbound, peers};
 
-/// What is to be done.
+/// Kind and parameters of an operation.
 pub enum Kind {
-    /// Send a request to a place.
+    /// Send a request to a target or a peer.
     Attempt {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
-        /// The attempt's name.
+        /// Id of the attempt.
         attempt: arrival::AttemptId,
-        /// Its name on the wire.
+        /// Name of the attempt on the wire.
         name: Arc<str>,
-        /// Where to.
-        place: dispatch::Destination,
-        /// What to send.
+        /// Target or peer to send it to.
+        destination: dispatch::Destination,
+        /// Request to send.
         request: Arc<Inbound>,
     },
-    /// Send a request to its key's owner.
+    /// Forward a request to the owner of its key.
     Forward {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
-        /// Where the owner listens.
+        /// Address of the owner's peer listener.
         addr: SocketAddr,
-        /// What to send.
+        /// Request to send.
         request: Arc<Inbound>,
     },
-    /// Ask a witness.
+    /// Ask a witness about a key.
     Ask {
-        /// The question's name.
+        /// Id of the question.
         ask: record::QuestionId,
-        /// Where the witness listens.
+        /// Address of the witness's peer listener.
         addr: SocketAddr,
         /// The question.
         question: record::Question,
     },
     /// Claim a key in the store, or read its claim.
     Store {
-        /// The request's name.
+        /// Id of the request.
         id: arrival::RequestId,
         /// The key.
         key: Arc<str>,
-        /// The call.
+        /// Whether to create or to read the claim.
         call: record::StoreCall,
     },
-    /// Ask a peer for a part of a cap.
+    /// Borrow part of a peer's share of a cap.
     Borrow {
-        /// Where the peer listens.
+        /// Address of the peer's listener.
         addr: SocketAddr,
-        /// The cap.
+        /// Route that the cap applies to.
         route: share::Route,
-        /// How much of it.
+        /// Amount requested.
         amount: u64,
-        /// When the decision was made.
+        /// Time of the decision to borrow.
         asked: Time,
     },
-    /// Ask a target how it is.
+    /// Query a target's load and state.
     Probe {
-        /// Its name.
+        /// Name of the target.
         target: Arc<str>,
-        /// Where it listens.
+        /// Address of the target.
         addr: SocketAddr,
     },
-    /// Tell the peers how many targets broke under a request.
+    /// Report to the peers how many targets broke under a request.
     Suspect {
-        /// The request's fingerprint.
+        /// Fingerprint of the request.
         fingerprint: arrival::Fingerprint,
-        /// Targets that broke.
+        /// Number of targets that broke.
         strikes: u8,
     },
-    /// Tell a target that an answer is no longer wanted.
+    /// Notify a target that an attempt was cancelled.
     Cancel {
-        /// Where the target listens.
+        /// Address of the target.
         addr: SocketAddr,
-        /// The attempt's name on the wire.
+        /// Name of the attempt on the wire.
         name: Arc<str>,
     },
 }
 
-/// An action under way.
-pub struct Errand {
-    /// Whom to report to.
+/// An operation in progress.
+pub struct Operation {
+    /// Engine that gets the result.
     pub engine: Arc<Engine>,
-    /// What to do.
+    /// Kind and parameters.
     pub kind: Kind,
-    /// Time for it.
+    /// Time limit.
     pub budget: Duration,
 }
 
-impl Errand {
-    /// Carries it out and reports.
+impl Operation {
+    /// Executes the operation and reports its result to the engine.
     pub async fn run(self) {
         let Self {
             engine,
@@ -113,32 +114,31 @@
                 id,
                 attempt,
                 name,
-                place,
+                destination,
                 request,
             } => {
-                let ended = engine.carry(&place, &name, &request, budget).await;
-                engine.ended(id, attempt, &place, ended);
+                let ended = engine
+                    .send_attempt(&destination, &name, &request, budget)
+                    .await;
+                engine.finish_attempt(id, attempt, &destination, ended);
             }
             Kind::Forward { id, addr, request } => {
-                let calls = &engine.means.peers;
-                let ending = calls
+                let peers = &engine.resources.peers;
+                let outcome = peers
                     .forward(addr, &request, budget, engine.hop(true))
                     .await;
-                engine.report(traffic::Event::Forwarded {
-                    id,
-                    outcome: ending,
-                });
+                engine.report(traffic::Event::Forwarded { id, outcome });
             }
             Kind::Ask {
                 ask,
                 addr,
                 question,
             } => {
-                let word = engine.means.peers.ask(addr, &question, budget).await;
-                engine.report(traffic::Event::AskEnded { ask, reply: word });
+                let reply = engine.resources.peers.ask(addr, &question, budget).await;
+                engine.report(traffic::Event::AskEnded { ask, reply });
             }
             Kind::Store { id, key, call } => {
-                let result = claim::settle(&*engine.means.store, &key, call, budget).await;
+                let result = claim::settle(&*engine.resources.store, &key, call, budget).await;
                 engine.report(traffic::Event::Stored { id, result });
             }
             Kind::Borrow {
@@ -147,8 +147,8 @@
                 amount,
                 asked,
             } => {
-                let calls = &engine.means.peers;
-                let lent = calls.borrow(addr, &route, amount, budget).await;
+                let peers = &engine.resources.peers;
+                let lent = peers.borrow(addr, &route, amount, budget).await;
                 if let Some(amount) = lent {
                     engine.report(traffic::Event::LoanGranted {
                         route,
@@ -158,31 +158,34 @@
                 }
             }
             Kind::Probe { target, addr } => {
-                let report = engine.means.outbound.probe(addr, budget).await;
+                let report = engine.resources.outbound.probe(addr, budget).await;
                 engine.report(traffic::Event::Probed { target, report });
             }
             Kind::Suspect {
                 fingerprint,
                 strikes,
             } => {
-                let peers = engine.others.load();
-                let print = fingerprint;
-                engine.means.peers.suspect(&peers, print, strikes, budget);
+                let peers = engine.peer_addrs.load();
+                let digest = fingerprint;
+                engine
+                    .resources
+                    .peers
+                    .suspect(&peers, digest, strikes, budget);
             }
-            Kind::Cancel { addr, name } => engine.means.outbound.cancel(addr, &name).await,
+            Kind::Cancel { addr, name } => engine.resources.outbound.cancel(addr, &name).await,
         }
     }
 }
 
 impl Engine {
-    async fn carry(
+    async fn send_attempt(
         &self,
-        place: &dispatch::Destination,
+        destination: &dispatch::Destination,
         name: &str,
         request: &Inbound,
         budget: Duration,
-    ) -> outbound::Ended {
-        match place {
+    ) -> outbound::AttemptResult {
+        match destination {
             dispatch::Destination::Target { addr, .. } => {
                 let attempt = outbound::Attempt {
                     name,
@@ -190,44 +193,44 @@
                     request,
                     budget,
                 };
-                self.means.outbound.send(attempt).await
+                self.resources.outbound.send(attempt).await
             }
             dispatch::Destination::Member { peer, .. } => {
-                let calls = &self.means.peers;
-                let ending = calls.forward(*peer, request, budget, self.hop(false)).await;
-                ending.into()
+                let peers = &self.resources.peers;
+                let outcome = peers.forward(*peer, request, budget, self.hop(false)).await;
+                outcome.into()
             }
         }
     }
 
-    fn ended(
+    fn finish_attempt(
         &self,
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
-        place: &dispatch::Destination,
-        ended: outbound::Ended,
+        destination: &dispatch::Destination,
+        ended: outbound::AttemptResult,
     ) {
         let mut inner = self.lock();
-        let Some(flight) = inner.land(attempt) else {
+        let Some(active) = inner.remove_attempt(attempt) else {
             return;
         };
         if let Some(report) = ended.report {
-            let target = Arc::clone(place.name());
+            let target = Arc::clone(destination.name());
             self.handle(&mut inner, traffic::Event::Report { target, report });
         }
         let event = traffic::Event::Ended {
             id,
             attempt,
-            outcome: ended.ending,
+            outcome: ended.outcome,
         };
         self.handle(&mut inner, event);
         drop(inner);
-        // The flight holds the very task that runs this; dropped any earlier,
-        // it would be cancelled in the middle of its report.
-        drop(flight);
+        // `active` owns the task that runs this function. Dropping it earlier would
+        // cancel the task before the report.
+        drop(active);
     }
 
-    /// What a peer is told of a hop.
+    /// Describes a hop to the peer that receives the request.
     fn hop(&self, owned: bool) -> peers::Hop {
         let region = self.region.load();
         let via = region.as_ref().map(|name| Arc::clone(&**name));
