--- a/crates/auburnrouter/src/direct/source/apply.rs
+++ b/crates/auburnrouter/src/direct/source/apply.rs
@@ -10,13 +10,13 @@
 use steer::clock::Time;
 use steer::process::direct::StoreContact;
 use steer::process::direct::replica::Update;
-use wire::near;
+use wire::direct;
 
 use super::super::{Shared, events, lock, member};
 
 /// Applies the answer of another instance to a query sent at `sent_at`. Returns
 /// whether it could be decoded.
-pub(super) fn apply_changes(shared: &Shared, changes: near::Changes, sent_at: Time) -> bool {
+pub(super) fn apply_changes(shared: &Shared, changes: direct::Changes, sent_at: Time) -> bool {
     let contact = changes.contact();
     let now = shared.now();
     let stale = changes.staleness(now.since(sent_at));
@@ -49,7 +49,7 @@
     shared.update(|now, direct| direct.peer_answered(now, contact, revision));
     let mut targets = Vec::new();
     for item in &changed {
-        match (item.key.strip_prefix(entry::PREFIX), &item.value) {
+        match (item.key.strip_prefix(entry::TARGET_PREFIX), &item.value) {
             (Some(id), Some(value)) => targets.push((id, &**value)),
             _ => apply_item(shared, &item.key, item.value.as_deref()),
         }
@@ -65,7 +65,7 @@
 /// Applies one item other than a target entry that has a value, which
 /// [`put_targets`] takes. Unknown keys are ignored.
 fn apply_item(shared: &Shared, key: &str, value: Option<&[u8]>) {
-    if key == document::KEY {
+    if key == document::CONFIG_KEY {
         if let Some(value) = value {
             install_config(shared, value);
         }
@@ -76,7 +76,7 @@
             domains.push(domain.into());
         }
         set_evacuated(shared, domains);
-    } else if let Some(id) = key.strip_prefix(entry::PREFIX) {
+    } else if let Some(id) = key.strip_prefix(entry::TARGET_PREFIX) {
         remove_target(shared, id);
     } else if let Some(name) = key.strip_prefix(member::KEY_PREFIX) {
         put_member(shared, name, value);
@@ -97,7 +97,7 @@
         }
         Err(error) => {
             shared.update(|_, direct| direct.config_unreadable());
-            events::input_rejected(shared, document::KEY, &error.to_string());
+            events::input_rejected(shared, document::CONFIG_KEY, &error.to_string());
         }
     }
 }
@@ -148,7 +148,7 @@
 /// Adds, updates or removes the registration of an instance. One that can't be read
 /// counts as removed.
 fn put_member(shared: &Shared, name: &str, value: Option<&[u8]>) {
-    let registration = match value.map(serde_json::from_slice::<near::Row>) {
+    let registration = match value.map(serde_json::from_slice::<direct::Row>) {
         Some(Ok(registration)) => Some(registration.into()),
         Some(Err(error)) => {
             events::input_rejected(shared, name, &error.to_string());
