--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -42,7 +42,7 @@
 
 /// Twin of [`steer::process::member::Lifecycle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Life {
+pub enum Lifecycle {
     /// Takes new work.
     Live,
     /// Finishes what it has.
@@ -69,12 +69,13 @@
     /// Raised with each change of its life.
     pub serial: u32,
     /// Where it is in its life.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub lifecycle: Lifecycle,
 }
 
 /// Twin of [`steer::process::member::HealthSummary`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vitals {
+pub struct HealthSummary {
     /// Version in force.
     pub version: u64,
     /// Load in 1/255.
@@ -98,7 +99,7 @@
 
 /// Twin of [`steer::process::control::message::DomainSeen`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct DomainSeen {
     /// Name of the failure domain.
     pub domain: String,
     /// Milliseconds since the sender heard it.
@@ -107,9 +108,10 @@
 
 /// Twin of [`steer::process::control::message::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's.
-    pub vitals: Vitals,
+    #[serde(rename = "vitals")]
+    pub health: HealthSummary,
     /// Whether an answer is wanted.
     pub reply: bool,
     /// Sender's own time in microseconds.
@@ -117,16 +119,19 @@
     /// Receiver's newest probe.
     pub echo: Option<u64>,
     /// Serial of the receiver's tombstone at the sender.
-    pub held: Option<u32>,
+    #[serde(rename = "held")]
+    pub tombstone: Option<u32>,
     /// Digest of the sender's table.
-    pub total: [u8; 8],
+    #[serde(rename = "total")]
+    pub table_digest: [u8; 8],
     /// Domains that the sender hears.
-    pub heard: Vec<Heard>,
+    #[serde(rename = "heard")]
+    pub domains_seen: Vec<DomainSeen>,
 }
 
 /// Twin of [`steer::process::control::message::DomainHeartbeat`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Across {
+pub struct DomainHeartbeat {
     /// The sender's domain, in short.
     pub summary: Summary,
     /// Digest of its rows.
@@ -138,7 +143,8 @@
     /// Receiver's newest probe.
     pub echo: Option<u64>,
     /// Serial of the receiver's tombstone at the sender.
-    pub held: Option<u32>,
+    #[serde(rename = "held")]
+    pub tombstone: Option<u32>,
 }
 
 /// Twin of [`steer::process::member::table::Digest`].
@@ -192,23 +198,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// Heartbeat within a domain.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// Heartbeat between domains.
-    Across(Across),
+    #[serde(rename = "Across")]
+    DomainHeartbeat(DomainHeartbeat),
     /// Digests to compare.
     Sync(Vec<Digest>),
     /// Asks for domains' rows.
-    Want(Vec<String>),
+    #[serde(rename = "Want")]
+    RecordsRequest(Vec<String>),
     /// Rows.
-    Rows(Vec<Record>),
+    #[serde(rename = "Rows")]
+    Records(Vec<Record>),
     /// The receiver's name was taken over.
     Superseded(Stamp),
     /// The receiver's predecessor gave up its shares.
     Succeeded(Stamp),
     /// Asks about a process.
-    Ask(String),
+    #[serde(rename = "Ask")]
+    PeerQuery(String),
     /// Answer to it.
-    Told {
+    #[serde(rename = "Told")]
+    PeerSeen {
         /// The process's name.
         name: String,
         /// Which process.
--- a/crates/wire/src/heartbeat/convert.rs
+++ b/crates/wire/src/heartbeat/convert.rs
@@ -10,11 +10,11 @@
 use steer::version::view;
 
 use super::{
-    Across, Beat, Body, Change, Content, Digest, File, Head, Heard, Life, Malformed, Message,
-    NAME_MAX, Record, Stamp, Summary, Vitals,
+    Body, Change, Content, Digest, DomainHeartbeat, DomainSeen, File, Head, HealthSummary,
+    Heartbeat, Lifecycle, Malformed, Message, NAME_MAX, Record, Stamp, Summary,
 };
 
-fn name(name: String) -> Result<Arc<str>, Malformed> {
+fn checked_name(name: String) -> Result<Arc<str>, Malformed> {
     if name.is_empty() || name.len() > NAME_MAX {
         return Err(Malformed::Name(name.len()));
     }
@@ -43,9 +43,9 @@
     }
 }
 
-impl From<member::Lifecycle> for Life {
-    fn from(life: member::Lifecycle) -> Self {
-        match life {
+impl From<member::Lifecycle> for Lifecycle {
+    fn from(lifecycle: member::Lifecycle) -> Self {
+        match lifecycle {
             member::Lifecycle::Live => Self::Live,
             member::Lifecycle::Leaving => Self::Leaving,
             member::Lifecycle::Released => Self::Released,
@@ -54,13 +54,13 @@
     }
 }
 
-impl From<Life> for member::Lifecycle {
-    fn from(life: Life) -> Self {
-        match life {
-            Life::Live => Self::Live,
-            Life::Leaving => Self::Leaving,
-            Life::Released => Self::Released,
-            Life::Dead => Self::Dead,
+impl From<Lifecycle> for member::Lifecycle {
+    fn from(lifecycle: Lifecycle) -> Self {
+        match lifecycle {
+            Lifecycle::Live => Self::Live,
+            Lifecycle::Leaving => Self::Leaving,
+            Lifecycle::Released => Self::Released,
+            Lifecycle::Dead => Self::Dead,
         }
     }
 }
@@ -75,7 +75,7 @@
             peer: identity.peer,
             stamp: record.stamp.into(),
             serial: record.serial,
-            life: record.lifecycle.into(),
+            lifecycle: record.lifecycle.into(),
         }
     }
 }
@@ -85,8 +85,8 @@
 
     fn try_from(record: Record) -> Result<Self, Malformed> {
         let identity = member::Identity {
-            name: name(record.name)?,
-            domain: name(record.domain)?,
+            name: checked_name(record.name)?,
+            domain: checked_name(record.domain)?,
             addr: record.addr,
             peer: record.peer,
         };
@@ -94,27 +94,27 @@
             identity,
             stamp: record.stamp.into(),
             serial: record.serial,
-            lifecycle: record.life.into(),
+            lifecycle: record.lifecycle.into(),
         })
     }
 }
 
-impl From<member::HealthSummary> for Vitals {
-    fn from(vitals: member::HealthSummary) -> Self {
+impl From<member::HealthSummary> for HealthSummary {
+    fn from(health: member::HealthSummary) -> Self {
         Self {
-            version: vitals.version.0,
-            load: vitals.load,
-            store: vitals.store,
+            version: health.version.0,
+            load: health.load,
+            store: health.store,
         }
     }
 }
 
-impl From<Vitals> for member::HealthSummary {
-    fn from(vitals: Vitals) -> Self {
+impl From<HealthSummary> for member::HealthSummary {
+    fn from(health: HealthSummary) -> Self {
         Self {
-            version: view::Version(vitals.version),
-            load: vitals.load,
-            store: vitals.store,
+            version: view::Version(health.version),
+            load: health.load,
+            store: health.store,
         }
     }
 }
@@ -141,79 +141,83 @@
     }
 }
 
-impl From<&message::DomainSeen> for Heard {
-    fn from(heard: &message::DomainSeen) -> Self {
+impl From<&message::DomainSeen> for DomainSeen {
+    fn from(seen: &message::DomainSeen) -> Self {
         Self {
-            domain: heard.domain.to_string(),
-            age_ms: millis(heard.age),
+            domain: seen.domain.to_string(),
+            age_ms: millis(seen.age),
         }
     }
 }
 
-impl TryFrom<Heard> for message::DomainSeen {
+impl TryFrom<DomainSeen> for message::DomainSeen {
     type Error = Malformed;
 
-    fn try_from(heard: Heard) -> Result<Self, Malformed> {
+    fn try_from(seen: DomainSeen) -> Result<Self, Malformed> {
         Ok(Self {
-            domain: name(heard.domain)?,
-            age: Duration::from_millis(heard.age_ms.into()),
+            domain: checked_name(seen.domain)?,
+            age: Duration::from_millis(seen.age_ms.into()),
         })
     }
 }
 
-impl From<&message::Heartbeat> for Beat {
-    fn from(beat: &message::Heartbeat) -> Self {
+impl From<&message::Heartbeat> for Heartbeat {
+    fn from(heartbeat: &message::Heartbeat) -> Self {
         Self {
-            vitals: beat.health.into(),
-            reply: beat.reply,
-            probe: beat.probe.as_micros(),
-            echo: beat.echo.map(Time::as_micros),
-            held: beat.tombstone,
-            total: beat.table_digest.to_le_bytes(),
-            heard: beat.domains_seen.iter().map(Heard::from).collect(),
+            health: heartbeat.health.into(),
+            reply: heartbeat.reply,
+            probe: heartbeat.probe.as_micros(),
+            echo: heartbeat.echo.map(Time::as_micros),
+            tombstone: heartbeat.tombstone,
+            table_digest: heartbeat.table_digest.to_le_bytes(),
+            domains_seen: heartbeat
+                .domains_seen
+                .iter()
+                .map(DomainSeen::from)
+                .collect(),
         }
     }
 }
 
-impl TryFrom<Beat> for message::Heartbeat {
+impl TryFrom<Heartbeat> for message::Heartbeat {
     type Error = Malformed;
 
-    fn try_from(beat: Beat) -> Result<Self, Malformed> {
-        let heard = beat.heard.into_iter().map(TryFrom::try_from);
+    fn try_from(heartbeat: Heartbeat) -> Result<Self, Malformed> {
+        let domains = heartbeat.domains_seen.into_iter().map(TryFrom::try_from);
         Ok(Self {
-            health: beat.vitals.into(),
-            reply: beat.reply,
-            probe: Time::from_micros(beat.probe),
-            echo: beat.echo.map(Time::from_micros),
-            tombstone: beat.held,
-            table_digest: u64::from_le_bytes(beat.total),
-            domains_seen: heard.collect::<Result<_, _>>()?,
+            health: heartbeat.health.into(),
+            reply: heartbeat.reply,
+            probe: Time::from_micros(heartbeat.probe),
+            echo: heartbeat.echo.map(Time::from_micros),
+            tombstone: heartbeat.tombstone,
+            table_digest: u64::from_le_bytes(heartbeat.table_digest),
+            domains_seen: domains.collect::<Result<_, _>>()?,
         })
     }
 }
 
-impl From<message::DomainHeartbeat> for Across {
-    fn from(across: message::DomainHeartbeat) -> Self {
+impl From<message::DomainHeartbeat> for DomainHeartbeat {
+    fn from(heartbeat: message::DomainHeartbeat) -> Self {
         Self {
-            summary: across.summary.into(),
-            digest: across.digest.to_le_bytes(),
-            reply: across.reply,
-            probe: across.probe.as_micros(),
-            echo: across.echo.map(Time::as_micros),
-            held: across.tombstone,
+            summary: heartbeat.summary.into(),
+            digest: heartbeat.digest.to_le_bytes(),
+            reply: heartbeat.reply,
+            probe: heartbeat.probe.as_micros(),
+            echo: heartbeat.echo.map(Time::as_micros),
+            tombstone: heartbeat.tombstone,
         }
     }
 }
 
-impl From<Across> for message::DomainHeartbeat {
-    fn from(across: Across) -> Self {
+impl From<DomainHeartbeat> for message::DomainHeartbeat {
+    fn from(heartbeat: DomainHeartbeat) -> Self {
         Self {
-            summary: across.summary.into(),
-            digest: u64::from_le_bytes(across.digest),
-            reply: across.reply,
-            probe: Time::from_micros(across.probe),
-            echo: across.echo.map(Time::from_micros),
-            tombstone: across.held,
+            summary: heartbeat.summary.into(),
+            digest: u64::from_le_bytes(heartbeat.digest),
+            reply: heartbeat.reply,
+            probe: Time::from_micros(heartbeat.probe),
+            echo: heartbeat.echo.map(Time::from_micros),
+            tombstone: heartbeat.tombstone,
         }
     }
 }
@@ -232,7 +236,7 @@
 
     fn try_from(digest: Digest) -> Result<Self, Malformed> {
         Ok(Self {
-            domain: name(digest.domain)?,
+            domain: checked_name(digest.domain)?,
             value: u64::from_le_bytes(digest.value),
         })
     }
@@ -270,12 +274,12 @@
         let change = |c: Change| {
             Ok(config::Change {
                 version: view::Version(c.version),
-                id: name(c.id)?,
+                id: checked_name(c.id)?,
             })
         };
         let file = |f: File| {
             Ok(config::File {
-                name: name(f.name)?,
+                name: checked_name(f.name)?,
                 hash: config::Hash(f.hash),
             })
         };
@@ -313,17 +317,19 @@
     fn from(content: &message::Content) -> Self {
         use message::Content as Inner;
         match content {
-            Inner::Heartbeat(beat) => Self::Beat(beat.into()),
-            Inner::DomainHeartbeat(across) => Self::Across((*across).into()),
+            Inner::Heartbeat(heartbeat) => Self::Heartbeat(heartbeat.into()),
+            Inner::DomainHeartbeat(heartbeat) => Self::DomainHeartbeat((*heartbeat).into()),
             Inner::Sync(digests) => Self::Sync(digests.iter().map(Digest::from).collect()),
             Inner::RecordsRequest(domains) => {
-                Self::Want(domains.iter().map(ToString::to_string).collect())
+                Self::RecordsRequest(domains.iter().map(ToString::to_string).collect())
+            }
+            Inner::Records(records) => {
+                Self::Records(records.iter().map(|r| Record::from(&**r)).collect())
             }
-            Inner::Records(rows) => Self::Rows(rows.iter().map(|r| Record::from(&**r)).collect()),
             Inner::Superseded(stamp) => Self::Superseded((*stamp).into()),
             Inner::Succeeded(stamp) => Self::Succeeded((*stamp).into()),
-            Inner::PeerQuery(name) => Self::Ask(name.to_string()),
-            Inner::PeerSeen { name, stamp, age } => Self::Told {
+            Inner::PeerQuery(name) => Self::PeerQuery(name.to_string()),
+            Inner::PeerSeen { name, stamp, age } => Self::PeerSeen {
                 name: name.to_string(),
                 stamp: (*stamp).into(),
                 age_ms: millis(*age),
@@ -341,25 +347,28 @@
 
     fn try_from(content: Content) -> Result<Self, Malformed> {
         Ok(match content {
-            Content::Beat(beat) => Self::Heartbeat(beat.try_into()?),
-            Content::Across(across) => Self::DomainHeartbeat(across.into()),
-            Content::Sync(digests) => Self::Sync(each(digests)?),
-            Content::Want(domains) => {
-                Self::RecordsRequest(domains.into_iter().map(name).collect::<Result<_, _>>()?)
-            }
-            Content::Rows(rows) => {
-                let rows: Vec<member::Record> = each(rows)?;
-                Self::Records(rows.into_iter().map(Arc::new).collect())
+            Content::Heartbeat(heartbeat) => Self::Heartbeat(heartbeat.try_into()?),
+            Content::DomainHeartbeat(heartbeat) => Self::DomainHeartbeat(heartbeat.into()),
+            Content::Sync(digests) => Self::Sync(convert_all(digests)?),
+            Content::RecordsRequest(domains) => Self::RecordsRequest(
+                domains
+                    .into_iter()
+                    .map(checked_name)
+                    .collect::<Result<_, _>>()?,
+            ),
+            Content::Records(records) => {
+                let records: Vec<member::Record> = convert_all(records)?;
+                Self::Records(records.into_iter().map(Arc::new).collect())
             }
             Content::Superseded(stamp) => Self::Superseded(stamp.into()),
             Content::Succeeded(stamp) => Self::Succeeded(stamp.into()),
-            Content::Ask(asked) => Self::PeerQuery(name(asked)?),
-            Content::Told {
-                name: told,
+            Content::PeerQuery(queried) => Self::PeerQuery(checked_name(queried)?),
+            Content::PeerSeen {
+                name: seen,
                 stamp,
                 age_ms,
             } => Self::PeerSeen {
-                name: name(told)?,
+                name: checked_name(seen)?,
                 stamp: stamp.into(),
                 age: Duration::from_millis(age_ms.into()),
             },
@@ -374,7 +383,7 @@
 }
 
 /// Converts a list, or gives the first error.
-fn each<W, T: TryFrom<W, Error = Malformed>>(list: Vec<W>) -> Result<Vec<T>, Malformed> {
+fn convert_all<W, T: TryFrom<W, Error = Malformed>>(list: Vec<W>) -> Result<Vec<T>, Malformed> {
     list.into_iter().map(T::try_from).collect()
 }
 
