--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -1,16 +1,16 @@
-//! Growing, jittered pauses after failures.
+//! Exponential backoff with jitter.
 //!
-//! Invariant: pauses of instances that failed at the same moment differ, so
-//! that a store which comes back is not met by all of them at once.
+//! Invariant: the delays of instances that failed at the same moment are spread
+//! by jitter, so that they don't all reach a recovering store at once.
 
 use core::time::Duration;
 
-/// Bounds of the pauses.
+/// Bounds on the delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Longest first pause.
+    /// Upper bound on the delay after the first failure.
     pub initial: Duration,
-    /// Longest pause.
+    /// Upper bound on every delay.
     pub max: Duration,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Failures in a row.
+/// Backoff state: the number of consecutive failures.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     bounds: Bounds,
@@ -31,7 +31,7 @@
 }
 
 impl Backoff {
-    /// After no failure.
+    /// Creates a backoff without failures.
     #[must_use]
     pub const fn new(bounds: Bounds) -> Self {
         Self {
@@ -40,8 +40,9 @@
         }
     }
 
-    /// Counts a failure. Returns the pause before the next try: between half
-    /// of a span, which doubles with each failure, and the whole span.
+    /// Records a failure and returns the delay before the next attempt. It is drawn
+    /// between half of a span and the full span, which doubles with each failure up
+    /// to the maximum.
     pub fn record_failure(&mut self, rng: &mut fastrand::Rng) -> Duration {
         let doubled = 1_u32.checked_shl(self.failures).unwrap_or(u32::MAX);
         let span = self.bounds.initial.saturating_mul(doubled);
@@ -50,7 +51,7 @@
         span.mul_f64(0.5 + 0.5 * rng.f64())
     }
 
-    /// Counts a success.
+    /// Records a success, which resets the delays.
     pub const fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/store/src/counters.rs
+++ b/crates/store/src/counters.rs
@@ -1,10 +1,12 @@
-//! Counts of calls and failures, read by metrics.
+//! Counters of calls and failures, exported as metrics.
+//!
+//! Invariant: counters only grow.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::error::{Error, Kind};
 
-/// Calls made and how they failed, since the start.
+/// Numbers of calls and of failures by kind, since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
     calls: AtomicU64,
@@ -12,13 +14,13 @@
 }
 
 impl Counters {
-    /// Calls sent to the store.
+    /// Returns the number of calls started, one for each address that was tried.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Failures of one kind, whether or not the call was sent.
+    /// Returns the number of failed calls of one kind, whether or not they were sent.
     #[must_use]
     pub fn failures(&self, kind: Kind) -> u64 {
         self.failures[kind as usize].load(Ordering::Relaxed)
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,69 +1,75 @@
-//! How a call of the store fails, and whether it may have taken effect.
+//! Errors of store calls, and whether the call may have taken effect.
+//!
+//! Invariant: an error that leaves the effect of a write open is never classified
+//! as without effect.
 
 use std::time::Duration;
 
 use wire::kv;
 
-/// Whether a failed write may have been made.
+/// Possible effect of a failed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Certainly not, and it won't be.
+    /// The write was not applied and will not be.
     None,
-    /// It may have been, or may yet be.
+    /// The write may have been applied, or may be applied later.
     Unknown,
 }
 
-/// Why a call failed.
+/// Reasons why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The condition of a write did not hold.
-    #[error("the key changed meanwhile; read it again and decide anew")]
+    #[error("the key changed since it was read; the write was not applied")]
     Conflict {
-        /// What is there now; `None` if the key does not exist.
+        /// Current entry; `None` if the key does not exist.
         current: Option<kv::Entry>,
     },
-    /// The lease lapsed, or never was.
-    #[error("the lease lapsed; give up what was held under it and ask for a new one")]
+    /// The lease expired or never existed.
+    #[error("the lease expired or does not exist; a new one is needed")]
     LeaseLapsed,
-    /// The value is too large.
-    #[error("the value has {bytes} bytes, more than the store takes; split it")]
+    /// The value exceeds the store's size limit.
+    #[error(
+        "the value has {bytes} bytes; the store takes at most {}",
+        kv::VALUE_MAX
+    )]
     TooLarge {
-        /// Its size in bytes.
+        /// Size of the value in bytes.
         bytes: usize,
     },
-    /// The key has characters that the store's addresses can't carry.
-    #[error("key `{key}` has characters besides A-Z a-z 0-9 . _ - /; encode it")]
+    /// The key has characters that a URL path of the store can't carry.
+    #[error("key `{key}` is invalid; allowed are A-Z a-z 0-9 . _ - / without `./`")]
     BadKey {
-        /// The key.
+        /// Rejected key.
         key: String,
     },
-    /// Too many calls are under way.
-    #[error("too many calls of the store are under way; make fewer at a time")]
+    /// The limit of concurrent calls is reached.
+    #[error("too many concurrent calls to the store")]
     Busy,
-    /// All addresses failed lately and are given a rest.
-    #[error("the store failed lately; ask again in {} ms", .after.as_millis())]
+    /// All addresses failed recently and are backing off.
+    #[error("all addresses of the store failed recently; next attempt in {} ms", .after.as_millis())]
     BackingOff {
-        /// Time until one of them is tried again.
+        /// Time until one of the addresses may be tried again.
         after: Duration,
     },
     /// No connection could be opened.
     #[error("no connection to the store; check its addresses in the settings and the network")]
     Unreachable,
-    /// The call was sent and no whole answer came in time.
-    #[error("no answer from the store in time; if it was a write, read the key to learn its fate")]
+    /// The call was not completed in time; it may have been sent.
+    #[error("no response from the store within the timeout; a write may have been applied")]
     TimedOut,
-    /// The call was sent and the connection broke.
-    #[error("the store's answer was lost; if it was a write, read the key to learn its fate")]
+    /// The connection broke after the call may have been sent.
+    #[error("the connection to the store broke; a write may have been applied")]
     Lost,
-    /// The store answered something that its protocol does not have.
-    #[error("the store answered {status}; look at the store, and read the key again")]
+    /// The response does not conform to the store's protocol.
+    #[error("unexpected response from the store, status {status}; a write may have been applied")]
     BadAnswer {
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
     },
 }
 
-/// Kinds of errors, for counters.
+/// Kinds of errors, used as labels of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// [`Error::Conflict`]
@@ -89,7 +95,7 @@
 }
 
 impl Kind {
-    /// All kinds, in order.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::Conflict,
         Self::LeaseLapsed,
@@ -103,7 +109,7 @@
         Self::BadAnswer,
     ];
 
-    /// The word that counters use.
+    /// Returns the label that counters use.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -122,7 +128,7 @@
 }
 
 impl Error {
-    /// Whether the call, if it was a write, may have been made.
+    /// Returns whether a write that failed with this error may have been applied.
     #[must_use]
     pub const fn effect(&self) -> Effect {
         match self {
@@ -137,7 +143,8 @@
         }
     }
 
-    /// Whether the store itself failed, rather than refused.
+    /// Returns whether the store failed or could not be reached, rather than rejected
+    /// the call.
     #[must_use]
     pub const fn is_outage(&self) -> bool {
         matches!(
@@ -150,7 +157,7 @@
         )
     }
 
-    /// Its kind.
+    /// Returns the kind of this error.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self {
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,7 +1,7 @@
-//! The store over HTTP, at one or several addresses.
+//! HTTP client of the store, with one or several addresses.
 //!
-//! Invariants: a call ends within its time; no more calls are under way than
-//! allowed; a write that may have left is not sent to another address.
+//! Invariants: a call ends by its deadline; the number of concurrent calls is
+//! bounded; a write that may have been sent is not sent to another address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,25 +25,25 @@
 
 mod addresses;
 
-/// How the store is reached.
+/// Addresses and limits of the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Where it listens; the first that answers is kept.
+    /// Addresses of the store. The client stays with one until a call there fails.
     pub addrs: Vec<SocketAddr>,
-    /// Time for opening a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Time for a whole call; a watch has its own wait besides.
+    /// Timeout of a call over all addresses tried; a watch adds its wait to it.
     pub call_timeout: Duration,
-    /// Calls under way at a time, watches apart.
+    /// Upper bound on concurrent calls other than watches.
     pub calls_max: usize,
-    /// Watches under way at a time.
+    /// Upper bound on concurrent watches.
     pub watches_max: usize,
-    /// Pauses of an address that failed.
+    /// Bounds on the backoff of an address that failed.
     pub backoff: Bounds,
 }
 
 impl Config {
-    /// The usual bounds for a store at these addresses.
+    /// Creates a configuration with default limits for these addresses.
     #[must_use]
     pub fn new(addrs: Vec<SocketAddr>) -> Self {
         Self {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A client of the store.
+/// Client of the store.
 pub struct Client {
     config: Config,
     pool: Arc<pool::Pool>,
@@ -67,7 +67,7 @@
     counters: Counters,
 }
 
-/// Largest answer read, in bytes: a listing holds many values.
+/// Upper bound on a response body; large, since a listing holds many values.
 const RESPONSE_BYTES_MAX: usize = 64 << 20;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -90,12 +90,12 @@
 }
 
 impl Client {
-    /// A client that has not connected yet. Its connections are driven on
-    /// `executor`, which somebody has to run.
+    /// Creates a client without connections. They are driven on `executor`, which the
+    /// caller has to run.
     #[must_use]
     pub fn new(config: Config, executor: pool::Executor, rng: fastrand::Rng) -> Self {
         let limits = pool::Limits {
-            // Watches hold a connection each, for as long as they wait.
+            // Each watch occupies a connection while it waits.
             connections_max: config.calls_max + config.watches_max,
             warm_connections: 0,
             connect_timeout: config.connect_timeout,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Counts of calls and failures.
+    /// Returns the counters of calls and failures.
     #[must_use]
     pub const fn counters(&self) -> &Counters {
         &self.counters
@@ -170,7 +170,7 @@
         let (response, connection) = exchange.split();
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), RESPONSE_BYTES_MAX);
-        // A half-read answer drops its connection with it.
+        // If the body can't be read to its end, the connection is dropped.
         let body = body.collect().await.map_err(|_| Error::Lost)?.to_bytes();
         connection.put_back();
         if status >= 500 {
@@ -305,7 +305,7 @@
             .header(header::HOST, addr.to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(self.body.clone()));
-        // Keys are checked before, so the path always fits a request.
+        // Keys are validated before, so that the path is a valid URI.
         request.map_err(|_| Error::BadKey {
             key: self.path.to_owned(),
         })
--- a/crates/store/src/http/addresses.rs
+++ b/crates/store/src/http/addresses.rs
@@ -1,7 +1,8 @@
-//! Which address is asked next, and which ones rest after a failure.
+//! Selection of the store's address, with backoff after failures.
 //!
-//! Invariant: many calls that fail together count as one failure, else a burst
-//! would rest an address for the longest pause at the first hiccup.
+//! Invariant: calls that fail while an address is backing off count as one failure.
+//! Otherwise a burst of concurrent calls would raise the backoff to its maximum at
+//! a short outage.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -21,7 +22,7 @@
     rng: fastrand::Rng,
 }
 
-/// The addresses of the store.
+/// Addresses of the store and their backoff state.
 pub(super) struct Addresses(Mutex<State>);
 
 impl Addresses {
@@ -38,7 +39,7 @@
         }))
     }
 
-    /// The address to ask, or the time until the first one ends its rest.
+    /// Returns the preferred usable address, or the time until one becomes usable.
     pub(super) fn pick(&self, now: Instant) -> Result<SocketAddr, Duration> {
         let mut state = self.lock();
         let count = state.addresses.len();
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client tells what may have happened, and bounds what it asks for.
+//! Tests the client: error classification, failover, limits and backoff.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -22,7 +22,7 @@
     fake::Store::start(fake::Config { listen, lag }).unwrap()
 }
 
-/// Times that tests need not wait long for, yet ample for a busy machine.
+/// Short timeouts that still suffice on a busy machine.
 fn config(addrs: &[SocketAddr]) -> Config {
     Config {
         call_timeout: Duration::from_millis(500),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs a test on an executor that also drives the client's connections.
+/// Runs a test on the executor that drives the client's connections.
 fn run(test: impl AsyncFnOnce(&pool::Executor)) {
     let executor = pool::Executor::default();
     smol::block_on(executor.run(test(&executor)));
@@ -44,8 +44,8 @@
     Client::new(config, Arc::clone(executor), fastrand::Rng::with_seed(SEED))
 }
 
-/// An address that nothing listens on.
-fn nowhere() -> SocketAddr {
+/// Returns an address without a listener.
+fn unused_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
@@ -105,8 +105,8 @@
 
 #[test]
 fn watch_misses_events() {
-    // The write happens while the watch waits, but the store tells nothing. The
-    // watch comes back empty after its time; the next one sees the write.
+    // The store reports no event for a write during the watch. The watch must end
+    // empty after its wait, and the next one must see the write.
     run(async |executor| {
         let store = start();
         store.fault(Fault::MissedEvents);
@@ -132,8 +132,8 @@
 #[case::slow(Fault::Slow { ms: 1500 }, Kind::TimedOut, true)]
 #[case::lost(Fault::LostAnswer { prefix: String::new(), reads: false }, Kind::Lost, true)]
 fn failed_write_is_in_doubt(#[case] fault: Fault, #[case] kind: Kind, #[case] made: bool) {
-    // The call was sent and no answer tells whether it was made. In some cases
-    // it was, in others not: the client must call all of them unknown.
+    // No response tells whether the write was applied. With some faults it was,
+    // with others not; the client must report all of them as unknown.
     run(async |executor| {
         let store = start();
         store.fault(fault);
@@ -145,15 +145,15 @@
         assert_eq!((error.kind(), error.effect()), (kind, Effect::Unknown));
         assert_eq!(client.counters().failures(kind), 1);
         let writes = || store.stats().writes;
-        assert_eq!(writes(), 1, "a write in doubt is not sent again");
+        assert_eq!(writes(), 1, "a write with unknown effect is not sent again");
         store.fault(Fault::None);
-        let found = holds(&client, made).await;
+        let found = key_exists(&client, made).await;
         assert_eq!(found, made);
     });
 }
 
-/// Reads until the store answers what is `wanted`, for at most a few seconds.
-async fn holds(client: &Client, wanted: bool) -> bool {
+/// Reads until the existence of the key is as `wanted`, for at most 8 s.
+async fn key_exists(client: &Client, wanted: bool) -> bool {
     let until = Instant::now() + Duration::from_secs(8);
     loop {
         let found = client.get("a").await.map(|entry| entry.is_some());
@@ -167,7 +167,7 @@
 #[test]
 fn unreachable_write_was_not_made() {
     run(async |executor| {
-        let client = client(executor, config(&[nowhere()]));
+        let client = client(executor, config(&[unused_addr()]));
         let error = client
             .put("a", put("1", kv::Expect::Any))
             .await
@@ -181,10 +181,10 @@
 fn next_address_is_asked() {
     run(async |executor| {
         let store = start();
-        let client = client(executor, config(&[nowhere(), store.addr()]));
+        let client = client(executor, config(&[unused_addr(), store.addr()]));
         client.put("a", put("1", kv::Expect::Any)).await.unwrap();
         assert_eq!(client.counters().calls(), 2);
-        // The address that answered is kept.
+        // The client stays with the address that answered.
         client.get("a").await.unwrap();
         assert_eq!(client.counters().calls(), 3);
     });
@@ -192,8 +192,8 @@
 
 #[test]
 fn write_in_doubt_is_not_repeated() {
-    // The first store made the write and its answer is lost. Sent again to the
-    // other address, an unconditional write would be made twice.
+    // The first store applies the write and its response is lost. If the client sent
+    // it to the other address, an unconditional write would be applied twice.
     run(async |executor| {
         let (first, second) = (start(), start());
         let prefix = String::new();
@@ -221,8 +221,8 @@
 
 #[test]
 fn failed_address_rests() {
-    // A caller that asks again at once does not reach the store, which may be
-    // down because of such callers; it learns when to ask.
+    // A retry without a delay must not reach the store, which may be down from such
+    // load; the error gives the remaining delay.
     run(async |executor| {
         let store = start();
         store.fault(Fault::Outage);
@@ -250,8 +250,8 @@
 
 #[test]
 fn burst_counts_as_one_failure() {
-    // Many calls fail at the same hiccup of the store. Counted one by one they
-    // would rest it for the longest pause, and the next calls with it.
+    // Many calls fail in the same short outage. If each counted as a failure, the
+    // backoff would reach its maximum at once.
     run(async |executor| {
         let store = start();
         store.fault(Fault::Outage);
@@ -271,7 +271,7 @@
         let calls = keys.iter().map(|key| client.get(key));
         let mut calls: Vec<_> = calls.collect();
         for call in &mut calls {
-            // All are under way before the first of them ends.
+            // All calls are in flight before the first one ends.
             let _ = futures_lite::future::poll_once(call).await;
         }
         for call in calls {
@@ -310,7 +310,7 @@
 #[case::parent("a/../b")]
 fn key_is_checked(#[case] key: &str) {
     run(async |executor| {
-        let client = client(executor, config(&[nowhere()]));
+        let client = client(executor, config(&[unused_addr()]));
         let error = client.get(key).await.unwrap_err();
         assert_eq!(error.kind(), Kind::BadKey);
     });
--- a/crates/store/tests/garbled.rs
+++ b/crates/store/tests/garbled.rs
@@ -1,4 +1,4 @@
-//! Answers that a store should not give, and answers that old servers give.
+//! Tests malformed responses, and responses delimited by the end of the connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 const SEED: u64 = 7;
 
-/// Answers the first call with `answer`, as it stands, and hangs up.
+/// Sends `answer` verbatim to the first call and closes the connection.
 fn serve(answer: &'static [u8]) -> (SocketAddr, smol::Task<()>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -29,7 +29,7 @@
     (addr, task)
 }
 
-/// Runs a test on an executor that also drives the client's connections.
+/// Runs a test on the executor that drives the client's connections.
 fn run(test: impl AsyncFnOnce(&pool::Executor)) {
     let executor = pool::Executor::default();
     smol::block_on(executor.run(test(&executor)));
@@ -50,8 +50,8 @@
 #[case::cut_short(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", Kind::Lost)]
 #[case::silent(b"", Kind::Lost)]
 fn garbled_answer_is_in_doubt(#[case] answer: &'static [u8], #[case] kind: Kind) {
-    // The store got the write; what came back tells nothing. The client says
-    // that the write may have been made, and does not panic.
+    // The store received the write, but the response can't be interpreted. The
+    // client must report the effect as unknown and must not panic.
     run(async |executor| {
         let (addr, task) = serve(answer);
         let put = kv::Put {
@@ -67,7 +67,7 @@
 
 #[test]
 fn answer_ends_with_connection() {
-    // An answer without a length ends where its connection does.
+    // A response without a length is complete when its connection ends.
     run(async |executor| {
         let answer = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"entries\":[]}";
         let (addr, task) = serve(answer);
