--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,16 +1,16 @@
-//! HTTP connections kept for reuse: opened, used, closed.
+//! Client-side HTTP/1.1 connection pool.
 //!
-//! The HTTP client of the house's library can't tell a request that never left
-//! from one that may have, asks for `100-continue` before each body, reads a
-//! body that ends with its connection as empty, and panics on a status that it
-//! doesn't know. `hyper`, its nearest kin, does none of that. How many
-//! connections are open, and which may be used again, is decided by
-//! [`steer::connection::pool`].
+//! It is built on `hyper`, since the HTTP client of the library used elsewhere in
+//! this workspace can't tell a request that was never sent from one that may have
+//! been, sends `Expect: 100-continue` before each body, reads a body delimited by
+//! the end of its connection as empty, and panics on an unknown status.
+//! [`steer::connection::pool`] decides how many connections are open and which are
+//! reused.
 //!
-//! Invariants: [`Error::Unsent`] is only said when no byte of the request left
-//! this process; only a connection whose last answer was read to its end goes
-//! back to the pool. A cancelled, late or broken exchange drops its connection,
-//! so that a late answer can't be read as the answer to the next request.
+//! Invariants: [`Error::Unsent`] is returned only if no byte of the request left
+//! this process. Only a connection whose last response was read to its end returns
+//! to the pool: a cancelled, late or broken exchange drops its connection, so that
+//! a late response can't be read as the response to the next request.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,53 +25,56 @@
 use steer::connection::pool;
 use thiserror::Error;
 
-/// A request as it is sent: in one piece.
+/// Request with its complete body.
 pub type Request = hyper::Request<Full<Bytes>>;
 
-/// Where the connections are driven.
+/// Executor that drives the connections.
 pub type Executor = Arc<smol::Executor<'static>>;
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections open to each address at a time.
+    /// Upper bound on open connections to each address.
     pub connections_max: usize,
-    /// Connections kept open to each address ahead of need.
+    /// Idle connections opened to each address ahead of demand.
     pub warm_connections: usize,
-    /// Time to open a connection. Where packets are dropped it is what tells
-    /// "not sent" apart from "sent, and no answer in time".
+    /// Timeout for opening a connection. Where packets are dropped, only this timeout
+    /// distinguishes a request that was not sent from one without an answer in
+    /// time.
     pub connect_timeout: Duration,
 }
 
-/// Why there is no answer's head.
+/// Reasons why no response head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// No byte of the request left.
-    #[error("no connection could be opened; check that the other end listens")]
+    /// No byte of the request was sent.
+    #[error("the request was not sent: no connection to the peer; check that it listens")]
     Unsent,
-    /// As many connections are open as may be.
-    #[error("as many connections as allowed are in use; allow more, or ask later")]
+    /// The limit on open connections is reached; nothing was sent.
+    #[error("the limit on open connections to the address is reached; nothing was sent")]
     Full,
-    /// The connection broke after some byte may have left.
-    #[error("the connection broke; the request may have run")]
+    /// The connection broke after a byte may have been sent.
+    #[error("the connection broke; the request may have been executed")]
     Broken,
-    /// What came back is not HTTP.
-    #[error("the answer can't be parsed; the request may have run")]
+    /// The response is not valid HTTP.
+    #[error("malformed response; the request may have been executed")]
     Malformed,
 }
 
-/// An open connection. Dropping it closes the socket, whatever is in flight.
+/// Open HTTP connection. Dropping it closes the socket, even with a request in
+/// flight.
 struct HttpLink {
     sender: http1::SendRequest<Full<Bytes>>,
-    /// Whether a request was sent on it.
+    /// Whether a request was sent on this connection.
     is_used: bool,
-    /// Moves the bytes; ends with the connection.
+    /// Task that performs the I/O; it is cancelled when dropped.
     _driver: smol::Task<()>,
 }
 
 type Busy = pool::Connection<HttpLink, pool::Busy>;
 
-/// Counts a connection as open until it is given back or dropped.
+/// Guard that counts a connection as open. Dropping it frees the count, unless the
+/// connection was returned to the pool.
 struct OpenSlot {
     pool: Arc<Pool>,
     addr: SocketAddr,
@@ -86,16 +89,17 @@
     }
 }
 
-/// An answer's head, and the connection its body comes on.
+/// Response head, with the connection that carries the body.
 pub struct Exchange {
-    /// The head, and the body still to be read.
+    /// Response head, and the body still to be read.
     pub response: hyper::Response<Incoming>,
     is_first: bool,
     busy: Busy,
     slot: OpenSlot,
 }
 
-/// What is left of an exchange while its body is read.
+/// Connection of an exchange whose response body is being read. Dropping it closes
+/// the connection.
 pub struct PendingBody {
     is_first: bool,
     busy: Busy,
@@ -103,7 +107,7 @@
 }
 
 impl Exchange {
-    /// The answer, apart from the connection it comes on.
+    /// Separates the response from its connection.
     #[must_use]
     pub fn split(self) -> (hyper::Response<Incoming>, PendingBody) {
         let Self {
@@ -122,14 +126,15 @@
 }
 
 impl PendingBody {
-    /// Whether the exchange was the first on its connection, so that nothing
-    /// left over from an earlier one can have been taken for its answer.
+    /// Returns whether the exchange was the first on its connection, so that its
+    /// response can't be a leftover of an earlier exchange.
     #[must_use]
     pub const fn is_first(&self) -> bool {
         self.is_first
     }
 
-    /// The answer was read to its end: the connection may be used again.
+    /// Returns the connection to the pool. To be called only once the response body
+    /// was read to its end.
     pub fn put_back(self) {
         let Self { busy, mut slot, .. } = self;
         let idle = busy.into_idle();
@@ -140,13 +145,13 @@
     }
 }
 
-/// The connections to one address.
+/// Connections to one address.
 struct AddressPool {
     addr: SocketAddr,
     pool: pool::Pool<HttpLink>,
 }
 
-/// Connections to all addresses, sorted by address.
+/// Pool of connections to any number of addresses, sorted by address.
 pub struct Pool {
     start: Instant,
     executor: Executor,
@@ -155,7 +160,7 @@
 }
 
 impl Pool {
-    /// No connections yet.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(executor: Executor, limits: Limits) -> Arc<Self> {
         Arc::new(Self {
@@ -166,11 +171,13 @@
         })
     }
 
-    /// Sends a request on an idle connection, or else on a new one. A kept
-    /// connection that turns out closed before anything left is passed over.
+    /// Sends a request on an idle connection, or on a new one if there is none. If an
+    /// idle connection turns out to be closed before a byte was sent, the next one is
+    /// tried.
     ///
     /// # Errors
-    /// No head of an answer came; says whether the request may have left.
+    /// If no response head arrived; the error tells whether the request may have been
+    /// sent.
     pub async fn send(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -201,12 +208,13 @@
         }
     }
 
-    /// Sends a request on a connection of its own, which is closed after it.
-    /// Nothing left over from another exchange can be taken for its answer, and
-    /// no idle connection can close under it: whether it ran stays known.
+    /// Sends a request on a new connection. Its response can't be a leftover of an
+    /// earlier exchange, and no idle connection can be closed by the peer just as
+    /// the request is sent, which would leave its outcome unknown.
     ///
     /// # Errors
-    /// No head of an answer came; says whether the request may have left.
+    /// If no response head arrived; the error tells whether the request may have been
+    /// sent.
     pub async fn send_dedicated(
         self: &Arc<Self>,
         addr: SocketAddr,
@@ -227,8 +235,8 @@
         }
     }
 
-    /// Keeps to these addresses, sorted, and drops the idle connections of
-    /// all others.
+    /// Keeps the pools of these addresses, which must be sorted, and drops the idle
+    /// connections to all others.
     pub fn retain_addresses(&self, addrs: &[SocketAddr]) {
         let mut pools = self.lock();
         pools.retain(|p| p.pool.open() > 0 && addrs.binary_search(&p.addr).is_ok());
@@ -238,19 +246,19 @@
         }
     }
 
-    /// Opens connections ahead of need and closes those idle too long.
+    /// Opens connections ahead of demand and closes those that were idle too long.
     pub fn maintain(self: &Arc<Self>) {
         let now = self.now();
-        let mut wanted = Vec::new();
-        let mut stale = Vec::new();
+        let mut to_warm = Vec::new();
+        let mut expired = Vec::new();
         for entry in self.lock().iter_mut() {
-            stale.extend(entry.pool.expire(now));
+            expired.extend(entry.pool.expire(now));
             if entry.pool.reserve_warm() {
-                wanted.push(entry.addr);
+                to_warm.push(entry.addr);
             }
         }
-        drop(stale);
-        for addr in wanted {
+        drop(expired);
+        for addr in to_warm {
             let shared = Arc::clone(self);
             let warm = async move {
                 match shared.connect(addr).await {
@@ -267,17 +275,17 @@
 
     async fn connect(&self, addr: SocketAddr) -> Result<HttpLink, Error> {
         let opened = async { net::TcpStream::connect(addr).await.ok() };
-        let late = async {
+        let timeout = async {
             smol::Timer::after(self.limits.connect_timeout).await;
             None
         };
-        let stream = future::or(opened, late).await.ok_or(Error::Unsent)?;
-        // Not fatal: requests are only a little later without it.
+        let stream = future::or(opened, timeout).await.ok_or(Error::Unsent)?;
+        // An error is harmless: without it, requests are slightly delayed.
         let _ = stream.set_nodelay(true);
         let io = smol_hyper::rt::FuturesIo::new(stream);
         let (sender, driver) = http1::handshake(io).await.map_err(|_| Error::Unsent)?;
         let driver = self.executor.spawn(async {
-            // Whoever waits on the connection is told of its end.
+            // Errors are reported to the pending request by the sender.
             let _ = driver.await;
         });
         Ok(HttpLink {
@@ -287,7 +295,7 @@
         })
     }
 
-    /// A connection was closed. Its address may be gone from the list.
+    /// Counts a connection as closed. Its address may have been removed meanwhile.
     fn release(&self, addr: SocketAddr) {
         let mut pools = self.lock();
         if let Ok(at) = pools.binary_search_by_key(&addr, |p| p.addr) {
@@ -323,7 +331,8 @@
     }
 }
 
-/// Sends on one connection; an error hands the request back if it never left.
+/// Sends a request on one connection. An error includes the request if no byte of it
+/// was sent.
 async fn exchange(
     mut busy: Busy,
     slot: OpenSlot,
--- a/crates/pool/tests/pool.rs
+++ b/crates/pool/tests/pool.rs
@@ -1,4 +1,5 @@
-//! The pool reuses connections, and tells what never left from what may have.
+//! Tests connection reuse, and the distinction between requests that were never
+//! sent and those that may have been.
 
 use std::net::SocketAddr;
 use std::net::TcpStream;
@@ -12,7 +13,7 @@
 use pool::{Error, Executor, Limits, Pool, Request};
 use rstest::rstest;
 
-/// Longest that any test here waits.
+/// Upper bound on the duration of a test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 const LIMITS: Limits = Limits {
@@ -21,14 +22,14 @@
     connect_timeout: Duration::from_millis(200),
 };
 
-/// Runs a test on an executor that also drives the pool's connections.
+/// Runs a test on the executor that drives the pool's connections.
 fn run(test: impl AsyncFnOnce(&Executor)) {
     let executor = Executor::default();
-    let late = async {
+    let timeout = async {
         smol::Timer::after(TEST_TIMEOUT).await;
         panic!("the test took longer than {TEST_TIMEOUT:?}");
     };
-    smol::block_on(executor.run(future::or(test(&executor), late)));
+    smol::block_on(executor.run(future::or(test(&executor), timeout)));
 }
 
 fn request(path: &str) -> Request {
@@ -42,7 +43,7 @@
     (listener, addr)
 }
 
-/// Gives each connection `answer` for each read; counts the connections.
+/// Sends `answer` for each read on a connection, and counts the connections.
 fn serve(answer: &'static [u8], hang_up: bool) -> (SocketAddr, Arc<AtomicUsize>) {
     let (listener, addr) = listen();
     listener.set_nonblocking(true).unwrap();
@@ -68,12 +69,12 @@
     }
 }
 
-/// Sends a request and reads its answer to the end.
+/// Sends a request and reads the response to its end.
 async fn fetch(pool: &Arc<Pool>, addr: SocketAddr, path: &str) -> Result<String, Error> {
-    let (response, rest) = pool.send(addr, request(path)).await?.split();
+    let (response, connection) = pool.send(addr, request(path)).await?.split();
     let body = response.into_body().collect().await;
     let body = body.map_err(|_| Error::Broken)?.to_bytes();
-    rest.put_back();
+    connection.put_back();
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -95,7 +96,8 @@
 #[case::half_head(b"HTTP/1.1 200 O", Error::Broken)]
 #[case::no_http(b"\x00what?\r\n\r\n", Error::Malformed)]
 fn send_breaks(#[case] answer: &'static [u8], #[case] error: Error) {
-    // The request was read, so it may have run; that must not read as unsent.
+    // The peer read the request and may have executed it, so the error must not be
+    // `Unsent`.
     run(async |executor| {
         let (addr, _) = serve(answer, true);
         let pool = Pool::new(Arc::clone(executor), LIMITS);
@@ -115,10 +117,9 @@
 
 #[test]
 fn send_connects_in_bounded_time() {
-    // The other end is cut off: packets to it vanish, as they do here for a
-    // listener whose backlog is full. Opening a connection would last minutes,
-    // and an attempt that ends by its own budget counts as perhaps run. Given
-    // up early it is known never to have left.
+    // Packets to the peer are dropped, as for a listener with a full backlog.
+    // Connecting would take minutes, and an attempt that ends by its own deadline
+    // counts as possibly executed. With a connect timeout it is known to be unsent.
     run(async |executor| {
         let (listener, addr) = listen();
         rustix::net::listen(&listener, 0).unwrap();
@@ -131,8 +132,8 @@
 
 #[test]
 fn dropped_exchange_is_not_reused() {
-    // A caller gives up on an answer that is on its way. The next request must
-    // not be given that answer, so it goes on a connection of its own.
+    // A caller abandons a response that is in transit. The next request must use
+    // another connection, or it would receive that response.
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
     run(async |executor| {
         let (addr, opened) = serve(answer, false);
@@ -145,8 +146,8 @@
 
 #[test]
 fn doubled_answer_is_not_reused() {
-    // The other end answers twice. What is left over on the connection would be
-    // read as the answer to the next request.
+    // The peer sends two responses to a request. The second one must not be read as
+    // the response to the next request.
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi\
                   HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold";
     run(async |executor| {
