--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -1,7 +1,7 @@
 //! Policy of when to call the store, and for what.
 //!
 //! Invariant: at most one call of each kind is pending, and at most
-//! [`BODY_READS_MAX`] reads of bodies. While the store is unavailable only its
+//! `BODY_READS_MAX` reads of bodies. While the store is unavailable only its
 //! head is read. An outage therefore costs each process one call per backoff,
 //! and the calls that find the store restored are spread over that backoff. The
 //! platform's list has a backoff of its own, as either may be unavailable
--- a/crates/steer/tests/control_scenarios/script.rs
+++ b/crates/steer/tests/control_scenarios/script.rs
@@ -39,13 +39,13 @@
 enum Fault {
     None,
     /// The write takes effect, but its answer is lost.
-    After,
+    LostAfter,
     /// The write is lost.
-    Before,
+    LostBefore,
     /// The write takes effect, and the store becomes unavailable.
-    Vanish,
+    StoreLost,
     /// The write takes effect a few seconds later, after its answer timed out.
-    Linger,
+    Delayed,
 }
 
 struct Plan {
@@ -89,7 +89,7 @@
             "store" => self.store(case),
             "process" => self.process(case),
             "versions" => self.versions(),
-            "standing" => self.standings(),
+            "standing" => self.statuses(),
             "members" => self.members(&text(case, "of")),
             "shares" => self.shares(),
             "files" => self.files(&text(case, "of")),
@@ -159,10 +159,10 @@
         let id = text(case, "id");
         let fault = match text_or(case, "fault", "none").as_str() {
             "none" => Fault::None,
-            "after" => Fault::After,
-            "before" => Fault::Before,
-            "linger" => Fault::Linger,
-            "vanish" => Fault::Vanish,
+            "after" => Fault::LostAfter,
+            "before" => Fault::LostBefore,
+            "linger" => Fault::Delayed,
+            "vanish" => Fault::StoreLost,
             other => panic!("no fault {other}"),
         };
         let place = match text_or(case, "from", "store").as_str() {
@@ -175,10 +175,10 @@
         let mut step = plan.apply.start();
         loop {
             let fleet = self.fleet();
-            let reached = !fleet.store.is_down && fleet.is_connected(place, Place::Store);
+            let is_reachable = !fleet.store.is_down && fleet.is_connected(place, Place::Store);
             let outcome = match step {
                 Step::Done(verdict) => return format!("{verdict}\n"),
-                _ if !reached => {
+                _ if !is_reachable => {
                     fleet.run(Duration::from_secs(1));
                     Outcome::Lost
                 }
@@ -267,16 +267,16 @@
     fn versions(&mut self) -> String {
         let fleet = self.fleet();
         let mut rows = Vec::new();
-        let mut back = Vec::new();
+        let mut rolled_back = Vec::new();
         for (at, node) in fleet.nodes.iter().enumerate() {
-            let old = if fleet.slots[node.slot] == at {
+            let mark = if fleet.slots[node.slot] == at {
                 ""
             } else {
                 "'"
             };
-            let name = format!("{}{old}", fleet.name(node.slot));
+            let name = format!("{}{mark}", fleet.name(node.slot));
             if node.installs.windows(2).any(|w| w[1].1 < w[0].1) {
-                back.push(name.clone());
+                rolled_back.push(name.clone());
             }
             if node.is_alive && !node.is_frozen {
                 let ready = if node.control.is_ready() { "" } else { "!" };
@@ -285,19 +285,19 @@
             }
         }
         let mut out = grouped(rows);
-        if !back.is_empty() {
-            out = format!("{out}went back: {}\n", back.join(" "));
+        if !rolled_back.is_empty() {
+            out = format!("{out}went back: {}\n", rolled_back.join(" "));
         }
         out
     }
 
     /// Status of live processes. `name'` is a process whose name was taken
     /// over.
-    fn standings(&mut self) -> String {
+    fn statuses(&mut self) -> String {
         let fleet = self.fleet();
         let live = fleet.nodes.iter().enumerate().filter(|(_, n)| n.is_alive);
         let rows = live.map(|(at, node)| {
-            let old = if fleet.slots[node.slot] == at {
+            let mark = if fleet.slots[node.slot] == at {
                 ""
             } else {
                 "'"
@@ -307,7 +307,7 @@
                 MemberStatus::Current => "current",
                 other => other.as_str(),
             };
-            (status, format!("{}{old}", fleet.name(node.slot)))
+            (status, format!("{}{mark}", fleet.name(node.slot)))
         });
         grouped(rows.collect())
     }
@@ -335,7 +335,7 @@
             else {
                 continue;
             };
-            let old = if fleet.slots[node.slot] == at {
+            let mark = if fleet.slots[node.slot] == at {
                 ""
             } else {
                 "'"
@@ -343,7 +343,7 @@
             sum += shown.share.divisor.map_or(0.0, |p| 1.0 / f64::from(p));
             rows.push((
                 shown.share.to_string(),
-                format!("{}{old}", fleet.name(node.slot)),
+                format!("{}{mark}", fleet.name(node.slot)),
             ));
         }
         format!("{}sum {sum:.2}\n", grouped(rows))
@@ -368,9 +368,9 @@
         let (domain, _) = about.split_once('-').expect("domain and number");
         let row = fleet.node(name).control.table().get(domain, about);
         let row = row.expect("a row");
-        let mut of_name = fleet.nodes.iter().filter(|n| n.slot == slot);
+        let mut processes = fleet.nodes.iter().filter(|n| n.slot == slot);
         let incarnation = row.record.stamp.incarnation;
-        let at = of_name.position(|n| n.control.record().stamp.incarnation == incarnation);
+        let at = processes.position(|n| n.control.record().stamp.incarnation == incarnation);
         let lifecycle = row.record.lifecycle.as_str();
         format!(
             "process {} of {about}: {lifecycle}\n",
@@ -401,21 +401,21 @@
         Expect::Revision(revision) => Some(revision),
     };
     match fault {
-        Fault::Before => return Outcome::Lost,
-        Fault::Linger => {
-            fleet.linger(head, base, Duration::from_secs(3));
+        Fault::LostBefore => return Outcome::Lost,
+        Fault::Delayed => {
+            fleet.delay_write(head, base, Duration::from_secs(3));
             return Outcome::Lost;
         }
-        Fault::Vanish => {
+        Fault::StoreLost => {
             let _lost: Result<(), Option<StoredHead>> = fleet.write(head, expect);
             fleet.set_store_down(true);
             return Outcome::Lost;
         }
-        Fault::None | Fault::After => {}
+        Fault::None | Fault::LostAfter => {}
     }
     let written: Result<(), Option<StoredHead>> = fleet.write(head, expect);
     match written {
-        _ if fault == Fault::After => Outcome::Lost,
+        _ if fault == Fault::LostAfter => Outcome::Lost,
         Ok(()) => Outcome::Written,
         Err(stored) => Outcome::Conflict(stored),
     }
--- a/crates/steer/tests/control_scenarios/store.rs
+++ b/crates/steer/tests/control_scenarios/store.rs
@@ -74,7 +74,7 @@
     }
 
     /// Has a write reach the store after `span`.
-    pub fn linger(&mut self, head: &Arc<Head>, expect: u64, span: Duration) {
+    pub fn delay_write(&mut self, head: &Arc<Head>, expect: u64, span: Duration) {
         let head = Arc::clone(head);
         self.push(span, Scheduled::Write { head, expect });
     }
