--- a/crates/steer/src/request/outcome.rs
+++ b/crates/steer/src/request/outcome.rs
@@ -175,30 +175,28 @@
     #[must_use]
     pub const fn remedy(self) -> &'static str {
         match self {
-            Self::TooLarge => "send a smaller body, or have the limit `body_bytes` raised",
+            Self::TooLarge => "send less at a time, or have `body_bytes` raised",
             Self::BadRequest => "correct the request before sending it again",
-            Self::UnknownService => "use the name of a configured service",
-            Self::KeyMissing => "send an Idempotency-Key formed from a look-up's answer",
-            Self::KeyMalformed => {
-                "form the Idempotency-Key from the prefix in a look-up's answer and a nonce"
-            }
-            Self::KeyExpired => "check whether the request has run; a new key runs it again",
+            Self::UnknownService => "name a service that the configuration has",
+            Self::KeyMissing => "send an Idempotency-Key made from a look-up's answer",
+            Self::KeyMalformed => "form the Idempotency-Key as a look-up's answer says",
+            Self::KeyExpired => "find out what became of the request; a new key runs it anew",
             Self::KeyReused => "use a new Idempotency-Key for a new request",
-            Self::KeyBusy => "retry with the same key to get the answer",
+            Self::KeyBusy => "ask again with the same key for the answer",
             Self::KeySealed => "send the request under a new key; this one never runs",
-            Self::Forgotten => "check the effect of the request; do not send it again",
-            Self::OwnerGone => "retry with the same key; a new key may run the request twice",
+            Self::Forgotten => "find out what became of the request; do not send it again",
+            Self::OwnerGone => "ask again with the same key; a new key may repeat the request",
             Self::Witness => "look up again and send the request under a new key",
-            Self::NotReady => "use another entry instance, or retry later",
+            Self::NotReady => "ask another entry instance, or this one later",
             Self::Leaving => "look up another entry instance",
             Self::Overloaded | Self::NoTarget | Self::Cap => {
-                "retry after the time given; a request with a key that has not run needs a new key"
+                "come back after the time given; if not run, a keyed request wants a new key"
             }
             Self::CallerLimit => "wait for requests in flight to finish",
-            Self::Deadline => "retry after the time given, or with a longer deadline",
-            Self::Store => "use a key formed from a look-up's answer, or retry later",
+            Self::Deadline => "come back after the time given, or allow more time",
+            Self::Store => "use a key made from a look-up's answer, or come back later",
             Self::Lost | Self::BadAnswer => {
-                "retry with the same key; without a key, only if running it twice is harmless"
+                "ask again with the same key; without a key, only if a repeat is harmless"
             }
             Self::Poison => "do not send this request again",
         }
