--- a/crates/auburnrouter/src/daemon/control.rs
+++ b/crates/auburnrouter/src/daemon/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: membership, configuration, the platform's list.
+//! The control thread: membership, configuration and the platform's instance list.
 //!
-//! Invariant: control state is touched by one task on one thread; traffic
-//! threads see it through published snapshots only.
+//! Invariant: one task on one thread accesses the control state; traffic threads
+//! read published snapshots only.
 
 pub mod active;
 mod apply;
@@ -31,30 +31,30 @@
 use super::snapshot::{LastRun, Snapshot};
 use super::workers::Executor;
 
-/// What the control thread works with.
+/// Settings, clients and outputs of the control thread.
 pub struct Context {
-    /// The settings.
+    /// Settings of the instance.
     pub settings: Settings,
-    /// Where the daemon listens.
+    /// Addresses on which the daemon listens.
     pub addresses: Addresses,
-    /// Which process this is.
+    /// Incarnation of this process.
     pub incarnation: view::Incarnation,
-    /// Where views are installed.
+    /// Engine in which views are installed.
     pub engine: Arc<Engine>,
-    /// Calls to peers.
+    /// Client of peers.
     pub peers: Arc<Peers>,
-    /// Where snapshots are published.
+    /// Snapshot published to the traffic threads.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
-    /// When the control loop last ran.
+    /// Time at which the control loop last ran.
     pub last_run: Arc<LastRun>,
-    /// Gauges of the control state.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Arc<dyn store::Store>,
 }
 
 impl Context {
-    /// What this process is.
+    /// Name, domain and addresses of this instance.
     #[must_use]
     pub fn identity(&self) -> member::Identity {
         member::Identity {
@@ -66,7 +66,7 @@
     }
 }
 
-/// A way to ask the control thread.
+/// Handle for calls to the control thread.
 #[derive(Clone)]
 pub struct Handle {
     context: Arc<Context>,
@@ -74,7 +74,7 @@
     active: Arc<ArcSwapOption<ActiveConfig>>,
     changing: Arc<smol::lock::Mutex<()>>,
     executor: Executor,
-    /// Closed once a newer process has taken the name over.
+    /// Closed once a newer process runs under this instance's name.
     replaced: async_channel::Receiver<()>,
 }
 
@@ -103,63 +103,63 @@
         }
     }
 
-    /// Says that this process is shutting down.
+    /// Announces that this process is shutting down.
     pub fn leave(&self) {
         self.input(driver::Input::Leave);
     }
 
-    /// Says the last word to the peers and ends the control loop; returns once
+    /// Sends the final messages to the peers and ends the control loop; blocks until
     /// it has ended.
     pub fn stop(&self) {
         let (done, ended) = async_channel::bounded(1);
         self.input(driver::Input::Stop(done));
-        // An error says the same: the loop has ended.
+        // An error also means that the loop has ended.
         let _ = ended.recv_blocking();
     }
 
-    /// Takes a peer's message.
+    /// Passes a peer's message to the control loop.
     pub fn receive(&self, message: message::Message) {
         self.input(driver::Input::Message(message));
     }
 
-    /// Bytes and messages sent to peers so far, without framing.
+    /// Bytes and messages sent to peers so far; framing is not counted.
     #[must_use]
     pub fn peer_traffic(&self) -> (u64, u64) {
         let counts = self.context.peers.counts();
         (counts.bytes(), counts.messages())
     }
 
-    /// Waits until a newer process has taken the name over.
+    /// Waits until a newer process runs under this instance's name.
     pub async fn replaced(&self) {
-        // Nothing is ever sent: the end of the channel is the word.
+        // Nothing is ever sent; the channel is closed instead.
         let _ = self.replaced.recv().await;
     }
 
-    /// What this process is.
+    /// Name, domain and addresses of this instance.
     #[must_use]
     pub fn identity(&self) -> member::Identity {
         self.context.identity()
     }
 
-    /// The configuration in force, if there is one.
+    /// Configuration in force, if any.
     #[must_use]
     pub fn active_config(&self) -> Option<Arc<ActiveConfig>> {
         self.active.load_full()
     }
 
-    /// Version in force; 0 if there is none.
+    /// Configuration version in force; 0 before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.active.load().as_ref().map_or(0, |f| f.version.0)
     }
 
-    /// Makes an operator's change, one at a time.
+    /// Applies an operator's change; changes are serialized.
     pub async fn change(&self, change: Change) -> Answer {
         let _one = self.changing.lock().await;
         apply::change(&*self.context.store, self.active_config(), change).await
     }
 
-    /// The state of the process; `None` if the control loop has ended.
+    /// Dumps the state of the process; `None` if the control loop has ended.
     pub async fn dump(&self) -> Option<Dump> {
         let (reply, told) = async_channel::bounded(1);
         self.input(driver::Input::Dump(reply));
@@ -167,7 +167,7 @@
     }
 
     fn input(&self, input: driver::Input) {
-        // It fails only once the loop has ended, when nothing is to be told.
+        // Fails only after the loop has ended; the input is dropped then.
         let _ = self.inputs.try_send(input);
     }
 }
--- a/crates/auburnrouter/src/daemon/control/active.rs
+++ b/crates/auburnrouter/src/daemon/control/active.rs
@@ -1,7 +1,7 @@
-//! The configuration in force, as files and as what they mean here.
+//! The configuration in force: its files and the plan of this failure domain.
 //!
-//! Invariant: an [`ActiveConfig`] has passed the verifier, as far as it concerns
-//! this failure domain; whoever accepted it has verified it whole.
+//! Invariant: an [`ActiveConfig`] has passed the verifier for this failure domain; the
+//! instance that accepted it has verified it for every site.
 
 use std::sync::Arc;
 
@@ -12,20 +12,20 @@
 use steer::version::view;
 use thiserror::Error;
 
-/// A version that passed the verifier.
+/// A configuration version that passed the verifier for this failure domain.
 #[derive(Debug)]
 pub struct ActiveConfig {
-    /// Its number.
+    /// Version number.
     pub version: view::Version,
-    /// Its files, sorted by name.
+    /// Files, sorted by name.
     pub files: Vec<config::File>,
-    /// Their bodies, in the same order.
+    /// Contents of the files, in the same order.
     pub bodies: Vec<config::Body>,
-    /// What they mean in this failure domain.
+    /// Plan for this failure domain.
     pub plan: plan::Plan,
 }
 
-/// Why files are no configuration.
+/// Faults that keep files from being a configuration.
 #[derive(Debug, Error)]
 pub enum Error {
     /// There is no base file.
@@ -34,22 +34,22 @@
     /// The verifier found faults.
     #[error("{}", list(.0))]
     Faults(Vec<Fault>),
-    /// A file can't be a document of the store.
+    /// A file can't be stored as a document.
     #[error(transparent)]
     Document(#[from] document::Error),
 }
 
-/// A whole configuration that was verified for every site.
+/// A full configuration that was verified for every site.
 #[derive(Debug)]
 pub struct FullConfig {
-    /// Its documents, sorted by name.
+    /// Documents, sorted by name.
     pub documents: Vec<document::Document>,
-    /// What they mean.
+    /// Verified content.
     pub checked: bundle::Checked,
 }
 
 impl ActiveConfig {
-    /// Verifies a head with its bodies, which come in the order of its files.
+    /// Verifies a head with its bodies, which must be in the order of its files.
     ///
     /// # Errors
     /// If a body is damaged or the files have faults.
@@ -70,8 +70,8 @@
         })
     }
 
-    /// The whole configuration, verified for every site; not kept, since a
-    /// process has no room for it beside the table in use.
+    /// Verifies the configuration for every site. The result is not cached: a process
+    /// has no memory for it besides the table in use.
     ///
     /// # Errors
     /// If a body is damaged or the files have faults.
@@ -96,7 +96,7 @@
     }
 }
 
-/// Sorts files by what their names say: base, overlays, client blocks.
+/// Sorts files by their names into base, overlays and client blocks.
 ///
 /// # Errors
 /// If there is no base file.
--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -1,8 +1,9 @@
-//! An operator's change: verified, judged, then decided by one write.
+//! Applies an operator's change: verifies it, limits the traffic it moves, and
+//! commits it with one write of the head document.
 //!
-//! Invariant: nothing is written before the whole configuration has passed the
-//! verifier and moves no more traffic than its caps allow. The answer never
-//! says more than is certain.
+//! Invariant: nothing is written before the full configuration has passed the
+//! verifier and moves no more traffic than its caps allow. The result is `unknown`
+//! unless it is certain.
 
 use std::sync::Arc;
 use std::thread;
@@ -23,55 +24,55 @@
 /// A file of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct File {
-    /// Its name: `base`, `overlay/SITE` or `blocks/…`.
+    /// Name of the file: `base`, `overlay/SITE` or `blocks/…`.
     pub name: String,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
 /// An operator's change: all files of the new version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Name chosen for the change, never reused.
+    /// Unique id of the change, chosen by the operator.
     pub id: String,
-    /// Version that the operator started from.
+    /// Version that the change is based on.
     pub over: u64,
-    /// All files.
+    /// All files of the new version.
     pub files: Vec<File>,
     /// Caps stated with the change, `SERVICE:FROM:TO=CAP`.
     #[serde(default)]
     pub caps: Vec<String>,
-    /// Whether only to say what would move.
+    /// If true, the change is checked but not applied.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Result {
-    /// It is accepted.
+    /// The change is accepted.
     Accepted,
-    /// It would be accepted.
+    /// A dry run passed all checks.
     WouldBe,
-    /// It has faults or moves too much.
+    /// The change has faults or moves too much traffic.
     Refused,
     /// Another change came first.
     Conflict,
-    /// It was not accepted.
+    /// The change was not accepted, certainly.
     NotAccepted,
-    /// Nobody can tell yet.
+    /// Whether the change was accepted can't be determined yet.
     Unknown,
 }
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// What became of it.
+    /// Result of the change.
     pub result: Result,
-    /// Version that it made, or that is in force instead.
+    /// Version created by the change, or else the current one.
     pub version: u64,
-    /// Lines for people: faults, moves, what to do.
+    /// Text for the operator: faults, moved traffic, remedies.
     pub lines: Vec<String>,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// Makes a change.
+/// Checks a change and applies it unless it is a dry run.
 pub async fn change(
     store: &dyn store::Store,
     active: Option<Arc<ActiveConfig>>,
@@ -100,15 +101,15 @@
     }
 }
 
-/// Weighs a change on a thread of its own: at full size it takes half a second,
-/// in which the control thread would send no heartbeat.
+/// Checks a change on a thread of its own. At full size the check takes half a second,
+/// during which the control thread could send no heartbeat.
 async fn check_on_thread(
     active: Option<Arc<ActiveConfig>>,
     change: Arc<Change>,
 ) -> std::result::Result<CheckedChange, Vec<String>> {
     let (done, checked) = async_channel::bounded(1);
     let work = move || {
-        // It fails only if nobody waits for the answer any more.
+        // Fails only if the receiver was dropped.
         let _ = done.send_blocking(check_change(active.as_deref(), &change));
     };
     let thread = thread::Builder::new().name("weigh".to_owned()).spawn(work);
@@ -117,18 +118,18 @@
         return Err(vec![line.to_owned()]);
     };
     let next = checked.recv().await;
-    // A thread that panicked left no answer, and has printed why.
+    // A thread that panicked sent no answer and printed the reason.
     let _ = thread.join();
     next.unwrap_or_else(|_| Err(vec!["the check failed; report this".to_owned()]))
 }
 
-/// A change that may be made, with what it changes and moves.
+/// A change that passed all checks, with a report of its differences.
 struct CheckedChange {
     documents: Vec<document::Document>,
     report: Vec<String>,
 }
 
-/// Verifies a change and judges what it moves; an error is the lines to show.
+/// Verifies a change and limits the traffic it moves; an error is the text to show.
 fn check_change(
     old: Option<&ActiveConfig>,
     change: &Change,
@@ -160,7 +161,7 @@
 }
 
 impl ActiveConfig {
-    /// The files as operators see them.
+    /// Lists the files with their content as text.
     pub fn listing(&self) -> Vec<File> {
         let pairs = self.files.iter().zip(&self.bodies);
         let file = |(file, body): (&config::File, &config::Body)| File {
@@ -213,15 +214,15 @@
         .as_ref()
         .and_then(|s| version_made(&s.head, &change.id))
     {
-        // The operator asks again after a lost answer.
+        // The operator repeats a change whose answer was lost.
         return verdict_answer(&Verdict::InForce(made), in_force, next.report);
     }
     if stored_version.0 != change.over {
-        // What the operator didn't know of shows as differences from it.
+        // The reported differences include those of versions unknown to the operator.
         return verdict_answer(&Verdict::Conflict(stored_version), in_force, next.report);
     }
     if stored_version > in_force {
-        // What the change moves was judged against an older version.
+        // The moved traffic was computed against an older version.
         let line = format!(
             "not accepted: {stored_version} isn't in in_force here yet; apply again at once"
         );
@@ -246,13 +247,13 @@
     }
 }
 
-/// The version that a change of this id has made already.
+/// Returns the version that a change with this id has created already.
 fn version_made(head: &config::Head, id: &str) -> Option<view::Version> {
     let made = head.recent.iter().find(|change| &*change.id == id);
     made.map(|change| change.version)
 }
 
-/// All files by hash, and the bodies that the store doesn't have yet.
+/// Returns all files with their hashes, and the bodies missing from the store.
 fn contents(
     documents: &[document::Document],
     head: Option<&config::Head>,
@@ -290,7 +291,8 @@
     }
 }
 
-/// Whether the change of this id was accepted; `None` if nobody can tell.
+/// Returns whether the change with this id was accepted; `None` if the store doesn't
+/// answer or its record of recent changes doesn't reach back far enough.
 pub async fn accepted(store: &dyn store::Store, id: &str) -> Option<bool> {
     match read(store).await {
         Ok(Some(stored)) => stored.head.accepted(view::Version(0), id),
--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -1,8 +1,8 @@
-//! The loop around the control decisions.
+//! The control loop: passes events to [`Control`] and executes its actions.
 //!
-//! Invariant: each action is carried out in the order given; calls that take
-//! time run beside the loop and report by its inbox, so that no peer and no
-//! store can hold up a heartbeat.
+//! Invariant: actions are executed in order. Calls to peers and to the store run in
+//! tasks of their own and report to the loop's inbox, so that a slow peer or store
+//! can't delay a heartbeat.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -18,33 +18,33 @@
 use super::{Context, dump, store_calls, view_builder};
 use crate::daemon::workers::Executor;
 
-/// Time between two reads of the platform's list of this domain's targets, for
-/// each hundred instances of the fleet: the store's reads a second stay about
-/// the same.
+/// Mean interval between reads of this domain's targets from the platform's list, for
+/// each hundred entry instances. Scaling it with the number of instances keeps the
+/// read rate of the store about constant.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two tries to learn who answers at a seed's address.
+/// Interval between attempts to resolve the seeds that haven't answered.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the loop takes in.
+/// Input of the control loop.
 pub enum Input {
     /// A peer's message.
     Message(message::Message),
-    /// A call of the store ended.
+    /// A call to the store ended.
     Stored(store::CallId, store::Reply),
-    /// The platform's list; `None` if it can't be had.
+    /// The platform's list of targets; `None` if the store didn't answer.
     Listed(Option<Vec<instance::Instance>>),
-    /// Who answers at the seeds' addresses.
+    /// Identities of the instances that answer at the seeds' addresses.
     Seeds(Vec<member::Hint>),
     /// This process is shutting down.
     Leave,
-    /// Say the last word and end.
+    /// Send the final messages to the peers and end.
     Stop(async_channel::Sender<()>),
-    /// Tell the state.
+    /// Dump the state of the process.
     Dump(async_channel::Sender<dump::Dump>),
 }
 
-/// The loop's state.
+/// State of the control loop.
 pub struct Driver {
     context: Arc<Context>,
     control: Control,
@@ -53,12 +53,12 @@
     executor: Executor,
     seeds: Vec<member::Hint>,
     hints: Vec<member::Hint>,
-    /// Closed once a newer process has taken the name over.
+    /// Closed once a newer process runs under this instance's name.
     superseded: async_channel::Sender<()>,
 }
 
 impl Driver {
-    /// A loop that knows nobody.
+    /// Creates a control loop that knows no peers.
     pub fn new(
         context: Arc<Context>,
         active: Arc<ArcSwapOption<ActiveConfig>>,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Runs until told to stop.
+    /// Runs until [`Input::Stop`].
     pub async fn run(mut self, inbox: async_channel::Receiver<Input>) {
         self.executor.spawn(self.poll_targets()).detach();
         self.executor.spawn(self.resolve_seeds()).detach();
@@ -141,7 +141,7 @@
         for action in actions {
             self.act(action);
         }
-        // After the actions: what a freeze changes is published by now.
+        // After the actions, so that changes after a freeze are published already.
         self.context.last_run.record(now);
     }
 
@@ -190,7 +190,7 @@
     }
 
     fn listed(&mut self, list: Option<Vec<instance::Instance>>) {
-        // No news changes nothing: the last list stays.
+        // Without an answer from the store the last list stays in use.
         if let Some(list) = list {
             self.view.list(list);
         }
@@ -236,8 +236,8 @@
         self.view.members(self.control.record(), snapshot);
     }
 
-    /// Reads this domain's targets again and again, the less often the larger the
-    /// fleet is, and at random times so that instances don't do it together.
+    /// Polls this domain's targets. The interval grows with the number of instances
+    /// and has jitter, so that instances don't read at the same time.
     fn poll_targets(&self) -> impl Future<Output = ()> + use<> {
         let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Learns who answers at the seeds' addresses, until all have.
+    /// Resolves the identities of the seeds until all have answered.
     fn resolve_seeds(&self) -> impl Future<Output = ()> + use<> {
         let context = Arc::clone(&self.context);
         let inputs = self.inputs.clone();
--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a process, for people, and the log lines of its changes.
+//! Dump of the process's state for operators, and log lines for its changes.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::Context;
 
-/// The state of a process.
+/// State of a process.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     name: Arc<str>,
@@ -25,7 +25,7 @@
     traffic: Vec<String>,
 }
 
-/// What is known of an entry instance.
+/// State of an entry instance in the membership table.
 #[derive(Debug, Serialize)]
 struct Entry {
     name: Arc<str>,
@@ -34,7 +34,7 @@
     stamp: String,
 }
 
-/// What is known of a target.
+/// State of a target in the view.
 #[derive(Debug, Serialize)]
 struct Target {
     name: Arc<str>,
@@ -43,7 +43,7 @@
 }
 
 impl Dump {
-    /// The state as it is now.
+    /// Collects the current state.
     pub fn new(context: &Context, control: &Control) -> Self {
         let snapshot = context.snapshot.load();
         let entries = control.table().rows().iter().map(|row| Entry {
@@ -78,7 +78,7 @@
     }
 }
 
-/// One log line for a change of state.
+/// Logs a change of the control state.
 pub fn log_notice(notice: &control::Notice) {
     use control::Notice;
     match notice {
--- a/crates/auburnrouter/src/daemon/control/keys.rs
+++ b/crates/auburnrouter/src/daemon/control/keys.rs
@@ -1,11 +1,11 @@
-//! Where things stand in the platform's store.
+//! Keys of the configuration in the platform's store.
 
 use steer::process::config;
 
-/// The head document.
+/// Key of the head document.
 pub const HEAD: &str = "auburnrouter/config/head";
 
-/// Where a body stands, under the hash of its content.
+/// Key of a body, which contains the hash of its content.
 #[must_use]
 pub fn body(hash: config::Hash) -> String {
     format!("auburnrouter/config/bodies/{hash}")
--- a/crates/auburnrouter/src/daemon/control/status.rs
+++ b/crates/auburnrouter/src/daemon/control/status.rs
@@ -1,7 +1,7 @@
-//! Which version is in force at every entry instance that can be reached.
+//! Collects the configuration version in force at every entry instance.
 //!
-//! Invariant: an instance that is configured or known is always listed; one
-//! that doesn't answer in time is listed as not reached.
+//! Invariant: every configured instance and every member is listed; one that doesn't
+//! answer in time is listed without a version.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 
 use super::Handle;
 
-/// Time for an instance to say its version.
+/// Timeout of a query for an instance's version.
 const VERSION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The state of the fleet as one instance sees it.
+/// Versions of all entry instances, as seen by one of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Name of the instance asked.
+    /// Name of the instance that answers.
     pub name: String,
-    /// Version in force at it; 0 if none.
+    /// Version in force at this instance; 0 if none.
     pub version: u64,
-    /// All instances, by name.
+    /// All instances, sorted by name.
     pub entries: Vec<Entry>,
 }
 
-/// One instance.
+/// Version in force at one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Version in force at it; `None` if it wasn't reached.
+    /// Version in force; `None` if the instance didn't answer.
     pub version: Option<u64>,
 }
 
 impl Handle {
-    /// Asks every member for its version.
+    /// Queries every member for its version.
     pub async fn status(&self) -> Status {
         let view = Arc::clone(&self.context.snapshot.load().view);
         let mut entries: Vec<Entry> = view
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether a change was accepted; `None` if nobody can tell any more.
+    /// Returns whether a change was accepted; `None` if it can't be determined.
     pub async fn accepted(&self, id: &str) -> Option<bool> {
         super::apply::accepted(&*self.context.store, id).await
     }
--- a/crates/auburnrouter/src/daemon/control/store_calls.rs
+++ b/crates/auburnrouter/src/daemon/control/store_calls.rs
@@ -1,7 +1,7 @@
-//! Control's calls of the store, carried out in bounded time.
+//! Executes control's calls to the store, each with a timeout.
 //!
-//! Invariant: a body is handed on only if its bytes have the hash it stands
-//! under; a document that can't be read is "malformed", never a guess.
+//! Invariant: a body is returned only if its content matches the hash in its key; a
+//! document that can't be parsed is reported as malformed.
 
 use std::time::Duration;
 
@@ -14,10 +14,11 @@
 
 use super::keys;
 
-/// Time for a call besides its own wait; below what control counts as lost.
+/// Timeout of a call, on top of the wait that it asks for. It is below the time after
+/// which control considers a call lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Carries out one call.
+/// Executes one call; a timeout is `Unavailable`.
 pub async fn run(store: &dyn store::Store, call: &Call) -> Reply {
     let wait = match call {
         Call::Watch { wait, .. } => *wait,
@@ -38,7 +39,7 @@
     future::or(work, late).await
 }
 
-/// Reads a head document.
+/// Parses a head document; `None` if it is malformed.
 #[must_use]
 pub fn parse(entry: &kv::Entry) -> Option<StoredHead> {
     Some(StoredHead {
--- a/crates/auburnrouter/src/daemon/control/view_builder.rs
+++ b/crates/auburnrouter/src/daemon/control/view_builder.rs
@@ -1,7 +1,7 @@
-//! The view in force: an accepted configuration, the platform's list, members.
+//! Builds the view from the configuration, the platform's list and the members.
 //!
-//! Invariant: a view is built from the newest of each, and published whole to
-//! the traffic threads and the engine.
+//! Invariant: a view is built from the latest version of each input, and is published
+//! as a unit to the engine and the traffic threads.
 
 use std::sync::Arc;
 
@@ -14,17 +14,17 @@
 use crate::daemon::engine::Engine;
 use crate::daemon::snapshot::Snapshot;
 
-/// Where the view is published.
+/// Receivers of the view and of the configuration.
 pub struct Outputs {
-    /// For requests.
+    /// Engine that serves requests.
     pub engine: Arc<Engine>,
-    /// For look-ups.
+    /// Snapshot that answers look-ups.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
-    /// For operators' calls.
+    /// Configuration shown to operators.
     pub active: Arc<ArcSwapOption<ActiveConfig>>,
 }
 
-/// The parts of the view.
+/// Inputs of the view and its receivers.
 pub struct ViewBuilder {
     outputs: Outputs,
     active: Option<Arc<ActiveConfig>>,
@@ -34,7 +34,7 @@
 }
 
 impl ViewBuilder {
-    /// Nothing known yet.
+    /// Creates a builder without inputs.
     pub const fn new(outputs: Outputs) -> Self {
         Self {
             outputs,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Puts a configuration in force. Gives the number of entry instances that
-    /// share its caps, if `name` is among them.
+    /// Installs a configuration. Returns the number of entry instances among which
+    /// caps are divided, or `None` if `name` is not configured.
     pub fn install(&mut self, active: ActiveConfig, name: &str) -> Option<u32> {
         let active = Arc::new(active);
         self.outputs.active.store(Some(Arc::clone(&active)));
@@ -55,7 +55,7 @@
         region_slots(&active.plan, name)
     }
 
-    /// Takes a new list of instances.
+    /// Sets the list of instances.
     pub fn list(&mut self, instances: Vec<instance::Instance>) {
         if self.instances != instances {
             self.instances = instances;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes what control says of this process and its peers.
+    /// Sets the members, and whether this process serves look-ups.
     pub fn members(&mut self, me: &member::Record, snapshot: &control::Snapshot) {
         let serving =
             snapshot.ready && me.lifecycle == member::Lifecycle::Live && may_serve(snapshot.status);
@@ -94,8 +94,8 @@
     }
 }
 
-/// Whether look-ups may be answered: not after a freeze that nobody has
-/// confirmed the end of, and not under a name that a newer process has.
+/// Returns true if look-ups may be answered: no peer has yet to confirm this process
+/// after a freeze, and no newer process runs under its name.
 const fn may_serve(status: control::MemberStatus) -> bool {
     matches!(
         status,
@@ -103,7 +103,8 @@
     )
 }
 
-/// Entry instances among whose regions' instances a cap is divided.
+/// Number of configured entry instances in the region of instance `name`, among which
+/// caps are divided.
 fn region_slots(plan: &intent::plan::Plan, name: &str) -> Option<u32> {
     let at = plan.entries.values().find(|e| &*e.name == name)?;
     let region = plan.domains[at.domain].region;
@@ -127,7 +128,7 @@
     })
 }
 
-/// A line of the platform's list, in the terms of decisions.
+/// Converts an entry of the platform's list.
 pub fn listed(instance: wire::instance::Instance) -> instance::Instance {
     let role = match instance.role {
         wire::instance::Role::Target {
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -25,7 +25,7 @@
 /// the request has certainly not been sent and can go to another target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Number of idle connections kept open to each target.
+/// Number of connections opened to each target in advance.
 const WARM_CONNECTIONS: usize = 2;
 
 /// Timeout of the call that cancels an attempt at a target.
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sets the targets; connections to others are closed.
+    /// Sets the targets; idle connections to others are dropped.
     pub fn set_targets(&self, mut addrs: Vec<SocketAddr>) {
         addrs.sort_unstable();
         addrs.dedup();
--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -1,10 +1,10 @@
-//! Calls between entry instances, by `tarpc` over TCP.
+//! Calls between entry instances, with `tarpc` over TCP.
 //!
-//! The library's futures want the timer context of another runtime; each is
-//! wrapped in a compatibility layer that provides it.
+//! The library's futures need the timer context of another runtime; a compatibility
+//! layer around each provides it.
 //!
-//! Invariant: no call is taken or made on a connection before both ends have
-//! shown that they know the shared secret.
+//! Invariant: no call is made or served on a connection before both ends have proved
+//! that they know the shared secret.
 
 mod calls;
 mod handshake;
@@ -21,37 +21,38 @@
 pub use self::calls::{Hop, Peers};
 pub use self::serving::{Service, serve};
 
-/// Calls an entry instance takes from its peers.
+/// Calls that an entry instance serves for its peers.
 #[tarpc::service]
 pub trait Peer {
-    /// Runs a request that another domain's entry instance passes on.
+    /// Runs a request forwarded by another entry instance.
     async fn forward(request: peer::Forward) -> peer::Forwarded;
 
     /// Takes a message between control states; see crate `wire`, `beat`.
     async fn tell(message: Vec<u8>);
 
-    /// Says who it is.
+    /// Returns name, domain, address and version of this instance.
     async fn who() -> peer::Who;
 
-    /// Hears how many targets broke under a request.
+    /// Reports how many targets broke under a request.
     async fn suspect(suspect: peer::Suspect);
 
-    /// Lends a part of a cap; zero is "nothing".
+    /// Lends part of this instance's share of a cap; returns the amount lent, or 0.
     async fn lend(route: wire::share::Route, amount: u64) -> u64;
 
-    /// Answers as a witness; `None` if this process is ending.
+    /// Answers a question about a key as its witness; `None` if this process is
+    /// ending.
     async fn witness(question: witness::Question) -> Option<witness::Word>;
 }
 
-/// Longest message in bytes.
+/// Maximum size of a message.
 const MESSAGE_MAX_BYTES: usize = 20 << 20;
 
-/// What a connection is for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     /// Requests, and questions about keys.
     Traffic,
-    /// Messages of control.
+    /// Control messages.
     Control,
 }
 
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -1,8 +1,8 @@
-//! Calls made to peers.
+//! Client of peers.
 //!
-//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is only said when nothing of
-//! the request left; a connection on which a call got no answer in time is not
-//! used again, since whatever it waits for may never come.
+//! Invariant: [`dispatch::AttemptOutcome::Unreachable`] is returned only if no byte of
+//! the request was sent. A connection on which a request or a question timed out is
+//! not reused, since it may be broken.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -24,31 +24,31 @@
 use crate::daemon::inbound::Inbound;
 use crate::daemon::workers::Executor;
 
-/// Time for a connection to a peer to open.
+/// Timeout for connecting to a peer, and of a call for its identity.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a message of control to be taken.
+/// Timeout of a call with a control message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between looks at messages still under way.
+/// Interval at which a flush polls for messages in flight.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A peer whose connection is open.
+/// Client on an open connection to a peer.
 struct Connection {
     addr: SocketAddr,
     client: PeerClient,
 }
 
-/// What the other end is told of a request's hop.
+/// Description of a hop, sent along with a forwarded request.
 #[derive(Clone, Debug)]
 pub struct Hop {
-    /// Whether it is asked as the owner of the request's key.
+    /// True if the request is sent to the owner of its key.
     pub owned: bool,
     /// Name of this process's region, if known.
     pub via: Option<Arc<str>>,
 }
 
-/// Bytes and messages of control sent by this process.
+/// Counts of control messages and their bytes sent by this process.
 #[derive(Debug, Default)]
 pub struct Counts {
     messages: AtomicU64,
@@ -61,18 +61,18 @@
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Messages sent.
+    /// Number of messages sent.
     pub fn messages(&self) -> u64 {
         self.messages.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent, without the framing of calls.
+    /// Number of bytes sent; the framing of calls is not counted.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a message for as long as it is under way.
+/// Counts a message while it is in flight.
 struct SendGuard(Arc<AtomicUsize>);
 
 impl SendGuard {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Connections to peers, sorted by address.
+/// Client of all peers; connections are sorted by address.
 pub struct Peers {
     executor: Executor,
     secret: Secret,
@@ -99,7 +99,7 @@
 }
 
 impl Peers {
-    /// No connections yet.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(executor: Executor, secret: Secret, lane: Lane) -> Self {
         Self {
@@ -112,13 +112,13 @@
         }
     }
 
-    /// What was sent so far.
+    /// Counts of what was sent so far.
     #[must_use]
     pub const fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Passes a request on and waits for what becomes of it.
+    /// Forwards a request and waits for its outcome.
     pub async fn forward(
         &self,
         addr: SocketAddr,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Sends a message of control; it may be lost.
+    /// Sends a control message, without a guarantee of delivery.
     pub fn tell(self: &Arc<Self>, to: SocketAddr, message: &message::Message) {
         let Ok(bytes) = heartbeat::Message::from(message).encode() else {
             return;
@@ -165,7 +165,7 @@
         self.executor.spawn(work.compat()).detach();
     }
 
-    /// Waits until messages under way have left, or had their time.
+    /// Waits until no message is in flight, for at most [`SEND_TIMEOUT`].
     pub async fn flush(&self) {
         let until = Instant::now() + SEND_TIMEOUT;
         while self.sending.load(Ordering::Relaxed) > 0 && Instant::now() < until {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Asks who listens at an address.
+    /// Queries the identity of the instance at an address; `None` if the call fails.
     pub async fn who(&self, addr: SocketAddr) -> Option<peer::Who> {
         let client = self.client(addr).await?;
         let call = client.who(context(CONNECT_TIMEOUT)).compat();
@@ -184,7 +184,7 @@
         Some(who)
     }
 
-    /// Asks a witness; `None` if no answer came.
+    /// Asks a witness about a key; `None` without an answer in time.
     pub async fn ask(
         &self,
         addr: SocketAddr,
@@ -211,7 +211,8 @@
         reply
     }
 
-    /// Asks a peer for a part of a cap; `None` if it lends none in time.
+    /// Borrows part of a peer's share of a cap; `None` if the peer lends nothing in
+    /// time.
     pub async fn borrow(
         &self,
         addr: SocketAddr,
@@ -224,8 +225,8 @@
         call.await.ok().filter(|&lent| lent > 0)
     }
 
-    /// Tells peers how many targets broke under a request. Best effort: whoever
-    /// misses it finds out by two targets of its own.
+    /// Reports to peers how many targets broke under a request. Best effort: a peer
+    /// that misses the report detects the request by two broken targets of its own.
     pub fn suspect(
         self: &Arc<Self>,
         to: &[SocketAddr],
@@ -241,7 +242,7 @@
             let peers = Arc::clone(self);
             let send = async move {
                 if let Some(client) = peers.client(addr).await {
-                    // A peer that can't be told is found out by other means.
+                    // An unreachable peer is detected by other means.
                     let _ = client.suspect(context(budget), suspect).await;
                 }
             };
@@ -291,7 +292,7 @@
 
     async fn connect(&self, addr: SocketAddr) -> Option<PeerClient> {
         let mut stream = net::TcpStream::connect(addr).await.ok()?;
-        // Not fatal: calls are only a little later without it.
+        // Not fatal: without it calls are only delayed a little.
         let _ = stream.set_nodelay(true);
         handshake::connect(&mut stream, &self.secret, self.lane)
             .await
@@ -300,7 +301,7 @@
         let new = PeerClient::new(client::Config::default(), transport);
         let dispatch = new.dispatch.compat();
         let run = async {
-            // Every call on a connection that ends gets an error of its own.
+            // The error is dropped: each call on the connection gets one of its own.
             let _ = dispatch.await;
         };
         self.executor.spawn(run).detach();
--- a/crates/auburnrouter/src/daemon/peers/handshake.rs
+++ b/crates/auburnrouter/src/daemon/peers/handshake.rs
@@ -1,10 +1,10 @@
-//! Both ends of a connection show that they know the shared secret.
+//! Mutual authentication of the two ends of a peer connection.
 //!
-//! Each end sends 16 random bytes and gets back their HMAC under the secret.
-//! The caller's proof and the listener's cover different labels, so that one
-//! can't be reflected as the other. Proofs are compared in constant time.
+//! Each end sends a 16-byte nonce and receives its HMAC under the shared secret. The
+//! connecting end's proof and the listener's cover different labels, so that a proof
+//! can't be reflected. Proofs are compared in constant time.
 //!
-//! Invariant: the secret itself never crosses the wire.
+//! Invariant: the secret itself is never sent.
 
 use std::io;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 const CALLER_LABEL: &[u8] = b"auburnrouter peer caller 1";
 const LISTENER_LABEL: &[u8] = b"auburnrouter peer listener 1";
 
-/// Time for the whole handshake; a connection that stays silent is closed.
+/// Timeout of the handshake, after which the connection is closed.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The calling end.
+/// Runs the handshake on the connecting end.
 ///
 /// # Errors
-/// If the connection breaks, is too slow, or the other end doesn't know the
-/// secret.
+/// If the connection breaks, the handshake times out, or the other end doesn't know
+/// the secret.
 pub async fn connect(stream: &mut net::TcpStream, secret: &Secret, lane: Lane) -> io::Result<()> {
     with_timeout(async {
         let theirs = read::<NONCE_LEN>(stream).await?;
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -1,7 +1,7 @@
-//! Calls taken from peers.
+//! Serves peers' calls.
 //!
-//! Invariant: requests run on the traffic threads and control's messages on the
-//! control thread, so that heartbeats don't wait behind requests.
+//! Invariant: requests run on the traffic threads and control messages on the control
+//! thread, so that heartbeats don't queue behind requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,27 +26,26 @@
 use crate::daemon::inbound::Inbound;
 use crate::daemon::workers::Executor;
 
-/// Pause after a failed accept: descriptors ran out, and trying at once would
-/// spin until some are returned.
+/// Pause after a failed accept. When file descriptors run out, an immediate retry
+/// would spin until some are closed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What serving peers needs.
+/// State of the peers' listener.
 #[derive(Clone)]
 pub struct Service {
-    /// What both ends have to know.
+    /// Secret shared by all entry instances.
     pub secret: Secret,
-    /// Where requests go.
+    /// Engine that serves forwarded requests.
     pub engine: Arc<Engine>,
-    /// Where messages of control go.
+    /// Receiver of control messages.
     pub control: control::Handle,
-    /// Where connections for requests run.
+    /// Executor of connections for requests.
     pub traffic_executor: Executor,
-    /// Where connections for control run, so that heartbeats don't wait behind
-    /// requests.
+    /// Executor of connections for control.
     pub control_executor: Executor,
 }
 
-/// Takes calls until stopped; calls in progress go on.
+/// Accepts connections until stopped; calls in progress continue.
 pub async fn serve(socket: net::TcpListener, service: Service, stopper: Stopper) {
     loop {
         let accepted = async { Some(socket.accept().await) };
@@ -71,7 +70,7 @@
 }
 
 async fn authenticate(mut stream: net::TcpStream, service: Service) {
-    // Not fatal: answers are only a little later without it.
+    // Not fatal: without it answers are only delayed a little.
     let _ = stream.set_nodelay(true);
     let Ok(lane) = handshake::accept(&mut stream, &service.secret).await else {
         return;
@@ -124,7 +123,7 @@
     }
 
     async fn tell(self, _: context::Context, message: Vec<u8>) {
-        // What can't be read is as good as lost.
+        // A malformed message is dropped; senders tolerate the loss of messages.
         let Ok(message) = heartbeat::Message::decode(&message) else {
             return;
         };
@@ -164,8 +163,8 @@
     }
 }
 
-/// Whether each body in a message has the hash that it claims: control trusts
-/// that, and would otherwise install what nobody accepted.
+/// Returns true if each body in a message matches its hash. Control relies on it and
+/// would otherwise install content that was never accepted.
 fn has_valid_hashes(message: &message::Message) -> bool {
     match &message.content {
         message::Content::Bodies(bodies) => {
