--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -59,7 +59,7 @@
     Refused,
     /// Another change came first.
     Conflict,
-    /// The change was not accepted, certainly.
+    /// The change was certainly not accepted.
     NotAccepted,
     /// Whether the change was accepted can't be determined yet.
     Unknown,
--- a/crates/auburnrouter/src/daemon/control/view_builder.rs
+++ b/crates/auburnrouter/src/daemon/control/view_builder.rs
@@ -94,8 +94,8 @@
     }
 }
 
-/// Returns true if look-ups may be answered: no peer has yet to confirm this process
-/// after a freeze, and no newer process runs under its name.
+/// Returns true if look-ups may be answered. They may not after a freeze until its end
+/// is confirmed, nor once a newer process runs under this name.
 const fn may_serve(status: control::MemberStatus) -> bool {
     matches!(
         status,
--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -27,7 +27,7 @@
     /// Runs a request forwarded by another entry instance.
     async fn forward(request: peer::Forward) -> peer::Forwarded;
 
-    /// Takes a message between control states; see crate `wire`, `beat`.
+    /// Delivers a control message, encoded as in module `heartbeat` of crate `wire`.
     async fn tell(message: Vec<u8>);
 
     /// Returns name, domain, address and version of this instance.
--- a/crates/auburnrouter/src/daemon/peers/handshake.rs
+++ b/crates/auburnrouter/src/daemon/peers/handshake.rs
@@ -49,10 +49,10 @@
     .await
 }
 
-/// The listening end; gives what the connection is for.
+/// Runs the handshake on the listening end; returns the purpose of the connection.
 ///
 /// # Errors
-/// As for [`connect`].
+/// As for [`connect`], or if the purpose is not a valid one.
 pub async fn accept(stream: &mut net::TcpStream, secret: &Secret) -> io::Result<Lane> {
     with_timeout(async {
         let ours = nonce();
--- a/crates/auburnrouter/tests/edge.rs
+++ b/crates/auburnrouter/tests/edge.rs
@@ -1,5 +1,5 @@
-//! What whoever connects gets at the edge of an entry instance, whatever it
-//! sends: a typed refusal that says whether the request ran, or an answer.
+//! Invalid, oversized and slow input to the listeners of an entry instance: each
+//! gets an answer, or a typed rejection that states whether the request ran.
 
 #[path = "edge/harness.rs"]
 mod harness;
@@ -12,10 +12,10 @@
 const PARTIAL_REQUEST: &str =
     "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nfour";
 
-/// The caller sends nonsense or too much and gets a final answer at once.
+/// A malformed or invalid request is rejected with the right status and outcome.
 ///
-/// The entry instance never passes such a request on. A request whose head it
-/// could not read may repeat a key, so the answer is "unknown" there.
+/// The instance never forwards such a request. If its head could not be read, it
+/// may repeat a key, so the outcome is "unknown" there.
 #[rstest]
 #[case::request_line("NONSENSE\r\n\r\n", "400", "unknown")]
 #[case::method("FETCH /s/stock/x HTTP/1.1\r\nHost: a\r\n\r\n", "400", "unknown")]
@@ -74,9 +74,8 @@
 
 #[test]
 fn refuse_two_lengths_on_one_connection() {
-    // The caller sends two lengths. Whoever stands before this instance may
-    // believe the other one: the rest of the body would be read as a second
-    // request, which no caller has sent.
+    // Guards against request smuggling: a proxy in front may use the other of two
+    // lengths, and the rest of the body would be read as a second request.
     let harness = Harness::start("");
     let text = "POST /s/stock/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 47\r\n\r\nGET /s/stock/smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
     let answers = harness.send_and_drain(text);
@@ -109,11 +108,10 @@
     harness.stop();
 }
 
-/// The caller sends half a request and stalls; it gets a 408 and is closed.
+/// A caller that stalls within a request gets a 408, and no target runs the request.
 ///
-/// Its request never reached a target. Without the time limit the connection
-/// would be held until the caller's system gives up, and a few thousand of them
-/// would shut all other callers out.
+/// Without the time limit the connection would stay open until the caller closes it,
+/// and a few thousand such connections would lock out all other callers.
 #[test]
 fn refuse_half_sent() {
     let harness = Harness::start(r#""request_ms": 300"#);
@@ -124,7 +122,7 @@
     harness.stop();
 }
 
-/// More callers connect than the instance takes; the one too many is told so.
+/// A connection beyond the limit gets a 503 with a retry delay.
 #[test]
 fn refuse_connection_too_many() {
     let harness = Harness::start(r#""connections": 2"#);
@@ -165,8 +163,8 @@
     harness.stop();
 }
 
-/// Somebody connects to the peers' listener and doesn't know the secret; it is
-/// closed without a call taken, and the instance goes on.
+/// A peer connection without the secret is closed without serving a call, and the
+/// instance continues to serve callers.
 #[test]
 fn refuse_peer_without_secret() {
     let harness = Harness::start("");
--- a/crates/auburnrouter/tests/edge/harness.rs
+++ b/crates/auburnrouter/tests/edge/harness.rs
@@ -1,4 +1,4 @@
-//! One entry instance with a store and a target, and raw connections to it.
+//! Harness with one entry instance, a store and a target, and raw connections.
 
 use std::ffi::OsString;
 use std::fs;
@@ -17,11 +17,11 @@
 
 pub const SECRET: &str = "edge-secret-0123456789";
 
-/// Longest that anything is waited for.
+/// Timeout of every wait in these tests.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause before a change that was not accepted is made again: the longest first pause
-/// of the store's client.
+/// Pause before an unaccepted change is retried: the maximum initial backoff of the
+/// store's client.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 const BASE: &str = r#"{
@@ -69,7 +69,8 @@
 }
 
 impl Harness {
-    /// With a configuration in force; `limits` go into the settings.
+    /// Starts an instance and waits until a configuration is in force. `limits` is
+    /// inserted into the settings.
     pub fn start(limits: &str) -> Self {
         let harness = Self::with_limits(limits);
         let base = harness.folder.join("base.jsonc");
@@ -99,10 +100,10 @@
         harness
     }
 
-    /// Runs `apply` until it succeeds. Under load a call of the store may time out at the
-    /// start; its client then pauses, and `apply` says to ask again. The exit code is that
-    /// of a refusal too, which lasts until [`WAIT_TIMEOUT`] and fails there. Any other exit code,
-    /// or a head that was written all the same, fails at once.
+    /// Retries `apply` until it succeeds. Under load a first call to the store may time
+    /// out; the store's client then backs off, and `apply` asks for a retry. A rejected
+    /// change has the same exit code, but persists and fails after [`WAIT_TIMEOUT`]. Any
+    /// other exit code, or a head that was written all the same, fails at once.
     fn apply(&self, args: &[OsString]) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Whether the store has a head document, which decides a change.
+    /// Returns true if the store has a head document, whose write commits a change.
     fn is_head_stored(&self) -> bool {
         let text = "GET /kv/auburnrouter/config/head HTTP/1.1\r\nHost: s\r\n\r\n";
         let answer = send_to(self.store.addr(), text);
@@ -129,7 +130,7 @@
         answer.status == "200"
     }
 
-    /// Without a configuration.
+    /// Starts an instance without a configuration.
     pub fn start_empty() -> Self {
         Self::with_limits("")
     }
@@ -179,7 +180,8 @@
         self.entry.addresses().peers
     }
 
-    /// Requests the target ran, but for those that waited for readiness.
+    /// Number of requests that the target ran, without those that polled for
+    /// readiness.
     pub fn executed(&self) -> usize {
         let runs = self.target.executed().runs;
         runs.iter().filter(|run| run.path != "/ready").count()
@@ -189,25 +191,25 @@
         connect(self.entry.addresses().callers)
     }
 
-    /// Sends text to the callers' listener and gives the answer.
+    /// Sends text to the callers' listener and returns the answer.
     pub fn send(&self, text: &str) -> Answer {
         send_to(self.entry.addresses().callers, text)
     }
 
-    /// Everything that comes back on one connection until it is closed.
+    /// Sends text and returns all bytes received until the connection is closed.
     pub fn send_and_drain(&self, text: &str) -> String {
         let mut stream = connect(self.entry.addresses().callers);
         stream
             .write_all(text.as_bytes())
             .expect("the connection is open");
         let mut bytes = Vec::new();
-        // A reset says the same as an end.
+        // A reset counts as a close.
         let _ = stream.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// A connection that was served and stays open. Connections that have just
-    /// ended may count for a moment longer, and then there is none to be had.
+    /// Opens a connection that was served and stays open. Retries, since connections
+    /// that have just closed may count against the limit for a moment.
     pub fn hold_connection(&self) -> TcpStream {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -239,12 +241,12 @@
     Answer::parse(&read_answer(&mut stream))
 }
 
-/// Whether the other end closes the connection once it got these bytes.
+/// Returns true if the other end closes the connection after these bytes.
 pub fn is_closed_after(addr: SocketAddr, bytes: &[u8]) -> bool {
     let mut stream = connect(addr);
     stream.write_all(bytes).expect("the connection is open");
     let mut rest = Vec::new();
-    // A reset says the same as an end.
+    // A reset counts as a close.
     stream.read_to_end(&mut rest).map_or(true, |len| len < 64)
 }
 
@@ -256,7 +258,7 @@
     stream
 }
 
-/// Reads the head, and as much of the body as the head announces.
+/// Reads the head, and the body up to its `Content-Length`.
 fn read_answer(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut chunk = [0; 4096];
--- a/crates/auburnrouter/tests/soak.rs
+++ b/crates/auburnrouter/tests/soak.rs
@@ -1,10 +1,9 @@
-//! A seeded soak of the product on its users' platform: entry instances as
-//! processes, faults from outside them, promises held against what callers and
-//! targets saw.
+//! Seeded soak test on the users' platform. Entry instances run as processes with
+//! faults injected from outside; guarantees are checked against the requests and
+//! answers that callers and targets recorded.
 //!
 //! `SOAK_SEEDS=50 SOAK_SECONDS=20 SOAK_FIRST=1000 cargo test -p auburnrouter
-//! --test soak -- --nocapture` plays more; without them two short seeds are
-//! played.
+//! --test soak -- --nocapture` runs more seeds; the default is two short ones.
 
 #[path = "soak/callers.rs"]
 mod callers;
@@ -20,19 +19,19 @@
 
 use std::time::Duration;
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that failed before, each with its cause; they are always run.
 const REGRESSION_SEEDS: [u64; 0] = [];
 
-/// A number from the environment.
+/// Reads a number from an environment variable.
 fn env_number(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
     text.map_or(default, |t| t.parse().expect("it is a number"))
 }
 
-/// Kills, freezes, stops, cuts, outages of the store, targets with every fault
-/// and changes of the configuration, in series and overlapping. Whatever comes,
-/// nothing unsafe runs twice, nothing that was rejected runs, every success is
-/// the target's whole answer, and afterwards callers are served again.
+/// Injects overlapping faults: kills, freezes, stops, broken connections, store
+/// outages, faulty targets and configuration changes. No unsafe request may run
+/// twice, no rejected request may run, every success must be the target's complete
+/// answer, and callers must be served again afterwards.
 #[test]
 fn keep_promises() {
     let first = env_number("SOAK_FIRST", 1);
--- a/crates/auburnrouter/tests/soak/callers.rs
+++ b/crates/auburnrouter/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep connections open and use them until they end.
+//! Callers that reuse their connections and may pipeline requests.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -12,20 +12,20 @@
 use super::harness;
 use super::invariants::{Exchange, Received};
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
 
-/// Longest wait for an answer; callers say that they wait 2.5 s.
+/// Read timeout for an answer; the deadline that callers send is 2.5 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What callers share.
+/// State shared by all callers.
 pub struct Callers {
-    /// Where instances listen now.
+    /// Current addresses of the instances.
     pub addrs: Mutex<Vec<SocketAddr>>,
     is_done: AtomicBool,
 }
 
-/// Starts callers; [`stop`] ends them.
+/// Starts the callers, which run until [`stop`].
 pub fn start(seed: u64) -> (Arc<Callers>, Vec<JoinHandle<Vec<Exchange>>>) {
     let callers = Arc::new(Callers {
         addrs: Mutex::new(Vec::new()),
@@ -39,7 +39,7 @@
     (callers, threads)
 }
 
-/// Ends callers and gives what they saw, sorted by id.
+/// Stops the callers and returns their exchanges, sorted by id.
 pub fn stop(callers: &Callers, threads: Vec<JoinHandle<Vec<Exchange>>>) -> Vec<Exchange> {
     callers.is_done.store(true, Ordering::Relaxed);
     let seen = threads.into_iter().map(JoinHandle::join);
@@ -48,7 +48,7 @@
     exchanges
 }
 
-/// Most requests that a caller sends before it reads an answer.
+/// Maximum number of pipelined requests.
 const PIPELINE_MAX: usize = 4;
 
 /// A request before it is sent.
@@ -65,7 +65,7 @@
         5..9 => ("PUT", "/pay/"),
         _ => ("GET", "/added/"),
     };
-    // Objects of their own, or one target would get every request.
+    // Different objects, or one target would get every request.
     let object = rng.u8(0..24);
     let path = format!("{path}{object}");
     let text = harness::request(method, &path, &id, "");
@@ -88,8 +88,8 @@
         let Some(mut stream) = open.or_else(|| connect(callers, &mut rng)) else {
             continue;
         };
-        // One in three callers sends ahead, payments too: the product has to
-        // hold those back by itself.
+        // One time in three requests are pipelined, including payments: the router has
+        // to hold those back itself.
         let count = if rng.u8(0..3) == 0 {
             rng.usize(2..=PIPELINE_MAX)
         } else {
@@ -101,7 +101,7 @@
             .collect();
         let text: String = planned.iter().map(|w| &*w.text).collect();
         let mut is_open = stream.write_all(text.as_bytes()).is_ok();
-        // Some leave before they are answered.
+        // One time in twenty the caller disconnects before the answers.
         let is_leaving = rng.u8(0..20) == 0;
         for request in planned {
             let answer = (is_open && !is_leaving)
--- a/crates/auburnrouter/tests/soak/invariants.rs
+++ b/crates/auburnrouter/tests/soak/invariants.rs
@@ -1,4 +1,4 @@
-//! What callers and targets saw, and whether the promises were kept.
+//! Records of callers and targets, and the checks of the guarantees on them.
 
 use std::fmt;
 
@@ -6,21 +6,21 @@
 
 use super::harness;
 
-/// One request as its caller saw it.
+/// One request with its answer, as recorded by the caller.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     pub id: String,
     pub method: &'static str,
     pub path: String,
-    /// None if the connection ended.
+    /// `None` if the connection ended without an answer.
     pub answer: Option<Received>,
 }
 
-/// An answer as its caller saw it.
+/// An answer, as recorded by the caller.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub status: u16,
-    /// The request that it says it answers.
+    /// Id of the request that the answer names.
     pub id: String,
     pub seal: String,
     pub body: String,
@@ -38,20 +38,20 @@
     }
 }
 
-/// One run of the soak.
+/// Records of the run of one seed.
 #[derive(Debug)]
 pub struct Report {
     /// Sorted by id.
     pub exchanges: Vec<Exchange>,
     /// Sorted by id.
     pub runs: Vec<Run>,
-    /// Faults that were brought about.
+    /// Number of faults injected.
     pub faults: usize,
-    /// What went wrong besides.
+    /// Other failures, such as a nonzero exit code of an instance.
     pub failures: Vec<String>,
 }
 
-/// Most targets that a request of the configuration may be sent to.
+/// Maximum number of targets that the configuration allows per request.
 const ATTEMPTS_MAX: usize = 2;
 
 impl Report {
@@ -61,7 +61,7 @@
         &self.runs[from..from + count]
     }
 
-    /// Every promise that was broken.
+    /// Returns all violations of the guarantees.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.failures.clone();
         for exchange in &self.exchanges {
--- a/crates/auburnrouter/tests/soak/proxy.rs
+++ b/crates/auburnrouter/tests/soak/proxy.rs
@@ -1,6 +1,6 @@
-//! A loopback proxy that harms the connections through it.
+//! Loopback proxy that injects faults into connections.
 //!
-//! Invariant: what it passes on is passed on unchanged and in order.
+//! Invariant: bytes that are forwarded are unchanged and in order.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,34 +8,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is done to connections.
+/// Fault applied to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Each piece is late.
+    /// Each chunk is delayed.
     Delay(Duration),
-    /// Connections end, new ones too.
+    /// Connections are closed, including new ones.
     Cut,
-    /// What goes there arrives, what comes back doesn't.
+    /// Bytes to the target are forwarded; bytes from it are held back.
     OneWay,
-    /// Nothing arrives, and no connection ends.
+    /// No bytes are forwarded and no connection is closed.
     Silence,
 }
 
-/// Time between looks at what is to be done while nothing arrives.
+/// Interval at which the fault is checked while no bytes are read.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A proxy to one address.
+/// Proxy to one address.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub addr: SocketAddr,
     fault: Arc<Mutex<Fault>>,
 }
 
 impl Proxy {
-    /// Passes connections on to `to`.
+    /// Starts a proxy that forwards connections to `to`.
     pub fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let proxy = Self {
@@ -51,7 +51,7 @@
         proxy
     }
 
-    /// Sets what is done from now on.
+    /// Sets the fault for existing and new connections.
     pub fn set(&self, fault: Fault) {
         *self.fault.lock().expect("no one panics with it") = fault;
     }
@@ -70,7 +70,7 @@
     thread::spawn(move || copy(from_target, to_caller, &backward, false));
 }
 
-/// Copies one direction until either end or a cut ends it.
+/// Copies one direction until either end closes or [`Fault::Cut`] is set.
 fn copy(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_forward: bool) {
     let mut bytes = [0; 4096];
     let current = || *fault.lock().expect("no one panics with it");
@@ -102,7 +102,7 @@
             Err(_) => break,
         }
     }
-    // The other end may have closed it already.
+    // Fails if the other end has closed it already.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/crates/auburnrouter/tests/soak/runner.rs
+++ b/crates/auburnrouter/tests/soak/runner.rs
@@ -1,7 +1,7 @@
-//! Instances, stand-ins, and faults at random moments.
+//! Runs one seed: instances, store, targets, and faults at random times.
 //!
-//! Invariant: one seed gives one series of faults; what meets which request
-//! depends on the machine, so a seed that failed is played more than once.
+//! Invariant: a seed determines the sequence of faults. Which requests they hit depends
+//! on the machine's timing, so a failed seed is run more than once.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -19,19 +19,20 @@
 use super::invariants::Report;
 use super::proxy::{Fault, Proxy};
 
-/// Domains of the instances.
+/// Failure domain of each instance.
 const DOMAINS: [&str; 3] = ["near-a", "near-b", "far-a"];
 
-/// Targets at the start, spread over the domains.
+/// Number of targets at the start, distributed over the domains.
 const TARGETS: usize = 6;
 
-/// Time between faults, least and most. They last longer, so they overlap.
+/// Minimum and maximum time between faults, in ms. Most faults last longer, so they
+/// overlap.
 const PAUSE_MS: (u64, u64) = (30, 200);
 
-/// How long a fault lasts, least and most.
+/// Minimum and maximum duration of a fault, in ms.
 const FAULT_MS: (u64, u64) = (100, 1_500);
 
-/// A fault's end.
+/// Recovery from a fault.
 enum Recovery {
     Wake(usize),
     Restart(usize),
@@ -45,15 +46,15 @@
 struct Cluster {
     rng: Rng,
     store: Store,
-    /// Between each instance and the store.
+    /// Proxy between each instance and the store.
     store_proxies: Vec<Proxy>,
     targets: Vec<Target>,
-    /// Between instances and each target.
+    /// Proxy between the instances and each target.
     target_proxies: Vec<Proxy>,
     entries: Vec<Option<Entry>>,
-    /// Instances that were told to stop.
+    /// Instances that have got SIGTERM.
     leaving: Vec<Entry>,
-    /// Instances that stand still.
+    /// Indices of the instances that have got SIGSTOP.
     frozen: Vec<usize>,
     recoveries: Vec<(Instant, Recovery)>,
     version: u64,
@@ -61,7 +62,7 @@
     failures: Vec<String>,
 }
 
-/// Plays one seed.
+/// Runs one seed with faults for `span`, then recovers and stops everything.
 pub fn run(seed: u64, span: Duration) -> Report {
     let mut cluster = Cluster::start(seed);
     let (callers, threads) = callers::start(seed);
@@ -141,7 +142,7 @@
         self.list(number, "ready", 1);
     }
 
-    /// Lists a target in the store, at the address of its proxy.
+    /// Registers a target in the store, with the address of its proxy.
     fn list(&self, number: usize, state: &str, seq: u64) {
         let entry = json!({
             "address": self.target_proxies[number].addr, "born": 1_764_700_000_000_u64,
@@ -212,7 +213,7 @@
         self.schedule(Recovery::Wake(number));
     }
 
-    /// Stops it as planned; its callers use their connections until it is gone.
+    /// Stops an instance gracefully; callers keep using their connections meanwhile.
     fn terminate(&mut self, number: usize) {
         if self.frozen.contains(&number) {
             return;
@@ -222,7 +223,7 @@
         };
         entry.signal(Signal::TERM);
         self.leaving.push(entry);
-        // Another takes its place meanwhile, as a release does.
+        // A replacement starts at once, as in a rolling release.
         self.entries[number] = Some(self.start_entry(number));
     }
 
@@ -248,7 +249,7 @@
         let work_time = Duration::from_millis(self.rng.u64(1..400));
         self.targets[number].set(behavior, work_time);
         self.schedule(Recovery::Target(number));
-        // All of a service at times, so that an attempt elsewhere meets it too.
+        // Half the time all targets fail, so that a retry fails as well.
         if self.rng.bool() {
             for other in 0..self.targets.len() {
                 self.targets[other].set(behavior, work_time);
@@ -263,7 +264,7 @@
         self.schedule(Recovery::Domain(number));
     }
 
-    /// A configuration with one route more or less, or a target more.
+    /// Adds or removes a route, or drains a target and adds another.
     fn change_config(&mut self) {
         if self.rng.bool() && self.targets.len() < TARGETS * 2 {
             let leaving = self.rng.usize(0..self.targets.len());
@@ -284,7 +285,7 @@
         self.store.configure(self.version, HOST, &routes);
     }
 
-    /// Ends what is due at `now`.
+    /// Ends the faults that are due at `now`.
     fn recover_due(&mut self, now: Instant) {
         let recoveries = std::mem::take(&mut self.recoveries);
         let (due, rest): (Vec<_>, Vec<_>) = recoveries.into_iter().partition(|e| e.0 <= now);
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Each instance serves again once nothing is wrong any more.
+    /// Waits until every instance serves, now that all faults have ended.
     fn await_serving(&self) {
         for (number, entry) in self.entries.iter().enumerate() {
             let entry = entry.as_ref().expect("all have returned");
