--- a/crates/auburnrouter/src/direct/events/requests.rs
+++ b/crates/auburnrouter/src/direct/events/requests.rs
@@ -109,7 +109,7 @@
         load: a.feedback.load.unwrap_or_default(),
         limit: a.feedback.limit,
         limit_known: a.assignment.limit,
-        warm: a.assignment.warm,
+        warm: a.assignment.is_warm,
         expected_ms: a.assignment.expected_work * 1000.0,
         object: a.object,
         config: a.assignment.version,
--- a/crates/auburnrouter/src/direct/peer.rs
+++ b/crates/auburnrouter/src/direct/peer.rs
@@ -102,13 +102,13 @@
         shared.read(|now, d| (d.store_contact(now), d.staleness(now), now.since(asked)));
     let replica = lock(&shared.replica);
     let update = replica.changes_since(known);
-    if !update.full || update.revision == 0 {
+    if !update.is_full || update.revision == 0 {
         return Changes::new(&update, contact).answered(stale, held);
     }
     let mut cache = lock(&shared.snapshot_cache.0);
     if let Some(cached) = &*cache {
         let missed = replica.changes_since(cached.revision);
-        if !missed.full && missed.items.len() < SNAPSHOT_MISSED_MAX {
+        if !missed.is_full && missed.items.len() < SNAPSHOT_MISSED_MAX {
             // The cached snapshot lacks a few changes; the receiver asks for them in its
             // next call. Until then its staleness is unknown.
             let stale = stale.filter(|_| missed.items.is_empty());
--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -263,7 +263,7 @@
         let items = listing.items.into_iter().chain(changes.events);
         let update = Update {
             revision,
-            full: true,
+            is_full: true,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
         apply_update(&self.shared, update, StoreContact::NOW, Some(sent_at));
@@ -296,7 +296,7 @@
         let items = changes.events.into_iter();
         let update = Update {
             revision: changes.revision.max(known),
-            full: false,
+            is_full: false,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
         apply_update(&self.shared, update, StoreContact::NOW, Some(confirmed));
--- a/crates/steer/src/process/direct.rs
+++ b/crates/steer/src/process/direct.rs
@@ -58,7 +58,7 @@
 use roster::Roster;
 use spillover::Spillover;
 use split::Splits;
-use upstream::Failed;
+use upstream::FailedUpstreams;
 
 /// State and decisions of direct steering at one instance. It does no I/O and
 /// takes the time as an argument.
@@ -82,7 +82,7 @@
     confirmed: access::Confirmed,
     quotas: quota::Quotas,
     /// Upstreams that failed lately, which are not read from for a while.
-    failed_upstreams: Failed,
+    failed_upstreams: FailedUpstreams,
     /// The end of this process, once it was told to stop.
     stops_at: Option<Time>,
     suspects: Suspects,
@@ -136,7 +136,7 @@
             store: StoreLink::default(),
             confirmed: access::Confirmed::default(),
             quotas: quota::Quotas::default(),
-            failed_upstreams: Failed::default(),
+            failed_upstreams: FailedUpstreams::default(),
             stops_at: None,
             suspects: Suspects::default(),
             object_updates: Vec::new(),
--- a/crates/steer/src/process/direct/message.rs
+++ b/crates/steer/src/process/direct/message.rs
@@ -145,7 +145,7 @@
     /// Expected work at the target, in seconds.
     pub expected_work: f64,
     /// Whether the target is known to have handled the object recently.
-    pub warm: bool,
+    pub is_warm: bool,
     /// Requests believed to be at the target.
     pub load: f64,
     /// Limit that the target reports, in requests a second.
--- a/crates/steer/src/process/direct/queue.rs
+++ b/crates/steer/src/process/direct/queue.rs
@@ -189,7 +189,7 @@
             addr,
             attempt: job.tried.len(),
             expected_work: best.service_time,
-            warm: best.warm,
+            is_warm: best.warm,
             load,
             limit,
             load_age: age,
--- a/crates/steer/src/process/direct/replica.rs
+++ b/crates/steer/src/process/direct/replica.rs
@@ -25,7 +25,7 @@
     pub revision: u64,
     /// Whether this is a full snapshot, in which items not named are gone, or only
     /// changes.
-    pub full: bool,
+    pub is_full: bool,
     /// Items in any order.
     pub items: Vec<Item>,
 }
@@ -61,14 +61,14 @@
         let mut changed = Vec::new();
         let mut keys = Vec::new();
         for item in update.items {
-            if update.full {
+            if update.is_full {
                 keys.push(Arc::clone(&item.key));
             }
             if self.put(&item) {
                 changed.push(item);
             }
         }
-        if update.full {
+        if update.is_full {
             keys.sort_unstable();
             changed.extend(self.delete_unnamed(&keys, update.revision));
             // Earlier deletions are not known one by one.
@@ -86,9 +86,9 @@
     /// Update for a reader that knows everything up to `known`.
     #[must_use]
     pub fn changes_since(&self, known: u64) -> Update {
-        let full = known < self.changes_floor;
+        let is_full = known < self.changes_floor;
         let is_missed = |item: &&Item| {
-            if full {
+            if is_full {
                 item.value.is_some()
             } else {
                 item.revision > known
@@ -96,7 +96,7 @@
         };
         Update {
             revision: self.revision,
-            full,
+            is_full,
             items: self.items.iter().filter(is_missed).cloned().collect(),
         }
     }
--- a/crates/steer/src/process/direct/upstream.rs
+++ b/crates/steer/src/process/direct/upstream.rs
@@ -62,13 +62,13 @@
 
 /// Upstreams that failed recently.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Failed {
+pub(super) struct FailedUpstreams {
     store_at: Option<Time>,
     /// Names of peers, and when each failed.
     peers: Vec<(Arc<str>, Time)>,
 }
 
-impl Failed {
+impl FailedUpstreams {
     fn is_store_failed(&self, now: Time) -> bool {
         self.is_store_failed_within(now, STORE_BACKOFF)
     }
--- a/crates/steer/tests/direct/members.rs
+++ b/crates/steer/tests/direct/members.rs
@@ -170,7 +170,7 @@
         },
     );
     let assignment = other.send(at(1_010), Some(object));
-    assert_eq!((assignment.target, assignment.warm), (target, true));
+    assert_eq!((assignment.target, assignment.is_warm), (target, true));
     assert!(
         other
             .direct
--- a/crates/steer/tests/direct/place.rs
+++ b/crates/steer/tests/direct/place.rs
@@ -19,7 +19,7 @@
     for i in 1..20 {
         let assignment = bench.serve(at(i * 1_000), 5, 300 * MS);
         assert_eq!(assignment.target, first.target);
-        assert!(assignment.warm);
+        assert!(assignment.is_warm);
     }
 }
 
--- a/crates/steer/tests/direct/replica.rs
+++ b/crates/steer/tests/direct/replica.rs
@@ -14,10 +14,10 @@
     }
 }
 
-fn update(full: bool, revision: u64, items: &[Item]) -> Update {
+fn update(is_full: bool, revision: u64, items: &[Item]) -> Update {
     Update {
         revision,
-        full,
+        is_full,
         items: items.to_vec(),
     }
 }
@@ -46,10 +46,10 @@
 #[rstest]
 #[case::changes(false)]
 #[case::everything(true)]
-fn ignore_older_update(#[case] full: bool) {
+fn ignore_older_update(#[case] is_full: bool) {
     let mut replica = Replica::default();
     replica.apply(update(true, 9, &[item("a", 9, Some("new"))]));
-    let late = update(full, 8, &[item("a", 3, Some("old")), item("b", 8, None)]);
+    let late = update(is_full, 8, &[item("a", 3, Some("old")), item("b", 8, None)]);
     assert_eq!(replica.apply(late), []);
     assert_eq!(replica.revision(), 9);
     assert_eq!(replica.changes_since(0).items.len(), 1);
@@ -82,10 +82,10 @@
         replica.apply(update(false, 2 * i + 3, &[written, deleted]));
     }
     let behind = replica.changes_since(1);
-    assert!(behind.full);
+    assert!(behind.is_full);
     assert_eq!(keys(&behind.items), ["kept"]);
     let recent = replica.changes_since(replica.revision() - 10);
-    assert!(!recent.full);
+    assert!(!recent.is_full);
     assert_eq!(recent.items.len(), 5);
 }
 
@@ -157,7 +157,7 @@
         let present = all.items.into_iter().filter(|i| i.value.is_some());
         self.snapshots.push(Update {
             revision,
-            full: true,
+            is_full: true,
             items: present.collect(),
         });
     }
--- a/crates/steer/tests/direct/roster.rs
+++ b/crates/steer/tests/direct/roster.rs
@@ -108,7 +108,7 @@
         ..entry("t1", "near-a")
     };
     assert!(bench.direct.roster.put(at(500), restarted));
-    assert!(!bench.send(at(600), Some(5)).warm);
+    assert!(!bench.send(at(600), Some(5)).is_warm);
 }
 
 /// Targets appear, change their service under the same name, and leave; at each step
--- a/crates/wire/src/near.rs
+++ b/crates/wire/src/near.rs
@@ -142,7 +142,7 @@
             span_ms: millis(contact.span),
             stale_ms: None,
             held_ms: 0,
-            whole: update.full,
+            whole: update.is_full,
             items: lz4_flex::compress_prepend_size(&plain),
         }
     }
@@ -217,7 +217,7 @@
         };
         Ok(Self {
             revision: changes.revision,
-            full: changes.whole,
+            is_full: changes.whole,
             items: items.into_iter().map(item).collect(),
         })
     }
