--- a/crates/auburnrouter/src/direct/source.rs
+++ b/crates/auburnrouter/src/direct/source.rs
@@ -263,7 +263,7 @@
         let items = listing.items.into_iter().chain(changes.events);
         let update = Update {
             revision,
-            full: true,
+            is_full: true,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
         apply_update(&self.shared, update, StoreContact::NOW, Some(sent_at));
@@ -296,7 +296,7 @@
         let items = changes.events.into_iter();
         let update = Update {
             revision: changes.revision.max(known),
-            full: false,
+            is_full: false,
             items: items.map(|i| replica_item(&self.shared, i)).collect(),
         };
         apply_update(&self.shared, update, StoreContact::NOW, Some(confirmed));
@@ -402,7 +402,7 @@
 /// empty value, so that no key is passed on.
 fn replica_item(shared: &Shared, item: platform::store::Item) -> Item {
     let value = match item.value {
-        Some(value) if item.key == document::KEY => match document::digest_keys(&value) {
+        Some(value) if item.key == document::CONFIG_KEY => match document::digest_keys(&value) {
             Ok(concealed) => Some(concealed),
             Err(error) => {
                 events::input_rejected(shared, &item.key, &error.to_string());
