--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -1,8 +1,9 @@
-//! An operator's change: verified, judged, then decided by one write.
+//! Applies an operator's change: verifies it, limits the traffic it moves, and
+//! commits it with one write of the head document.
 //!
-//! Invariant: nothing is written before the whole configuration has passed the
-//! verifier and moves no more traffic than its caps allow. The answer never
-//! says more than is certain.
+//! Invariant: nothing is written before the full configuration has passed the
+//! verifier and moves no more traffic than its caps allow. The result is `unknown`
+//! unless it is certain.
 
 use std::sync::Arc;
 use std::thread;
@@ -17,61 +18,61 @@
 use store::error;
 use wire::kv;
 
-use super::force::{self, InForce};
-use super::{keys, shelf};
+use super::active::{self, ActiveConfig};
+use super::{keys, store_calls};
 
 /// A file of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct File {
-    /// Its name: `base`, `overlay/SITE` or `blocks/…`.
+    /// Name of the file: `base`, `overlay/SITE` or `blocks/…`.
     pub name: String,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
 /// An operator's change: all files of the new version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Name chosen for the change, never reused.
+    /// Unique id of the change, chosen by the operator.
     pub id: String,
-    /// Version that the operator started from.
+    /// Version that the change is based on.
     pub over: u64,
-    /// All files.
+    /// All files of the new version.
     pub files: Vec<File>,
     /// Caps stated with the change, `SERVICE:FROM:TO=CAP`.
     #[serde(default)]
     pub caps: Vec<String>,
-    /// Whether only to say what would move.
+    /// If true, the change is checked but not applied.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Result {
-    /// It is accepted.
+    /// The change is accepted.
     Accepted,
-    /// It would be accepted.
+    /// A dry run passed all checks.
     WouldBe,
-    /// It has faults or moves too much.
+    /// The change has faults or moves too much traffic.
     Refused,
     /// Another change came first.
     Conflict,
-    /// It was not accepted.
+    /// The change was certainly not accepted.
     NotAccepted,
-    /// Nobody can tell yet.
+    /// Whether the change was accepted can't be determined yet.
     Unknown,
 }
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// What became of it.
+    /// Result of the change.
     pub result: Result,
-    /// Version that it made, or that is in force instead.
+    /// Version created by the change, or else the current one.
     pub version: u64,
-    /// Lines for people: faults, moves, what to do.
+    /// Text for the operator: faults, moved traffic, remedies.
     pub lines: Vec<String>,
 }
 
@@ -85,65 +86,68 @@
     }
 }
 
-/// Makes a change.
+/// Checks a change and applies it unless it is a dry run.
 pub async fn change(
     store: &dyn store::Store,
-    force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfig>>,
     change: Change,
 ) -> Answer {
-    let version = force.as_deref().map_or(view::Version(0), |f| f.version);
+    let version = active.as_deref().map_or(view::Version(0), |f| f.version);
     let change = Arc::new(change);
-    match weigh_beside(force, Arc::clone(&change)).await {
+    match check_on_thread(active, Arc::clone(&change)).await {
         Err(refused) => Answer::new(Result::Refused, version, refused),
-        Ok(next) if change.dry_run => Answer::new(Result::WouldBe, version, next.told),
+        Ok(next) if change.dry_run => Answer::new(Result::WouldBe, version, next.report),
         Ok(next) => write(store, version, &change, next).await,
     }
 }
 
-/// Weighs a change on a thread of its own: at full size it takes half a second,
-/// in which the control thread would send no heartbeat.
-async fn weigh_beside(
-    force: Option<Arc<InForce>>,
+/// Checks a change on a thread of its own. At full size the check takes half a second,
+/// during which the control thread could send no heartbeat.
+async fn check_on_thread(
+    active: Option<Arc<ActiveConfig>>,
     change: Arc<Change>,
-) -> std::result::Result<Next, Vec<String>> {
-    let (done, weighed) = async_channel::bounded(1);
+) -> std::result::Result<CheckedChange, Vec<String>> {
+    let (done, checked) = async_channel::bounded(1);
     let work = move || {
-        // It fails only if nobody waits for the answer any more.
-        let _ = done.send_blocking(weigh(force.as_deref(), &change));
+        // Fails only if the receiver was dropped.
+        let _ = done.send_blocking(check_change(active.as_deref(), &change));
     };
     let thread = thread::Builder::new().name("weigh".to_owned()).spawn(work);
     let Ok(thread) = thread else {
         let line = "no thread for the check could be started; apply again later";
         return Err(vec![line.to_owned()]);
     };
-    let next = weighed.recv().await;
-    // A thread that panicked left no answer, and has printed why.
+    let next = checked.recv().await;
+    // A thread that panicked sent no answer and printed the reason.
     let _ = thread.join();
     next.unwrap_or_else(|_| Err(vec!["the check failed; report this".to_owned()]))
 }
 
-/// A change that may be made, with what it changes and moves.
-struct Next {
+/// A change that passed all checks, with a report of its differences.
+struct CheckedChange {
     documents: Vec<document::Document>,
-    told: Vec<String>,
+    report: Vec<String>,
 }
 
-/// Verifies a change and judges what it moves; an error is the lines to show.
-fn weigh(old: Option<&InForce>, change: &Change) -> std::result::Result<Next, Vec<String>> {
-    let shown = |error: force::Error| lines(&error.to_string());
+/// Verifies a change and limits the traffic it moves; an error is the text to show.
+fn check_change(
+    old: Option<&ActiveConfig>,
+    change: &Change,
+) -> std::result::Result<CheckedChange, Vec<String>> {
+    let shown = |error: active::Error| lines(&error.to_string());
     let files = change.files.iter().map(bundle::File::from).collect();
-    let bundle = force::bundle(files).map_err(shown)?;
-    let next = force::Whole::new(&bundle).map_err(shown)?;
-    let mut told = Vec::new();
+    let bundle = active::bundle(files).map_err(shown)?;
+    let next = active::FullConfig::new(&bundle).map_err(shown)?;
+    let mut report = Vec::new();
     if let Some(old) = old {
-        let old = old.whole().map_err(shown)?;
+        let old = old.full().map_err(shown)?;
         let diff = diff::diff(&old.checked, &next.checked);
-        told = lines(&diff.to_string());
+        report = lines(&diff.to_string());
         judge(&old.checked, &next.checked, &change.caps)?;
     }
-    Ok(Next {
+    Ok(CheckedChange {
         documents: next.documents,
-        told,
+        report,
     })
 }
 
@@ -156,8 +160,8 @@
     }
 }
 
-impl InForce {
-    /// The files as operators see them.
+impl ActiveConfig {
+    /// Lists the files with their content as text.
     pub fn listing(&self) -> Vec<File> {
         let pairs = self.files.iter().zip(&self.bodies);
         let file = |(file, body): (&config::File, &config::Body)| File {
@@ -193,43 +197,48 @@
 
 async fn write(
     store: &dyn store::Store,
-    force: view::Version,
+    in_force: view::Version,
     change: &Change,
-    next: Next,
+    next: CheckedChange,
 ) -> Answer {
     let stored = match read(store).await {
         Ok(stored) => stored,
         Err(error) => {
             let line =
                 format!("not accepted, nothing was written: reading the head failed: {error}");
-            return Answer::new(Result::NotAccepted, force, vec![line]);
+            return Answer::new(Result::NotAccepted, in_force, vec![line]);
         }
     };
-    let present = stored.as_ref().map_or(view::Version(0), |s| s.head.version);
+    let stored_version = stored.as_ref().map_or(view::Version(0), |s| s.head.version);
     if let Some(made) = stored
         .as_ref()
-        .and_then(|s| made_before(&s.head, &change.id))
+        .and_then(|s| version_made(&s.head, &change.id))
     {
-        // The operator asks again after a lost answer.
-        return judged(&Verdict::InForce(made), force, next.told);
+        // The operator repeats a change whose answer was lost.
+        return verdict_answer(&Verdict::InForce(made), in_force, next.report);
     }
-    if present.0 != change.over {
-        // What the operator didn't know of shows as differences from it.
-        return judged(&Verdict::Conflict(present), force, next.told);
+    if stored_version.0 != change.over {
+        // The reported differences include those of versions unknown to the operator.
+        return verdict_answer(&Verdict::Conflict(stored_version), in_force, next.report);
     }
-    if present > force {
-        // What the change moves was judged against an older version.
-        let line = format!("not accepted: {present} isn't in force here yet; apply again at once");
-        return Answer::new(Result::NotAccepted, force, vec![line]);
+    if stored_version > in_force {
+        // The moved traffic was computed against an older version.
+        let line = format!(
+            "not accepted: {stored_version} isn't in in_force here yet; apply again at once"
+        );
+        return Answer::new(Result::NotAccepted, in_force, vec![line]);
     }
     let head = stored.as_ref().map(|s| &*s.head);
     let (files, bodies) = contents(&next.documents, head);
-    let base = Base { stored, force };
+    let base = Base {
+        stored,
+        force: in_force,
+    };
     let mut apply = Apply::new(change.id.as_str().into(), base, files, bodies);
     let mut step = apply.start();
     loop {
         let outcome = match step {
-            Step::Done(verdict) => return judged(&verdict, force, next.told),
+            Step::Done(verdict) => return verdict_answer(&verdict, in_force, next.report),
             Step::PutBody(body) => put_body(store, &body).await,
             Step::PutHead { head, expect } => put_head(store, &head, expect).await,
             Step::ReadHead => read(store).await.map_or(Outcome::Lost, Outcome::Read),
@@ -238,13 +247,13 @@
     }
 }
 
-/// The version that a change of this id has made already.
-fn made_before(head: &config::Head, id: &str) -> Option<view::Version> {
+/// Returns the version that a change with this id has created already.
+fn version_made(head: &config::Head, id: &str) -> Option<view::Version> {
     let made = head.recent.iter().find(|change| &*change.id == id);
     made.map(|change| change.version)
 }
 
-/// All files by hash, and the bodies that the store doesn't have yet.
+/// Returns all files with their hashes, and the bodies missing from the store.
 fn contents(
     documents: &[document::Document],
     head: Option<&config::Head>,
@@ -261,28 +270,29 @@
     (documents.iter().map(file).collect(), bodies)
 }
 
-fn judged(verdict: &Verdict, force: view::Version, mut told: Vec<String>) -> Answer {
+fn verdict_answer(verdict: &Verdict, in_force: view::Version, mut report: Vec<String>) -> Answer {
     let (result, version) = match verdict {
         Verdict::InForce(version) => (Result::Accepted, *version),
-        Verdict::NotAccepted | Verdict::StoreBehind { .. } => (Result::NotAccepted, force),
+        Verdict::NotAccepted | Verdict::StoreBehind { .. } => (Result::NotAccepted, in_force),
         Verdict::Conflict(version) => (Result::Conflict, *version),
         Verdict::Unknown { version, .. } => (Result::Unknown, *version),
     };
-    told.push(verdict.to_string());
-    Answer::new(result, version, told)
+    report.push(verdict.to_string());
+    Answer::new(result, version, report)
 }
 
 async fn read(store: &dyn store::Store) -> std::result::Result<Option<StoredHead>, error::Error> {
     match store.get(keys::HEAD).await? {
         None => Ok(None),
-        Some(entry) => match shelf::parse(&entry) {
+        Some(entry) => match store_calls::parse(&entry) {
             Some(stored) => Ok(Some(stored)),
             None => Err(error::Error::BadAnswer { status: 200 }),
         },
     }
 }
 
-/// Whether the change of this id was accepted; `None` if nobody can tell.
+/// Returns whether the change with this id was accepted; `None` if the store doesn't
+/// answer or its record of recent changes doesn't reach back far enough.
 pub async fn accepted(store: &dyn store::Store, id: &str) -> Option<bool> {
     match read(store).await {
         Ok(Some(stored)) => stored.head.accepted(view::Version(0), id),
@@ -318,7 +328,7 @@
     match store.put(keys::HEAD, put).await {
         Ok(_) => Outcome::Written,
         Err(error::Error::Conflict { current }) => {
-            Outcome::Conflict(current.as_ref().and_then(shelf::parse))
+            Outcome::Conflict(current.as_ref().and_then(store_calls::parse))
         }
         Err(_) => Outcome::Lost,
     }
--- a/crates/auburnrouter/src/daemon/control/dump.rs
+++ b/crates/auburnrouter/src/daemon/control/dump.rs
@@ -1,13 +1,13 @@
-//! The state of a process, for people, and the log lines of its changes.
+//! Dump of the process's state for operators, and log lines for its changes.
 
 use std::sync::Arc;
 
 use serde::Serialize;
 use steer::process::control::{self, Control};
 
-use super::Parts;
+use super::Context;
 
-/// The state of a process.
+/// State of a process.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     name: Arc<str>,
@@ -19,22 +19,22 @@
     in_flight: usize,
     drained: bool,
     key_prefix: Option<String>,
-    entries: Vec<Row>,
+    entries: Vec<Entry>,
     targets: Vec<Target>,
     control: String,
     traffic: Vec<String>,
 }
 
-/// What is known of an entry instance.
+/// State of an entry instance in the membership table.
 #[derive(Debug, Serialize)]
-struct Row {
+struct Entry {
     name: Arc<str>,
     domain: Arc<str>,
     life: &'static str,
     stamp: String,
 }
 
-/// What is known of a target.
+/// State of a target in the view.
 #[derive(Debug, Serialize)]
 struct Target {
     name: Arc<str>,
@@ -43,10 +43,10 @@
 }
 
 impl Dump {
-    /// The state as it is now.
-    pub fn new(parts: &Parts, control: &Control) -> Self {
-        let snapshot = parts.snapshot.load();
-        let rows = control.table().rows().iter().map(|row| Row {
+    /// Collects the current state.
+    pub fn new(context: &Context, control: &Control) -> Self {
+        let snapshot = context.snapshot.load();
+        let entries = control.table().rows().iter().map(|row| Entry {
             name: Arc::clone(&row.record.identity.name),
             domain: Arc::clone(&row.record.identity.domain),
             life: row.record.lifecycle.as_str(),
@@ -61,25 +61,25 @@
             },
         });
         Self {
-            name: Arc::clone(&parts.settings.name),
-            domain: Arc::clone(&parts.settings.domain),
-            incarnation: parts.incarnation.to_string(),
+            name: Arc::clone(&context.settings.name),
+            domain: Arc::clone(&context.settings.domain),
+            incarnation: context.incarnation.to_string(),
             standing: control.status().as_str(),
             ready: control.is_ready(),
             version: control.version().0,
-            in_flight: parts.engine.in_flight(),
-            drained: parts.engine.drained(),
-            key_prefix: parts.engine.prefix().map(|p| p.as_str().to_owned()),
-            entries: rows.collect(),
+            in_flight: context.engine.in_flight(),
+            drained: context.engine.is_drained(),
+            key_prefix: context.engine.prefix().map(|p| p.as_str().to_owned()),
+            entries: entries.collect(),
             targets: targets.collect(),
             control: format!("{:?}", control.counters()),
-            traffic: parts.engine.dump(),
+            traffic: context.engine.dump(),
         }
     }
 }
 
-/// One log line for a change of state.
-pub fn note(notice: &control::Notice) {
+/// Logs a change of the control state.
+pub fn log_notice(notice: &control::Notice) {
     use control::Notice;
     match notice {
         Notice::StoreAway => log::warn!("event=store-away"),
--- a/crates/auburnrouter/tests/soak/proxy.rs
+++ b/crates/auburnrouter/tests/soak/proxy.rs
@@ -1,6 +1,6 @@
-//! A loopback proxy that harms the connections through it.
+//! Loopback proxy that injects faults into connections.
 //!
-//! Invariant: what it passes on is passed on unchanged and in order.
+//! Invariant: bytes that are forwarded are unchanged and in order.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,88 +8,88 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is done to connections.
+/// Fault applied to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum Fault {
+    /// No fault.
     None,
-    /// Each piece is late.
+    /// Each chunk is delayed.
     Delay(Duration),
-    /// Connections end, new ones too.
+    /// Connections are closed, including new ones.
     Cut,
-    /// What goes there arrives, what comes back doesn't.
+    /// Bytes to the target are forwarded; bytes from it are held back.
     OneWay,
-    /// Nothing arrives, and no connection ends.
+    /// No bytes are forwarded and no connection is closed.
     Silence,
 }
 
-/// Time between looks at what is to be done while nothing arrives.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which the fault is checked while no bytes are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A proxy to one address.
+/// Proxy to one address.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub addr: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<Fault>>,
 }
 
 impl Proxy {
-    /// Passes connections on to `to`.
+    /// Starts a proxy that forwards connections to `to`.
     pub fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let proxy = Self {
             addr: listener.local_addr().expect("it listens"),
-            harm: Arc::new(Mutex::new(Harm::None)),
+            fault: Arc::new(Mutex::new(Fault::None)),
         };
-        let harm = Arc::clone(&proxy.harm);
+        let fault = Arc::clone(&proxy.fault);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                pass(stream, to, &harm);
+                pass(stream, to, &fault);
             }
         });
         proxy
     }
 
-    /// Sets what is done from now on.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().expect("no one panics with it") = harm;
+    /// Sets the fault for existing and new connections.
+    pub fn set(&self, fault: Fault) {
+        *self.fault.lock().expect("no one panics with it") = fault;
     }
 }
 
-fn pass(from: TcpStream, to: SocketAddr, harm: &Arc<Mutex<Harm>>) {
+fn pass(from: TcpStream, to: SocketAddr, fault: &Arc<Mutex<Fault>>) {
     let Ok(target) = TcpStream::connect(to) else {
         return;
     };
-    let (Ok(back), Ok(forth)) = (target.try_clone(), from.try_clone()) else {
+    let (Ok(from_target), Ok(to_caller)) = (target.try_clone(), from.try_clone()) else {
         return;
     };
-    let there = Arc::clone(harm);
-    thread::spawn(move || copy(from, target, &there, true));
-    let here = Arc::clone(harm);
-    thread::spawn(move || copy(back, forth, &here, false));
+    let forward = Arc::clone(fault);
+    thread::spawn(move || copy(from, target, &forward, true));
+    let backward = Arc::clone(fault);
+    thread::spawn(move || copy(from_target, to_caller, &backward, false));
 }
 
-/// Copies one direction until either end or a cut ends it.
-fn copy(mut from: TcpStream, mut to: TcpStream, harm: &Mutex<Harm>, there: bool) {
+/// Copies one direction until either end closes or [`Fault::Cut`] is set.
+fn copy(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_forward: bool) {
     let mut bytes = [0; 4096];
-    let now = || *harm.lock().expect("no one panics with it");
-    if from.set_read_timeout(Some(LOOK)).is_err() {
+    let current = || *fault.lock().expect("no one panics with it");
+    if from.set_read_timeout(Some(POLL_INTERVAL)).is_err() {
         return;
     }
     loop {
-        match now() {
-            Harm::Cut => break,
-            Harm::Silence => {
-                thread::sleep(LOOK);
+        match current() {
+            Fault::Cut => break,
+            Fault::Silence => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            Harm::OneWay if !there => {
-                thread::sleep(LOOK);
+            Fault::OneWay if !is_forward => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            Harm::Delay(span) => thread::sleep(span),
-            Harm::None | Harm::OneWay => {}
+            Fault::Delay(span) => thread::sleep(span),
+            Fault::None | Fault::OneWay => {}
         }
         match from.read(&mut bytes) {
             Ok(0) => break,
@@ -102,7 +102,7 @@
             Err(_) => break,
         }
     }
-    // The other end may have closed it already.
+    // Fails if the other end has closed it already.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/crates/steer/src/process/control.rs
+++ b/crates/steer/src/process/control.rs
@@ -91,7 +91,9 @@
     own: Arc<Record>,
     load: u8,
     last_event: Time,
+    /// Time of the first confirming answer.
     first_answer: Option<Time>,
+    /// Whether the process may still raise its generation.
     is_joining: bool,
     last_raise: Option<Time>,
     status: MemberStatus,
@@ -100,20 +102,26 @@
     peers: Vec<peer::Peer>,
     domains: Vec<peer::RemoteDomain>,
     hints: hints::Hints,
+    /// Cache for the published list of members.
     sorted_entries: Option<Vec<members::Entry>>,
     tracker: tracker::Tracker,
+    /// Highest version received or reported by anyone.
     newest_seen: Version,
     head_request: Option<rollout::HeadRequest>,
     body_requests: Vec<rollout::BodyRequest>,
+    /// Peer last heard to have the newest version in force.
     body_source: Option<SocketAddr>,
     store: store::Policy,
-    alarms: rollout::Alarms,
+    reported_faults: rollout::ReportedFaults,
     slot: slot::Slot,
     next_heartbeat: Time,
     next_sync: Time,
     published_at: Time,
+    /// Whether the state changed since the last snapshot.
     is_dirty: bool,
+    /// Whether the ranks among the representatives have to be computed anew.
     is_rank_stale: bool,
+    /// Digest of the local domain when its last change was announced.
     announced_digest: u64,
     published_share: slot::Share,
     counters: Counters,
@@ -163,7 +171,7 @@
             body_requests: Vec::new(),
             body_source: None,
             store: store::Policy::new(now, guards.reread, &mut rng),
-            alarms: rollout::Alarms::default(),
+            reported_faults: rollout::ReportedFaults::default(),
             slot,
             next_heartbeat: now,
             next_sync: now,
