--- a/crates/steer/src/process/direct/limit.rs
+++ b/crates/steer/src/process/direct/limit.rs
@@ -1,7 +1,7 @@
 //! Limits that overloaded targets report: requests a second that a target takes from
 //! all instances together, for as long as its answers say so.
 //!
-//! Each instance sends its allotment ([`allotment`](super::allotment)) of what the
+//! Each instance sends its allotment ([`allotment`]) of what the
 //! operator's [`Rule`] allows for the limit. Instances that send nothing get no
 //! answers, so an instance that gets one reports the limit to the others in its
 //! heartbeats. An instance that has seen no report of a limit for long sends a single
