--- a/crates/steer/src/process/control/store.rs
+++ b/crates/steer/src/process/control/store.rs
@@ -21,7 +21,7 @@
     Head,
     /// Waits until the head's revision is above `after`.
     Watch {
-        /// Highest revision known.
+        /// Last known revision.
         after: u64,
         /// Longest time to wait.
         wait: Duration,
