--- a/crates/steer/tests/gate_keys.rs
+++ b/crates/steer/tests/gate_keys.rs
@@ -1,4 +1,5 @@
-//! Keys: what is issued is read back as it was, and nothing else is taken for it.
+//! Parsing of keys: an issued key is parsed back to its prefix, and other texts
+//! are not taken for issued keys.
 
 use std::sync::Arc;
 
@@ -30,8 +31,8 @@
         }
     }
 
-    // One owner and epoch have one spelling. Two spellings of a key would be
-    // two records, and two runs.
+    // Each prefix has exactly one spelling. Two spellings of a key would get two
+    // records, and the request would run twice.
     #[test]
     fn issued_keys_have_one_spelling(text in "a1\\.[0-9a-fA-F+]{0,17}\\.[0-9+]{1,3}\\.(0|[0-9a-f]{16})\\.[0-9]{1,3}\\.[a-z]{16}") {
         let text: Arc<str> = text.into();
--- a/crates/steer/tests/gate_scenarios.rs
+++ b/crates/steer/tests/gate_scenarios.rs
@@ -1,20 +1,21 @@
-//! Text scenarios for the gate and the dispatcher together: `run` takes an
-//! event a line and prints, below each, what the engine wants done.
+//! Data-driven scenarios for the gate and the dispatcher together: `run` takes one
+//! event per line and prints the resulting actions below it.
 //!
-//! `REWRITE=1 cargo test -p steer --test gate_scenarios` records outputs.
+//! `REWRITE=1 cargo test -p steer --test gate_scenarios` rewrites the expected
+//! outputs.
 
-#[path = "gate_scenarios/bench.rs"]
-mod bench;
-#[path = "gate_scenarios/line.rs"]
-mod line;
-#[path = "gate_scenarios/scene.rs"]
-mod scene;
+#[path = "gate_scenarios/command.rs"]
+mod command;
+#[path = "gate_scenarios/fixture.rs"]
+mod fixture;
+#[path = "gate_scenarios/script.rs"]
+mod script;
 
 #[test]
 fn gate_scenarios_hold() {
     datadriven::walk("tests/gate", |file| {
         file.run(|case| match &*case.directive {
-            "run" => bench::run(&case.input),
+            "run" => script::run(&case.input),
             other => format!("no directive {other:?}; use run\n"),
         });
     });
--- a/crates/steer/tests/gate_scenarios/line.rs
+++ b/crates/steer/tests/gate_scenarios/command.rs
@@ -1,20 +1,20 @@
-//! One line of a scenario: a word and `name=value` arguments.
+//! One line of a scenario: a verb and `name=value` arguments.
 
 use std::sync::Arc;
 
 use steer::process::dispatch;
 use steer::request::{answer, outcome, record};
 
-pub struct Line<'a> {
-    pub word: &'a str,
+pub struct Command<'a> {
+    pub verb: &'a str,
     arguments: Vec<(&'a str, &'a str)>,
 }
 
-impl<'a> Line<'a> {
+impl<'a> Command<'a> {
     pub fn parse(text: &'a str) -> Self {
         let mut parts = text.split_whitespace();
         Self {
-            word: parts.next().expect("a line has a word"),
+            verb: parts.next().expect("a command has a verb"),
             arguments: parts
                 .map(|part| part.split_once('=').expect("arguments are name=value"))
                 .collect(),
@@ -31,13 +31,13 @@
         self.get(name).map(number)
     }
 
-    pub fn count(&self, name: &str, usual: usize) -> usize {
+    pub fn count(&self, name: &str, default: usize) -> usize {
         let small = |n| usize::try_from(n).expect("a small number");
-        self.number(name).map_or(usual, small)
+        self.number(name).map_or(default, small)
     }
 
-    pub fn ending(&self) -> dispatch::AttemptOutcome {
-        match self.get("how").expect("the line says how it ended") {
+    pub fn hop_outcome(&self) -> dispatch::AttemptOutcome {
+        match self.get("how").expect("the command gives the outcome") {
             "answered" => dispatch::AttemptOutcome::Answered(Arc::new(answer::Answer {
                 status: 200,
                 headers: Vec::new(),
@@ -67,12 +67,12 @@
                 outcome::Reason::OwnerGone,
                 None,
             )),
-            other => panic!("no ending is called {other}"),
+            other => panic!("no hop outcome is called {other}"),
         }
     }
 
-    pub fn told(&self) -> Option<record::Reply> {
-        match self.get("word").expect("the line gives a word") {
+    pub fn reply(&self) -> Option<record::Reply> {
+        match self.get("word").expect("the command gives a reply") {
             "claimed" => Some(record::Reply::Claimed),
             "sealed" => Some(record::Reply::Sealed),
             "expired" => Some(record::Reply::Expired),
@@ -80,12 +80,15 @@
             "foreign" => Some(record::Reply::Foreign),
             "epoch" => Some(record::Reply::Epoch(self.number("epoch").unwrap_or(0))),
             "none" => None,
-            other => panic!("no word is called {other}"),
+            other => panic!("no reply is called {other}"),
         }
     }
 
-    pub fn stored(&self) -> record::StoreResult {
-        match self.get("how").expect("the line says how the call ended") {
+    pub fn store_result(&self) -> record::StoreResult {
+        match self
+            .get("how")
+            .expect("the command says how the call ended")
+        {
             "created" => record::StoreResult::Created,
             "absent" => record::StoreResult::Absent,
             "away" => record::StoreResult::Unreachable,
--- a/crates/steer/tests/gate_scenarios/scene.rs
+++ b/crates/steer/tests/gate_scenarios/fixture.rs
@@ -1,7 +1,7 @@
-//! Who is there: entry0 in domain0 and entry1 in domain1, both of region0, and
-//! entry2 in domain2 of region1, of incarnations a0, b0 and c0. Each domain has
-//! a target of `lodgement`, which is not idempotent, and of `sheetview`, which
-//! is.
+//! Processes and targets of the scenarios: entry0 in domain0 and entry1 in domain1,
+//! both in region0, and entry2 in domain2 of region1, with the incarnations a0, b0
+//! and c0. Each domain has a target of `lodgement`, which is not idempotent, and
+//! of `sheetview`, which is.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
     view::Incarnation(0xc0),
 ];
 
-/// The view in which the numbered entries are alive and, if `targets`, the
-/// targets listed.
+/// Builds a view in which the numbered entries are alive. Targets are listed only
+/// if `targets` is set.
 pub fn view(alive: &[usize], targets: bool) -> Arc<view::View> {
     let mut view = view::View {
         version: view::Version(1),
@@ -82,7 +82,7 @@
     Arc::new(view)
 }
 
-/// Caps wide enough never to bear on what is tested here.
+/// Adds caps that are too high to affect the scenarios.
 fn allow_shifts(view: &mut view::View, [a, b]: [view::Region; 2]) {
     for (from, to) in [(a, b), (b, a)] {
         view.links.push(view::Link {
--- a/crates/steer/tests/gate_scenarios/bench.rs
+++ b/crates/steer/tests/gate_scenarios/script.rs
@@ -1,4 +1,4 @@
-//! Feeds the events of a scenario to entry0's engine and prints its actions.
+//! Feeds the events of a scenario to the engine of entry0 and prints its actions.
 
 use core::fmt::Write;
 use core::time::Duration;
@@ -8,54 +8,53 @@
 use steer::process::{dispatch, gate, share, traffic};
 use steer::request::{arrival, key, outcome, record};
 
-use super::{line, scene};
+use super::{command, fixture};
 
-struct Bench {
+struct Script {
     now: clock::Time,
     traffic: traffic::Traffic,
     keys: Vec<(String, Arc<str>)>,
 }
 
-/// Runs a scenario from a fresh start.
+/// Runs a scenario from the start of the process and returns its transcript.
 pub fn run(input: &str) -> String {
-    let mut bench = Bench::new(gate::Limits::default());
+    let mut script = Script::new(gate::Limits::default());
     let mut text = String::new();
     for line in input.lines() {
-        writeln!(text, "{line}").expect("a string takes all");
-        for said in bench.take(&line::Line::parse(line)) {
-            writeln!(text, "    {said}").expect("a string takes all");
+        writeln!(text, "{line}").expect("writing to a string does not fail");
+        for action in script.execute(&command::Command::parse(line)) {
+            writeln!(text, "    {action}").expect("writing to a string does not fail");
         }
     }
     text
 }
 
-impl Bench {
+impl Script {
     fn new(limits: gate::Limits) -> Self {
-        let home = dispatch::Identity {
+        let identity = dispatch::Identity {
             name: "entry0".into(),
             domain: "domain0".into(),
         };
         let rng = fastrand::Rng::with_seed(1);
         Self {
             now: clock::Time::ZERO,
-            // The process has run for long enough to use its part of caps.
-            traffic: traffic::Traffic::new(home, scene::INCARNATIONS[0], limits, rng).with_shares(
-                share::Guards {
+            // The process has run for long enough to use its allotments of caps.
+            traffic: traffic::Traffic::new(identity, fixture::INCARNATIONS[0], limits, rng)
+                .with_shares(share::Guards {
                     settle: false,
                     ..share::Guards::default()
-                },
-            ),
+                }),
             keys: Vec::new(),
         }
     }
 
     fn feed(&mut self, event: traffic::Event) -> Vec<String> {
         let mut out = Vec::new();
-        // Control is well here, and the caps are wide: neither bears on keys.
+        // The slot is held and the caps are high, so neither affects keys.
         self.traffic
             .handle(self.now, traffic::Event::SlotHeld(true), &mut out);
         self.traffic.handle(self.now, event, &mut out);
-        // Probes of targets and gossip about them are not what is tested here.
+        // Probes of targets, suspicions and loans are not tested here.
         out.retain(|a| {
             !matches!(
                 a,
@@ -67,49 +66,52 @@
         out.iter().map(|action| self.show(action)).collect()
     }
 
-    fn take(&mut self, line: &line::Line<'_>) -> Vec<String> {
-        let id = || arrival::RequestId(line.number("id").expect("the line names a request"));
-        let ask = || record::QuestionId(line.number("ask").expect("the line names a question"));
-        match line.word {
+    fn execute(&mut self, command: &command::Command<'_>) -> Vec<String> {
+        let id = || arrival::RequestId(command.number("id").expect("the command names a request"));
+        let ask =
+            || record::QuestionId(command.number("ask").expect("the command names a question"));
+        match command.verb {
             "start" => {
-                *self = Self::new(limits(line));
-                self.feed(traffic::Event::View(view(line)))
+                *self = Self::new(limits(command));
+                self.feed(traffic::Event::View(view(command)))
             }
-            "view" => self.feed(traffic::Event::View(view(line))),
-            "key" => vec![self.key(line)],
+            "view" => self.feed(traffic::Event::View(view(command))),
+            "key" => vec![self.key(command)],
             "arrive" => {
-                let arrival = self.arrival(line, id());
+                let arrival = self.arrival(command, id());
                 self.feed(traffic::Event::Arrive(arrival))
             }
             "ended" => self.feed(traffic::Event::Ended {
                 id: id(),
                 attempt: arrival::AttemptId(
-                    line.number("attempt").expect("the line names an attempt"),
+                    command
+                        .number("attempt")
+                        .expect("the command names an attempt"),
                 ),
-                outcome: line.ending(),
+                outcome: command.hop_outcome(),
             }),
             "forwarded" => self.feed(traffic::Event::Forwarded {
                 id: id(),
-                outcome: line.ending(),
+                outcome: command.hop_outcome(),
             }),
             "told" => self.feed(traffic::Event::AskEnded {
                 ask: ask(),
-                reply: line.told(),
+                reply: command.reply(),
             }),
             "asked" => self.feed(traffic::Event::PeerAsked {
                 ask: ask(),
-                question: self.question(line),
+                question: self.question(command),
             }),
             "stored" => self.feed(traffic::Event::Stored {
                 id: id(),
-                result: line.stored(),
+                result: command.store_result(),
             }),
             "gone" => self.feed(traffic::Event::Disconnected(id())),
             "leave" => self.feed(traffic::Event::Leave),
             "clock" | "sleep" => {
-                let ms = line.number("ms").expect("the line gives a span");
+                let ms = command.number("ms").expect("the command gives a duration");
                 self.now = self.now + Duration::from_millis(ms);
-                match line.word {
+                match command.verb {
                     "clock" => self.feed(traffic::Event::Tick),
                     _ => Vec::new(),
                 }
@@ -126,16 +128,18 @@
         }
     }
 
-    /// `key name=k` looks one up, `owner=` puts one together by hand, `text=`
-    /// gives it as it stands.
-    fn key(&mut self, line: &line::Line<'_>) -> String {
-        let name = line.get("name").expect("the key has a name");
-        let text = match (line.get("text"), line.get("owner")) {
+    /// Makes a key: `key name=k` looks one up, with `owner=` it is assembled from
+    /// the arguments, with `text=` it is taken literally.
+    fn key(&mut self, command: &command::Command<'_>) -> String {
+        let name = command.get("name").expect("the key has a name");
+        let text = match (command.get("text"), command.get("owner")) {
             (Some(text), _) => text.to_owned(),
             (None, Some(owner)) => {
                 let prefix = key::Prefix {
-                    owner: stamp(owner, line.number("epoch")),
-                    witness: line.get("witness").map(|w| stamp(w, line.number("told"))),
+                    owner: stamp(owner, command.number("epoch")),
+                    witness: command
+                        .get("witness")
+                        .map(|w| stamp(w, command.number("told"))),
                 };
                 format!("{prefix}nonce-of-sixteen-{name}")
             }
@@ -159,18 +163,18 @@
         &found.expect("the key was made").0
     }
 
-    fn arrival(&self, line: &line::Line<'_>, id: arrival::RequestId) -> arrival::Arrival {
+    fn arrival(&self, command: &command::Command<'_>, id: arrival::RequestId) -> arrival::Arrival {
         arrival::Arrival {
             id,
-            service: line.get("service").unwrap_or("lodgement").into(),
-            caller: line.get("caller").unwrap_or("caller").into(),
-            key: line.get("key").map(|name| self.text(name)),
-            fingerprint: arrival::Fingerprint(u128::from(line.number("body").unwrap_or(0))),
-            deadline: line.number("ms").map(Duration::from_millis),
+            service: command.get("service").unwrap_or("lodgement").into(),
+            caller: command.get("caller").unwrap_or("caller").into(),
+            key: command.get("key").map(|name| self.text(name)),
+            fingerprint: arrival::Fingerprint(u128::from(command.number("body").unwrap_or(0))),
+            deadline: command.number("ms").map(Duration::from_millis),
             bytes: 100,
             caller_region: None,
             peer_region: None,
-            origin: match line.get("from") {
+            origin: match command.get("from") {
                 Some("forward") => arrival::Origin::Forward,
                 Some("peer") => arrival::Origin::Peer,
                 _ => arrival::Origin::Caller,
@@ -178,8 +182,8 @@
         }
     }
 
-    fn question(&self, line: &line::Line<'_>) -> record::Question {
-        match (line.get("claim"), line.get("seal")) {
+    fn question(&self, command: &command::Command<'_>) -> record::Question {
+        match (command.get("claim"), command.get("seal")) {
             (Some(name), _) => record::Question::Claim(self.text(name)),
             (_, Some(name)) => record::Question::Seal(self.text(name)),
             _ => record::Question::Epoch,
@@ -206,7 +210,7 @@
                 format!("reply {id}: {} {body}", answer.status)
             }
             traffic::Action::Refuse { id, refusal } => {
-                // How long is the dispatcher's choice, and jittered.
+                // The time is chosen by the dispatcher and jittered.
                 let after = refusal.retry_after.map_or("", |_| ", come back");
                 let outcome::Refusal {
                     reason, outcome, ..
@@ -230,7 +234,7 @@
                 };
                 format!("ask{} to {}: {what}", ask.0, peer.name)
             }
-            traffic::Action::Respond { ask, reply: word } => format!("tell ask{}: {word}", ask.0),
+            traffic::Action::Respond { ask, reply } => format!("tell ask{}: {reply}", ask.0),
             traffic::Action::Store { id, key, call, .. } => {
                 let what = match call {
                     record::StoreCall::Create(attempt) => format!("create {attempt}"),
@@ -251,28 +255,30 @@
 fn stamp(process: &str, epoch: Option<u64>) -> key::Stamp {
     let index: usize = process.parse().expect("a process's number");
     key::Stamp {
-        incarnation: scene::INCARNATIONS[index],
+        incarnation: fixture::INCARNATIONS[index],
         epoch: epoch.unwrap_or(0),
     }
 }
 
-fn view(line: &line::Line<'_>) -> Arc<steer::version::view::View> {
-    let listed = line.get("alive").expect("the line says who lives");
+fn view(command: &command::Command<'_>) -> Arc<steer::version::view::View> {
+    let listed = command
+        .get("alive")
+        .expect("the command lists the live processes");
     let index = |text: &str| text.parse().expect("a process's number");
     let alive: Vec<usize> = listed.split(',').map(index).collect();
-    scene::view(&alive, line.get("targets") != Some("none"))
+    fixture::view(&alive, command.get("targets") != Some("none"))
 }
 
-fn limits(line: &line::Line<'_>) -> gate::Limits {
-    let usual = gate::Limits::default();
+fn limits(command: &command::Command<'_>) -> gate::Limits {
+    let defaults = gate::Limits::default();
     gate::Limits {
-        records_max: line.count("records", usual.records_max),
-        held_max: line.count("held", usual.held_max),
-        caller_max: line.count("caller", usual.caller_max),
-        waiters_max: line.count("waiters", usual.waiters_max),
-        answer_bytes: line.number("answers").unwrap_or(usual.answer_bytes),
-        // Later probes would clutter the scenarios.
+        records_max: command.count("records", defaults.records_max),
+        held_max: command.count("held", defaults.held_max),
+        caller_max: command.count("caller", defaults.caller_max),
+        waiters_max: command.count("waiters", defaults.waiters_max),
+        answer_bytes: command.number("answers").unwrap_or(defaults.answer_bytes),
+        // Avoids further probes in the output.
         probe_interval: Duration::from_hours(24),
-        ..usual
+        ..defaults
     }
 }
--- a/crates/steer/tests/share_model/bench.rs
+++ b/crates/steer/tests/share_model/simulation.rs
@@ -1,8 +1,8 @@
-//! Shares of a whole fleet in virtual time, under the real control.
+//! Simulates the shares of a fleet in virtual time, with the production control.
 //!
-//! Every process asks for all it can get, in the worst place for it: at once.
-//! What all of them took, dead and replaced ones too, is summed over each
-//! second, closed at both ends.
+//! Every busy process uses all that its limit allows as soon as it can, which is
+//! the worst case. The use of all processes, including dead and replaced ones, is
+//! summed over each second, closed at both ends.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -16,40 +16,40 @@
 use steer::version::view::{Version, View};
 
 use crate::fleet::{self, Fleet, Layout, Node, Place};
-use crate::world::Plan;
+use crate::views::Plan;
 
-/// Time between two looks at the fleet.
+/// Step of virtual time.
 pub const STEP: Duration = Duration::from_millis(10);
-/// Looks between two questions for loans.
+/// Number of steps between two rounds of loan requests.
 const LOAN_REQUEST_STEPS: u64 = 30;
 
-/// Time for which a cap goes on counting after the last process has another:
-/// loans of it run out, and the second over which is summed.
+/// Time for which a cap is still allowed after the last process replaced it: the
+/// longest loan plus the second over which use is summed.
 pub const CAP_LINGER_TIME: Duration = Duration::from_secs(6);
 
-/// What the network does with loan messages.
+/// Faults of the network for loan messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Net {
-    /// Part that is lost, and part that comes twice.
+    /// Fractions of messages that are lost, and that are delivered twice.
     pub loss: f64,
-    pub twice: f64,
+    pub duplicated: f64,
     /// Longest delay.
     pub delay: Duration,
 }
 
-/// A process's part in traffic.
-struct Proc {
+/// The traffic threads of a process.
+struct Process {
     shares: Shares,
     offset: Duration,
     published: u64,
     version: Version,
-    /// Whether it wants to shift now.
-    busy: bool,
-    /// Whether its control hangs while its traffic goes on.
-    hung: bool,
+    /// Whether it uses all that its limit allows.
+    is_busy: bool,
+    /// Whether its control hangs while its traffic continues.
+    is_hung: bool,
     waiting: Vec<Loan>,
-    /// What it took of the first route, over all time.
-    took: u64,
+    /// Total use of the first route since the start.
+    taken_total: u64,
 }
 
 /// A message about a loan.
@@ -68,8 +68,8 @@
     },
 }
 
-/// A view with the members that a process believes alive.
-fn believed(view: &View, node: &Node) -> Arc<View> {
+/// Returns the view with the members that a process considers alive.
+fn visible_view(view: &View, node: &Node) -> Arc<View> {
     let mut view = view.clone();
     let shown = node.snapshot.as_ref().map(|s| s.members.as_ref());
     let alive = |name: &str| {
@@ -82,15 +82,15 @@
     Arc::new(view)
 }
 
-/// What was taken of a route within the last second.
+/// Use of a route by all processes within the last second.
 #[derive(Default)]
 struct Sum {
     taken: VecDeque<(Time, u64)>,
-    now: u64,
-    most: u64,
+    current: u64,
+    peak: u64,
 }
 
-pub struct Bench {
+pub struct Simulation {
     pub fleet: Fleet,
     pub net: Net,
     pub rng: fastrand::Rng,
@@ -98,27 +98,27 @@
     domains: usize,
     /// Number of instances and cap, by version.
     versions: Vec<(Version, Arc<View>, u64)>,
-    procs: Vec<Proc>,
+    processes: Vec<Process>,
     routes: Vec<Route>,
     sums: Vec<Sum>,
-    mail: Vec<(Time, usize, Loan)>,
+    in_transit: Vec<(Time, usize, Loan)>,
     steps: u64,
-    /// Largest sum in a second above the largest cap in force, and when.
-    pub over: (u64, Time),
+    /// Largest excess of a one-second sum over the cap in force, and its time.
+    pub excess: (u64, Time),
     lent: u64,
-    /// Largest cap in force anywhere, of late.
+    /// Largest caps in force at any live process within [`CAP_LINGER_TIME`].
     caps: VecDeque<(Time, u64)>,
 }
 
-impl Bench {
-    /// Starts a process under a name, whatever became of the one before it.
+impl Simulation {
+    /// Starts a process under a name, whether or not its predecessor still runs.
     pub fn replace(&mut self, name: &str) {
         let slot = self.fleet.slot(name);
         self.fleet.start(slot, None);
     }
 
-    /// A fleet of `nodes` instances in `domains` failure domains of two
-    /// regions, with nothing in force.
+    /// Creates a fleet of `nodes` instances in `domains` failure domains of two
+    /// regions, with no version in force.
     pub fn new(
         domains: usize,
         nodes: usize,
@@ -144,19 +144,19 @@
             guards,
             domains,
             versions: Vec::new(),
-            procs: Vec::new(),
+            processes: Vec::new(),
             sums: routes.iter().map(|_| Sum::default()).collect(),
             routes,
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             steps: 0,
-            over: (0, Time::ZERO),
+            excess: (0, Time::ZERO),
             lent: 0,
             caps: VecDeque::new(),
         }
     }
 
-    /// An operator puts a version with so many instances and such a cap into
-    /// the store, whether or not anybody hears of it.
+    /// Commits a version with `slots` instances and the cap `cap` to the store,
+    /// even if no process can read it.
     pub fn commit(&mut self, slots: usize, cap: u64) {
         let number = self.versions.len() as u64 + 1;
         let version = Version(number);
@@ -164,7 +164,7 @@
         let mut plan = Plan::new(2, &[]).shift(0, 1, cap).link(0, 1, cap);
         let entry = |slot: usize| (self.fleet.name(slot), slot % self.domains / half);
         plan.entries = (0..self.fleet.slots.len()).map(entry).collect();
-        // Processes that the configuration doesn't name may run all the same.
+        // Processes that the configuration does not name may still run.
         let members = plan.build(number).members.clone();
         plan.entries.truncate(slots);
         let mut view = View::clone(&plan.build(number));
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub fn run(&mut self, span: Duration) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
@@ -223,96 +223,97 @@
 
     fn step(&mut self) {
         self.steps += 1;
-        while self.procs.len() < self.fleet.nodes.len() {
-            self.procs.push(Proc {
+        while self.processes.len() < self.fleet.nodes.len() {
+            self.processes.push(Process {
                 shares: Shares::new(self.guards),
                 offset: Duration::from_micros(self.rng.u64(..1_000_000_000)),
                 published: 0,
                 version: Version(0),
-                busy: true,
-                hung: false,
+                is_busy: true,
+                is_hung: false,
                 waiting: Vec::new(),
-                took: 0,
+                taken_total: 0,
             });
         }
         self.deliver();
-        for at in 0..self.procs.len() {
-            if self.runs(at) {
-                self.follow(at);
-                self.use_up(at);
+        for at in 0..self.processes.len() {
+            if self.is_running(at) {
+                self.apply_published(at);
+                self.take_all(at);
             }
         }
         if self.steps.is_multiple_of(LOAN_REQUEST_STEPS) {
-            for at in 0..self.procs.len() {
-                self.ask(at);
+            for at in 0..self.processes.len() {
+                self.request_loans(at);
             }
         }
         self.check();
     }
 
-    /// Whether a process's traffic runs.
-    fn runs(&self, at: usize) -> bool {
+    /// Returns whether the traffic threads of a process run.
+    fn is_running(&self, at: usize) -> bool {
         let node = &self.fleet.nodes[at];
-        node.is_alive && (!node.is_frozen || self.procs[at].hung)
+        node.is_alive && (!node.is_frozen || self.processes[at].is_hung)
     }
 
-    /// A process's own time.
-    fn own(&self, at: usize) -> Time {
-        self.fleet.now + self.procs[at].offset
+    /// Clock of a process.
+    fn local_time(&self, at: usize) -> Time {
+        self.fleet.now + self.processes[at].offset
     }
 
-    /// Traffic hears what control published.
-    fn follow(&mut self, at: usize) {
-        if self.procs[at].hung {
+    /// Applies what control published to the traffic threads.
+    fn apply_published(&mut self, at: usize) {
+        if self.processes[at].is_hung {
             return;
         }
-        let now = self.own(at);
+        let now = self.local_time(at);
         let node = &self.fleet.nodes[at];
         let version = node.installs.last().map_or(Version(0), |f| f.1);
-        let proc = &mut self.procs[at];
-        if version != proc.version || node.publications != proc.published {
+        let process = &mut self.processes[at];
+        if version != process.version || node.publications != process.published {
             let found = self.versions.iter().find(|v| v.0 == version);
             if let Some((_, view, _)) = found {
-                let view = believed(view, node);
+                let view = visible_view(view, node);
                 let name = self.fleet.name(node.slot);
-                proc.shares.configure(now, &view, &name);
+                process.shares.configure(now, &view, &name);
             }
-            proc.version = version;
+            process.version = version;
         }
-        if node.publications != proc.published {
-            proc.published = node.publications;
+        if node.publications != process.published {
+            process.published = node.publications;
             let shown = node.snapshot.as_ref().expect("published");
-            proc.shares
+            process
+                .shares
                 .set_slot_held(now, shown.share.divisor.is_some());
         }
     }
 
-    fn use_up(&mut self, at: usize) {
-        let now = self.own(at);
-        let proc = &mut self.procs[at];
-        if !proc.busy {
+    fn take_all(&mut self, at: usize) {
+        let now = self.local_time(at);
+        let process = &mut self.processes[at];
+        if !process.is_busy {
             return;
         }
         for (nth, route) in self.routes.iter().enumerate() {
-            let amount = proc.shares.take_up_to(now, route, u64::MAX);
+            let amount = process.shares.take_up_to(now, route, u64::MAX);
             if amount > 0 {
                 let sum = &mut self.sums[nth];
                 sum.taken.push_back((self.fleet.now, amount));
-                sum.now += amount;
-                proc.took += if nth == 0 { amount } else { 0 };
+                sum.current += amount;
+                process.taken_total += if nth == 0 { amount } else { 0 };
             }
         }
     }
 
-    /// Asks two others for a loan.
-    fn ask(&mut self, at: usize) {
-        if !self.runs(at) || !self.procs[at].busy {
+    /// Requests a loan from two other processes for each route.
+    fn request_loans(&mut self, at: usize) {
+        if !self.is_running(at) || !self.processes[at].is_busy {
             return;
         }
-        let now = self.own(at);
+        let now = self.local_time(at);
         for route in self.routes.clone() {
-            let request = self.procs[at].shares.request_loan(now, &route, 1, 2);
-            let others: Vec<usize> = (0..self.procs.len()).filter(|&o| o != at).collect();
+            let request = self.processes[at].shares.request_loan(now, &route, 1, 2);
+            let others: Vec<usize> = (0..self.processes.len()).filter(|&o| o != at).collect();
             let lenders = self.rng.choose_multiple(others, request.asked_at.len());
             for (to, asked) in lenders.into_iter().zip(request.asked_at) {
                 let loan = Loan::Wanted {
@@ -321,12 +322,12 @@
                     amount: request.amount,
                     asked,
                 };
-                self.post(at, to, &loan);
+                self.send(at, to, &loan);
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, loan: &Loan) {
+    fn send(&mut self, from: usize, to: usize, loan: &Loan) {
         let place = |at: usize| Place::Domain(self.fleet.nodes[at].domain);
         let slot = |at: usize| Place::Slot(self.fleet.nodes[at].slot);
         let joined = self.fleet.is_connected(place(from), place(to))
@@ -334,25 +335,26 @@
         if !joined || self.rng.f64() < self.net.loss {
             return;
         }
-        let copies = 1 + usize::from(self.rng.f64() < self.net.twice);
+        let copies = 1 + usize::from(self.rng.f64() < self.net.duplicated);
         for _ in 0..copies {
-            let most = u64::try_from(self.net.delay.as_micros()).expect("short");
-            let delay = Duration::from_micros(self.rng.u64(..=most));
-            self.mail.push((self.fleet.now + delay, to, loan.clone()));
+            let max_micros = u64::try_from(self.net.delay.as_micros()).expect("short");
+            let delay = Duration::from_micros(self.rng.u64(..=max_micros));
+            self.in_transit
+                .push((self.fleet.now + delay, to, loan.clone()));
         }
     }
 
     fn deliver(&mut self) {
         let now = self.fleet.now;
-        let due: Vec<_> = self.mail.extract_if(.., |m| m.0 <= now).collect();
+        let due: Vec<_> = self.in_transit.extract_if(.., |m| m.0 <= now).collect();
         for (_, to, loan) in due {
             if self.fleet.nodes[to].is_alive {
-                self.procs[to].waiting.push(loan);
+                self.processes[to].waiting.push(loan);
             }
         }
-        for at in 0..self.procs.len() {
-            if self.runs(at) {
-                for loan in core::mem::take(&mut self.procs[at].waiting) {
+        for at in 0..self.processes.len() {
+            if self.is_running(at) {
+                for loan in core::mem::take(&mut self.processes[at].waiting) {
                     self.take_loan(at, loan);
                 }
             }
@@ -360,7 +362,7 @@
     }
 
     fn take_loan(&mut self, at: usize, loan: Loan) {
-        let now = self.own(at);
+        let now = self.local_time(at);
         match loan {
             Loan::Wanted {
                 from,
@@ -368,7 +370,7 @@
                 amount,
                 asked,
             } => {
-                let amount = self.procs[at].shares.lend(now, &route, amount);
+                let amount = self.processes[at].shares.lend(now, &route, amount);
                 self.lent += amount;
                 if amount > 0 {
                     let loan = Loan::Lent {
@@ -376,24 +378,24 @@
                         amount,
                         asked,
                     };
-                    self.post(at, from, &loan);
+                    self.send(at, from, &loan);
                 }
             }
             Loan::Lent {
                 route,
                 amount,
                 asked,
-            } => self.procs[at].shares.borrow(asked, &route, amount),
+            } => self.processes[at].shares.borrow(asked, &route, amount),
         }
     }
 
-    /// Compares each sum with the largest cap that is or lately was in force at
-    /// any live process.
+    /// Compares each sum with the largest cap that was in force at any live
+    /// process within [`CAP_LINGER_TIME`].
     fn check(&mut self) {
         let now = self.fleet.now;
-        let live = (0..self.procs.len()).filter(|&at| self.fleet.nodes[at].is_alive);
+        let live = (0..self.processes.len()).filter(|&at| self.fleet.nodes[at].is_alive);
         let caps = live.filter_map(|at| {
-            let version = self.procs[at].version;
+            let version = self.processes[at].version;
             self.versions.iter().find(|v| v.0 == version).map(|v| v.2)
         });
         let cap = caps.max().unwrap_or(0);
@@ -412,72 +414,72 @@
                 .front()
                 .is_some_and(|t| now.since(t.0) > share::window::RATE_PERIOD)
             {
-                sum.now -= sum.taken.pop_front().map_or(0, |t| t.1);
+                sum.current -= sum.taken.pop_front().map_or(0, |t| t.1);
             }
-            sum.most = sum.most.max(sum.now);
-            let over = sum.now.saturating_sub(cap);
-            if over > self.over.0 {
-                self.over = (over, now);
+            sum.peak = sum.peak.max(sum.current);
+            let excess = sum.current.saturating_sub(cap);
+            if excess > self.excess.0 {
+                self.excess = (excess, now);
             }
         }
     }
 
-    /// What was taken of the first route within the last second.
+    /// Use of the first route within the last second.
     pub fn sum(&self) -> u64 {
-        self.sums[0].now
+        self.sums[0].current
     }
 
-    /// The most that is taken of the first route in a second from now on.
-    pub fn level(&mut self) -> u64 {
-        let mut most = 0;
+    /// Runs for 2.5 s and returns the highest use of the first route in a second.
+    pub fn peak_rate(&mut self) -> u64 {
+        let mut peak = 0;
         for _ in 0..250 {
             self.run(STEP);
-            most = most.max(self.sum());
+            peak = peak.max(self.sum());
         }
-        most
+        peak
     }
 
-    /// The most that was taken of the first route in a second.
-    pub fn most(&self) -> u64 {
-        self.sums[0].most
+    /// Highest use of the first route in a second so far.
+    pub fn peak(&self) -> u64 {
+        self.sums[0].peak
     }
 
-    /// What was lent so far, in either route.
-    pub const fn lent(&self) -> u64 {
+    /// Total amount lent so far on all routes.
+    pub const fn lent_total(&self) -> u64 {
         self.lent
     }
 
-    /// The newest process of a name.
-    pub fn at(&self, name: &str) -> usize {
+    /// Index of the newest process of a name.
+    pub fn index_of(&self, name: &str) -> usize {
         self.fleet.slots[self.fleet.slot(name)]
     }
 
-    /// Whether a process wants to shift.
-    pub fn busy(&mut self, at: usize, busy: bool) {
-        self.procs[at].busy = busy;
+    /// Sets whether a process uses all that its limit allows.
+    pub fn set_busy(&mut self, at: usize, is_busy: bool) {
+        self.processes[at].is_busy = is_busy;
     }
 
-    /// Control hangs while traffic goes on.
-    pub fn hang(&mut self, at: usize) {
+    /// Makes a process's control hang while its traffic continues.
+    pub fn hang_control(&mut self, at: usize) {
         self.fleet.freeze(at);
-        self.procs[at].hung = true;
+        self.processes[at].is_hung = true;
     }
 
-    /// Wakes a process, or its control.
+    /// Resumes a process or its control.
     pub fn wake(&mut self, at: usize) {
-        self.procs[at].hung = false;
+        self.processes[at].is_hung = false;
         if self.fleet.nodes[at].is_frozen {
             self.fleet.thaw(at);
         }
     }
 
-    /// What a process took of the first route since it started.
-    pub fn took(&self, at: usize) -> u64 {
-        self.procs[at].took
+    /// Use of the first route by a process since it started.
+    pub fn taken_by(&self, at: usize) -> u64 {
+        self.processes[at].taken_total
     }
 
-    /// Number of processes that ever started.
+    /// Number of processes started so far.
     pub fn started(&self) -> usize {
-        self.procs.len()
+        self.processes.len()
     }
 }
--- a/crates/steer/tests/share_model/world.rs
+++ b/crates/steer/tests/share_model/views.rs
@@ -1,6 +1,6 @@
-//! Views with regions, entry instances and caps, for the tests of shares.
+//! Builds views with regions, entry instances and caps for the tests of shares.
 //!
-//! Each region has one failure domain of its name. Services: `look`.
+//! Each region has one failure domain with its name. The only service is `look`.
 
 use core::time::Duration;
 use std::net::SocketAddr;
@@ -13,22 +13,23 @@
     RegionData, Service, ServiceData, Shift, Site, SiteData, State, TargetData, Version, View,
 };
 
-/// What a view is made from. Lists are sorted by the builder.
+/// Description of a view. The builder sorts the lists.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     pub regions: Vec<String>,
     /// Name and index of the region.
     pub entries: Vec<(String, usize)>,
-    /// From, to, requests a second, ramp.
+    /// From, to, requests per second, ramp time.
     pub shifts: Vec<(usize, usize, u64, Duration)>,
-    /// From, to, bits a second.
+    /// From, to, bits per second.
     pub links: Vec<(usize, usize, u64)>,
-    /// Targets in each region.
+    /// Number of targets in each region.
     pub targets: usize,
 }
 
 impl Plan {
-    /// Regions `a`, `b`, ... and an instance in each as often as given.
+    /// Regions `a`, `b`, ... and one instance in the region of each index in
+    /// `entries`.
     pub fn new(regions: usize, entries: &[usize]) -> Self {
         let name = |at: usize| {
             let letter = u8::try_from(at).expect("few regions");
@@ -47,7 +48,8 @@
         self
     }
 
-    /// A link by its bytes a second, apart from what is kept for control.
+    /// Adds a link by its usable bytes per second, without the reserve for control
+    /// messages.
     pub fn link(mut self, from: usize, to: usize, bytes: u64) -> Self {
         self.links.push((from, to, (bytes * 100).div_ceil(95) * 8));
         self
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -1,7 +1,7 @@
-//! Windows, loans, parts and the outbox, each by itself.
+//! Unit tests of windows, loans, allotments, ramps and the outbox.
 
-#[path = "share_model/world.rs"]
-mod world;
+#[path = "share_model/views.rs"]
+mod views;
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use steer::process::share::{Guards, Route, SETTLING_TIME, Shares, loan};
 use steer::request::answer::Answer;
 use steer::request::arrival::RequestId;
-use world::Plan;
+use views::Plan;
 
 const START: Time = Time::from_micros(SETTLING_TIME.as_secs() * 1_000_000);
 
-/// Shares that have held their slot for long enough.
+/// Creates shares that have held their slot for [`SETTLING_TIME`].
 fn shares(plan: &Plan, name: &str, guards: Guards) -> Shares {
     let mut shares = Shares::new(guards);
     shares.configure(Time::ZERO, &plan.build(1), name);
@@ -25,7 +25,7 @@
     shares
 }
 
-/// Control says again and again that the slot is held.
+/// Reports every two seconds that the slot is held.
 fn hold(shares: &mut Shares, from: Time, until: Time) {
     let mut now = from;
     while now < until {
@@ -35,7 +35,7 @@
     shares.set_slot_held(until, true);
 }
 
-/// The most that was taken in any second, closed at both ends.
+/// Largest sum taken in any second, closed at both ends.
 fn peak(taken: &[(Time, u64)]) -> u64 {
     let within = |from: Time| {
         taken
@@ -111,8 +111,8 @@
         prop_assert_eq!(sums[1], if any(|r| r == 1) { cap } else { 0 });
     }
 
-    /// Instances that know different caps, but divide alike, stay within the
-    /// larger one only if no part shrinks when the cap grows.
+    /// Instances that know different caps but the same layout stay within the
+    /// larger cap only if no allotment shrinks when the cap grows.
     #[test]
     fn parts_grow_with_cap(count in 1..20usize, low in 0..100u64, more in 0..100u64) {
         let entries = vec![0; count];
@@ -157,8 +157,8 @@
     assert_eq!(lender.limit(START + loan::LENDER_TERM, &route), 50);
 }
 
-/// The network delivers the lender's answer twice. The lender took 25 from its
-/// part once; a borrower that counts both copies would use 25 that nobody gave.
+/// The network delivers the lender's reply twice. The lender deducted 25 once; a
+/// borrower that counts both copies would use 25 that were not lent.
 #[rstest::rstest]
 #[case::on(true, 75)]
 #[case::off(false, 100)]
@@ -198,9 +198,9 @@
     assert_eq!(borrower.limit(late, &route), 50);
 }
 
-/// An operator takes a cap out and puts it back at once, as two versions. What
-/// was used within the second, and lent, still counts: with a fresh cell the
-/// instance would use its part a second time.
+/// An operator removes a cap and adds it back at once, as two versions. Use within
+/// the second and loans still count: with a new state the instance would use its
+/// allotment a second time.
 #[rstest::rstest]
 #[case::on(true, false)]
 #[case::off(false, true)]
@@ -229,12 +229,12 @@
     }
 }
 
-/// Control hangs, or the process is paused and wakes with an old word that it
-/// holds its slot. Its successor uses the part by then.
+/// Control hangs, or the process is paused and resumes with an old report that it
+/// holds its slot. By then its successor uses the allotment.
 #[rstest::rstest]
 #[case::on(true, 0)]
 #[case::off(false, 50)]
-fn hold_old_word(#[case] held: bool, #[case] limit: u64) {
+fn hold_expired(#[case] held: bool, #[case] limit: u64) {
     let (plan, route) = pair(100);
     let guards = Guards {
         held,
@@ -244,9 +244,9 @@
     assert_eq!(shares.limit(after(3001), &route), limit);
 }
 
-/// A process was cut off, lost its hold, and is healed. It may still have a
-/// version that the others left long ago, so its part waits; used at once it
-/// would be the one by the old layout.
+/// A process was partitioned off, lost its hold, and is healed. It may still have
+/// a version that the others replaced long ago, so it has to wait: an allotment
+/// used at once could be that of the old layout.
 #[rstest::rstest]
 #[case::on(true, 0)]
 #[case::off(false, 50)]
@@ -264,10 +264,10 @@
     assert_eq!(shares.limit(after(6000) + SETTLING_TIME, &route), 50);
 }
 
-/// A shift has carried a request now and then for long. Its caches are as cold
-/// as ever, so the flood that follows starts at a tenth.
+/// Low traffic does not warm the caches of a shift, so it must not raise the limit:
+/// high traffic that follows starts at a tenth.
 #[test]
-fn ramp_trickle_stays_shut() {
+fn ramp_low_traffic() {
     let mut plan = Plan::new(2, &[0]);
     plan.shifts = vec![(0, 1, 1000, Duration::from_secs(30))];
     let route = plan.route(0, 1);
@@ -282,8 +282,8 @@
     assert_eq!(shares.limit(now, &route), 100);
 }
 
-/// A large move at once: it grows from a tenth, and reaches the whole not
-/// before nine tenths of the ramp.
+/// A sudden large shift of traffic starts at a tenth of the limit and reaches all
+/// of it only after nine tenths of the ramp time.
 #[rstest::rstest]
 #[case::on(true, 27)]
 #[case::off(false, 0)]
@@ -360,8 +360,8 @@
     );
 }
 
-/// Answers that are expected fill what a link takes in a quarter of a second;
-/// one more is refused before it runs.
+/// Expected answers may fill what a link takes in a quarter of a second; a request
+/// beyond that is refused before it runs.
 #[test]
 fn outbox_admits_few() {
     let (plan, mut shares, mut outbox) = outbox();
@@ -373,8 +373,8 @@
     assert_eq!(admitted, 3);
 }
 
-/// Answers are larger than a quarter of what the link takes in a second. One at
-/// a time still goes; refused for ever, the link would carry nothing.
+/// Answers are larger than a quarter of what the link takes in a second. One at a
+/// time is still admitted; otherwise the link would never carry any.
 #[test]
 fn outbox_large_one_by_one() {
     let (plan, mut shares, mut outbox) = outbox();
@@ -390,9 +390,9 @@
     }
 }
 
-/// An answer of three and a half seconds of the link's part. It is paid for
-/// second by second before it leaves, so that whatever second one looks at,
-/// what was taken in it is within the limit.
+/// An answer takes three and a half seconds of the link's limit. Its bytes are
+/// reserved over several seconds before it is sent, so that the sum in any second
+/// is within the limit.
 #[test]
 fn outbox_larger_than_second() {
     let (plan, mut shares, mut outbox) = outbox();
@@ -418,7 +418,7 @@
     assert_eq!(left, Some(3150));
 }
 
-/// The requester leaves while its answer waits: the link is free for others.
+/// The requester disconnects while its answer waits: the link is free for others.
 #[test]
 fn outbox_forgets_gone() {
     let (plan, mut shares, mut outbox) = outbox();
--- a/crates/steer/tests/share_traffic.rs
+++ b/crates/steer/tests/share_traffic.rs
@@ -1,7 +1,7 @@
-//! Caps and links as callers and peers meet them, through the whole engine.
+//! Caps and links as callers and peers experience them, through the whole engine.
 
-#[path = "share_model/world.rs"]
-mod world;
+#[path = "share_model/views.rs"]
+mod views;
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -16,26 +16,27 @@
 use steer::request::arrival::{Arrival, AttemptId, Fingerprint, Origin, RequestId};
 use steer::request::outcome::{Outcome, Reason, Refusal};
 use steer::version::view::Incarnation;
-use world::Plan;
+use views::Plan;
 
-/// Time that a target takes, and a peer of another region.
-const WORK: Duration = Duration::from_millis(50);
-const FAR: Duration = Duration::from_millis(120);
+/// Response time of a target.
+const TARGET_RESPONSE_TIME: Duration = Duration::from_millis(50);
+/// Response time of a peer in the other region.
+const PEER_RESPONSE_TIME: Duration = Duration::from_millis(120);
 const SECOND: Duration = window::RATE_PERIOD;
 
-/// One instance of region `a`, its targets and its peers.
+/// The engine of one instance in region `a`, with its targets and peers.
 struct Engine {
     traffic: Traffic,
     now: Time,
     ticked: Time,
     next: u64,
-    /// Attempts under way, with their ends.
+    /// Attempts in progress, with their end times.
     running: Vec<(Time, RequestId, AttemptId)>,
     answer: Arc<Answer>,
     log: Log,
 }
 
-/// What callers and peers saw, and when.
+/// Refusals, replies and attempts, with their times.
 #[derive(Default)]
 struct Log {
     refused: Vec<(Time, RequestId, Refusal)>,
@@ -45,14 +46,14 @@
 }
 
 impl Engine {
-    /// An engine that has held its slot for long enough.
+    /// Creates an engine that has held its slot for [`SETTLING_TIME`].
     fn new(plan: &Plan, guards: Guards, bytes: usize) -> Self {
-        let home = Identity {
+        let identity = Identity {
             name: "e000".into(),
             domain: "a".into(),
         };
         let rng = fastrand::Rng::with_seed(1);
-        let traffic = Traffic::new(home, Incarnation(1), Limits::default(), rng);
+        let traffic = Traffic::new(identity, Incarnation(1), Limits::default(), rng);
         let mut engine = Self {
             traffic: traffic.with_shares(guards),
             now: Time::ZERO,
@@ -88,12 +89,12 @@
                 destination,
                 ..
             } => {
-                let (log, work) = match destination {
-                    Destination::Target { .. } => (&mut self.log.local, WORK),
-                    Destination::Member { .. } => (&mut self.log.hops, FAR),
+                let (log, delay) = match destination {
+                    Destination::Target { .. } => (&mut self.log.local, TARGET_RESPONSE_TIME),
+                    Destination::Member { .. } => (&mut self.log.hops, PEER_RESPONSE_TIME),
                 };
                 log.push(now);
-                self.running.push((now + work, id, attempt));
+                self.running.push((now + delay, id, attempt));
             }
             Action::Reply { id, answer } => {
                 self.log.replied.push((now, id, answer.bytes()));
@@ -114,23 +115,23 @@
             let now = self.now;
             let done: Vec<_> = self.running.extract_if(.., |r| r.0 <= now).collect();
             for (_, id, attempt) in done {
-                let ending = AttemptOutcome::Answered(Arc::clone(&self.answer));
+                let outcome = AttemptOutcome::Answered(Arc::clone(&self.answer));
                 self.feed(Event::Ended {
                     id,
                     attempt,
-                    outcome: ending,
+                    outcome,
                 });
             }
             self.feed(Event::Tick);
         }
     }
 
-    /// A request of a caller of a region.
-    fn ask(&mut self, home: &str) -> RequestId {
-        self.arrive(home, Origin::Caller, None)
+    /// Sends a request of a caller in `region`.
+    fn request(&mut self, region: &str) -> RequestId {
+        self.arrive(region, Origin::Caller, None)
     }
 
-    fn arrive(&mut self, home: &str, origin: Origin, via: Option<&str>) -> RequestId {
+    fn arrive(&mut self, region: &str, origin: Origin, via: Option<&str>) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         self.feed(Event::Arrive(Arrival {
@@ -142,21 +143,21 @@
             deadline: None,
             bytes: 500,
             origin,
-            caller_region: Some(home.into()),
+            caller_region: Some(region.into()),
             peer_region: via.map(Arc::from),
         }));
         id
     }
 
-    /// So many requests a second for a time.
-    fn flood(&mut self, home: &str, rate: u64, span: Duration) {
+    /// Sends `rate` requests per second for `span`.
+    fn flood(&mut self, region: &str, rate: u64, span: Duration) {
         let from = self.now;
-        let mut asked = 0;
+        let mut sent = 0;
         while self.now < from + span {
-            let passed = u64::try_from(self.now.since(from).as_millis()).expect("short");
-            while asked * 1000 < rate * passed {
-                asked += 1;
-                self.ask(home);
+            let elapsed_ms = u64::try_from(self.now.since(from).as_millis()).expect("short");
+            while sent * 1000 < rate * elapsed_ms {
+                sent += 1;
+                self.request(region);
             }
             self.run(TICK);
         }
@@ -178,8 +179,7 @@
     times.iter().map(|t| (*t, 1)).collect()
 }
 
-/// Regions `a` and `b` with one instance each, and targets in `a` alone or in
-/// both.
+/// Regions `a` and `b` with one instance and `targets` targets each.
 fn plan(targets: usize, cap: u64) -> Plan {
     let mut plan = Plan::new(2, &[0, 1])
         .shift(0, 1, cap)
@@ -193,25 +193,25 @@
 #[test]
 fn foreign_caller_takes_shift() {
     let mut engine = Engine::new(&plan(12, 20), Guards::default(), 100);
-    // The region that serves has three quarters of a shift's cap.
+    // The serving region has three quarters of a shift's cap.
     for _ in 0..20 {
-        engine.ask("b");
+        engine.request("b");
     }
     assert_eq!(engine.log.local.len(), 15);
     assert_eq!(engine.log.refused.len(), 5);
-    engine.ask("a");
+    engine.request("a");
     assert_eq!(engine.log.local.len(), 16);
 }
 
-/// Callers of `b` reach `a` directly after their own region failed, and no
-/// operator has allowed a shift. They hear at once that it wasn't run, and when
-/// to come back; without the cap their traffic would move by itself.
+/// Callers of `b` address `a` directly after their own region failed, and no
+/// operator has allowed a shift. They are refused at once with "not run" and a time
+/// to retry; without the cap their traffic would shift without approval.
 #[test]
 fn foreign_caller_without_shift() {
     let mut plan = plan(12, 20);
     plan.shifts.clear();
     let mut engine = Engine::new(&plan, Guards::default(), 100);
-    let id = engine.ask("b");
+    let id = engine.request("b");
     let (at, refused, refusal) = engine.log.refused[0];
     assert_eq!((at, refused), (engine.now, id));
     assert_eq!(refusal.reason, Reason::Cap);
@@ -245,9 +245,9 @@
     assert_eq!(peak(&ones(&engine.log.hops)), 5);
 }
 
-/// A peer of `b` sends requests whose answers are large. Each answer leaves when
-/// the link has room for it; without the outbox (as if the requests hadn't come
-/// over a link) they leave as targets give them, far beyond its limit.
+/// A peer in `b` sends requests with large answers. Each answer is sent when the
+/// link has room for it; without the outbox (as if the requests had not come over
+/// a link) answers are sent as targets return them, far beyond the link's limit.
 #[rstest]
 #[case::on(true)]
 #[case::off(false)]
@@ -268,7 +268,7 @@
     assert!(engine.traffic.is_drained());
 }
 
-/// A planned stop waits for answers that wait for the link.
+/// A graceful stop waits for answers that are queued for the link.
 #[test]
 fn drained_waits_for_outbox() {
     let mut plan = plan(12, 1000);
@@ -286,9 +286,9 @@
     assert!(engine.traffic.is_drained());
 }
 
-/// A region's callers all come at once, to caches that don't know them. What is
-/// let in grows from a tenth of the part over the ramp, and the rest hears at
-/// once that it wasn't run; without the ramp the whole cap falls on cold caches.
+/// All callers of a region shift at once, to cold caches. The admitted rate grows
+/// from a tenth of the allotment over the ramp time, and the rest is refused at
+/// once; without the ramp the full cap falls on cold caches.
 #[rstest]
 #[case::on(true)]
 #[case::off(false)]
@@ -313,22 +313,21 @@
     assert!(peak(&ones(&engine.log.local)) <= 200);
 }
 
-/// Region `b` is lost and its callers come here at three times what the cap
-/// lets through. Each that has no room is refused in the moment it arrives;
-/// nothing piles up in a queue, where it would wait for room that never comes
-/// and take it from this region's own callers.
+/// Region `b` has failed and its callers arrive here at three times the rate of
+/// the cap. A request without room is refused on arrival; in a queue it would wait
+/// for room that never comes and take queue space from this region's own callers.
 #[test]
 fn failover_refuses_at_once() {
     let mut engine = Engine::new(&plan(24, 133), Guards::default(), 100);
     let from = engine.now;
     for _ in 0..500 {
         for _ in 0..3 {
-            let id = engine.ask("b");
+            let id = engine.request("b");
             let refused = engine.log.refused.last();
             let at_once = refused.is_some_and(|r| r.1 == id && r.0 == engine.now);
             assert!(at_once || engine.traffic.dispatch_state().waiting() == 0);
         }
-        engine.ask("a");
+        engine.request("a");
         engine.run(TICK);
     }
     let span = engine.now.since(from).as_secs();
@@ -342,8 +341,8 @@
     assert!(engine.log.refused.iter().all(|r| r.2.reason == Reason::Cap));
 }
 
-/// Home is overloaded for ten seconds and then has room again. Requests go home
-/// as soon as home has room, and stay there: the direction changes once.
+/// The own region is overloaded for ten seconds and then has room again. Requests
+/// return to it as soon as it has room, and stay there: the direction changes once.
 #[test]
 fn return_home_once() {
     let mut engine = Engine::new(&plan(4, 400), Guards::default(), 100);
