--- a/crates/wire/src/direct.rs
+++ b/crates/wire/src/direct.rs
@@ -1,6 +1,10 @@
-//! What instances that steer straight to targets say to each other: heartbeats
-//! as datagrams, and by call what one knows of the platform's store, for
-//! another that can't read it.
+//! Messages between instances that send requests directly to targets.
+//!
+//! Heartbeats, quota reports and grants are datagrams. [`Changes`] is the answer of
+//! a call: items of the platform's store for an instance that can't read the store.
+//!
+//! Invariant: fields and variants are encoded by position. Their order and types are
+//! part of the protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,84 +15,100 @@
 use steer::process::direct::{StoreContact, health, limit, members, quota, replica};
 use thiserror::Error;
 
-/// Bytes of a datagram that crosses any network unbroken.
+/// Largest datagram in bytes; smaller ones are not fragmented on usual networks.
 pub const DATAGRAM_MAX: usize = 1200;
 
-/// Targets named in one heartbeat: what fits a datagram beside the rest.
+/// Largest number of targets with in-flight counts in one heartbeat, so that the
+/// heartbeat fits a datagram.
 pub const IN_FLIGHT_MAX: usize = 70;
 
-/// Targets named in one heartbeat that are slow or fail.
+/// Largest number of observations of slow or failing targets in one heartbeat.
 pub const OBSERVATIONS_MAX: usize = 30;
 
-/// Requests named in one heartbeat that broke targets.
+/// Largest number of suspects in one heartbeat: requests during which targets broke
+/// off.
 pub const SUSPECTS_MAX: usize = 16;
 
-/// Thousandths in one.
+/// Encoded steps per unit of a rate.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// A message that can't be read.
+/// Errors in decoding a message.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Its bytes are none.
+    /// The bytes are not a message.
     #[error("the message can't be read: {0}; its sender may be of another release")]
     Bytes(#[from] bincode::Error),
-    /// What was compressed can't be unpacked.
+    /// The compressed items can't be decompressed.
     #[error("the message can't be unpacked: {0}; its sender may be of another release")]
     Packed(#[from] lz4_flex::block::DecompressError),
-    /// It would be too long.
+    /// The decompressed items would be longer than [`ITEMS_MAX`]; in bytes.
     #[error("a message of {0} bytes unpacked; its sender may be of another release")]
     Size(usize),
 }
 
-/// Where an instance is reached, and where it stands.
+/// Addresses and location of an instance, as registered in the platform's store (as
+/// JSON) and sent in some heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Its region.
+    /// Region of the instance.
     pub region: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where peers call.
+    /// Address for calls of peers.
     pub peers: SocketAddr,
-    /// Where heartbeats go.
-    pub beats: SocketAddr,
+    /// Address for heartbeats.
+    #[serde(rename = "beats")]
+    pub heartbeats: SocketAddr,
 }
 
-/// A heartbeat.
+/// Twin of [`members::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     name: String,
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
     seq: u64,
-    leaving: bool,
-    doubtful: bool,
+    #[serde(rename = "leaving")]
+    is_leaving: bool,
+    #[serde(rename = "doubtful")]
+    is_stale: bool,
     revision: u64,
     version: u64,
-    row: Option<Registration>,
-    flying: Vec<(Mark, u8)>,
-    held: Vec<(Mark, Mark)>,
-    struck: Vec<(Print, u8)>,
-    /// Mark, requests failed, and slowness in eighths.
-    troubles: Vec<(Mark, u8, u8)>,
-    /// Mark, thousandths of a request a second, and milliseconds since then.
-    limits: Vec<(Mark, Option<u32>, u32)>,
+    #[serde(rename = "row")]
+    registration: Option<Registration>,
+    /// Target hash and requests in flight; sorted when read.
+    #[serde(rename = "flying")]
+    in_flight: Vec<(ShortHash, u8)>,
+    /// Target hash and object hash.
+    #[serde(rename = "held")]
+    warm_objects: Vec<(ShortHash, ShortHash)>,
+    /// Request fingerprint and strikes.
+    #[serde(rename = "struck")]
+    suspects: Vec<(Fingerprint, u8)>,
+    /// Target hash, failed requests, and latency ratio in eighths.
+    #[serde(rename = "troubles")]
+    observations: Vec<(ShortHash, u8, u8)>,
+    /// Target hash, thousandths of a request a second, and milliseconds since the
+    /// target reported it.
+    limits: Vec<(ShortHash, Option<u32>, u32)>,
 }
 
-/// A hash. As bytes, since numbers are written in as few bytes as they need,
-/// and a hash needs all of them and one more.
-type Mark = [u8; 4];
+/// 32-bit hash as little-endian bytes. A variable-length integer would take one byte
+/// more, since a hash uses its whole range.
+type ShortHash = [u8; 4];
 
-/// A longer one.
-type Print = [u8; 16];
+/// 128-bit fingerprint of a request as little-endian bytes.
+type Fingerprint = [u8; 16];
 
-/// Numbers in as few bytes as they need: most are small, heartbeats are sent a
-/// hundred times a second in a small fleet, and what crosses regions is paid.
-fn form() -> impl Options {
+/// Encoding with variable-length integers: most numbers are small, a small fleet sends
+/// a hundred heartbeats a second, and bytes between regions are paid for.
+fn codec() -> impl Options {
     DefaultOptions::new().with_limit(DATAGRAM_MAX as u64 * 2)
 }
 
-/// One item of the platform's store.
+/// Twin of [`replica::Item`].
 #[derive(Serialize, Deserialize)]
 struct Item {
     key: String,
@@ -96,36 +116,40 @@
     value: Option<serde_bytes::ByteBuf>,
 }
 
-/// What an instance knows of the platform's store and another has missed.
+/// Items of the platform's store that the receiver lacks, with the age of the sender's
+/// contact with the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision up to which the receiver knows everything afterwards; 0 if the
-    /// sender knows nothing.
+    /// Revision up to which the receiver has every item after applying the changes; 0
+    /// if the sender has none.
     pub revision: u64,
-    /// Milliseconds since the store confirmed it, as far as the sender knows;
-    /// `None` if it never did.
+    /// Milliseconds since the store's last answer, as far as the sender knows; `None`
+    /// if there was none.
     pub age_ms: Option<u32>,
-    /// Milliseconds since which it has confirmed without a gap in which entries may
-    /// have lapsed.
+    /// Milliseconds for which the store has answered without a gap in which entries
+    /// may have expired.
     span_ms: Option<u32>,
-    /// Milliseconds since the moment at which everything that the store held is
-    /// known here, at most; `None` if there is no such moment.
+    /// Upper bound of the sender's staleness: milliseconds since a time up to which it
+    /// has everything that the store held; `None` if there is no such time.
     stale_ms: Option<u32>,
-    /// Milliseconds for which the question was kept waiting for this answer.
-    held_ms: u32,
-    /// Whether it is everything, in place of what has changed.
-    whole: bool,
-    /// The items, compressed: instances have narrow links, and one tells many.
+    /// Milliseconds for which the sender delayed this answer.
+    #[serde(rename = "held_ms")]
+    delay_ms: u32,
+    /// Whether this is a full snapshot and not only changes.
+    #[serde(rename = "whole")]
+    is_full: bool,
+    /// Items, encoded and compressed: links are narrow, and one instance serves many.
     #[serde(with = "serde_bytes")]
     items: Vec<u8>,
 }
 
-/// Longest list of items before it is compressed, in bytes: far more than a
-/// store of this kind holds, far less than an instance's memory.
+/// Largest list of items before compression, in bytes: far more than the platform's
+/// store holds, far less than an instance's memory.
 const ITEMS_MAX: usize = 48 << 20;
 
 impl Changes {
-    /// For another instance.
+    /// Encodes an update for another instance; the staleness stays unknown until
+    /// [`Changes::answered`].
     #[must_use]
     pub fn new(update: &replica::Update, contact: StoreContact) -> Self {
         let item = |item: &replica::Item| Item {
@@ -134,20 +158,20 @@
             value: item.value.as_deref().map(|v| v.to_vec().into()),
         };
         let items: Vec<Item> = update.items.iter().map(item).collect();
-        // Vectors and strings in memory can always be written.
+        // Encoding vectors and strings can't fail.
         let plain = DefaultOptions::new().serialize(&items).unwrap_or_default();
         Self {
             revision: update.revision,
             age_ms: millis(contact.age),
             span_ms: millis(contact.span),
             stale_ms: None,
-            held_ms: 0,
-            whole: update.is_full,
+            delay_ms: 0,
+            is_full: update.is_full,
             items: lz4_flex::compress_prepend_size(&plain),
         }
     }
 
-    /// The same by a sender that now stands so to the store.
+    /// Replaces the sender's contact with the store by a newer one.
     #[must_use]
     pub fn confirmed(self, contact: StoreContact) -> Self {
         Self {
@@ -157,35 +181,34 @@
         }
     }
 
-    /// The same by a sender that knows all that the store held `stale` ago, after
-    /// it has kept the question waiting.
+    /// Sets the sender's staleness and the time for which it delayed the answer.
     #[must_use]
-    pub fn answered(self, stale: Option<Duration>, held: Duration) -> Self {
+    pub fn answered(self, stale: Option<Duration>, delay: Duration) -> Self {
         Self {
             stale_ms: millis(stale),
-            // Less is safe: the rest counts as time on the way.
-            held_ms: u32::try_from(held.as_millis()).unwrap_or(0),
+            // A smaller value is safe: the receiver counts the rest as time in transit.
+            delay_ms: u32::try_from(delay.as_millis()).unwrap_or(0),
             ..self
         }
     }
 
-    /// Time since everything that the store held is known, at most, if `span` lies
-    /// between the question and now. How long the question and its answer were on
-    /// their way isn't known, so all of that counts.
+    /// Upper bound of the receiver's staleness, `span` after it sent the question.
+    /// `None` if the sender gave no bound. The transit times in each direction are
+    /// unknown, so all of `span` but the sender's delay counts.
     #[must_use]
     pub fn staleness(&self, span: Duration) -> Option<Duration> {
         let stale = Duration::from_millis(self.stale_ms?.into());
-        let held = Duration::from_millis(self.held_ms.into());
-        Some(stale + span.saturating_sub(held))
+        let delay = Duration::from_millis(self.delay_ms.into());
+        Some(stale + span.saturating_sub(delay))
     }
 
-    /// Time since the store confirmed it.
+    /// Time since the store's last answer to the sender.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         self.contact().age
     }
 
-    /// How the sender stands to the store.
+    /// Contact of the sender with the store.
     #[must_use]
     pub fn contact(&self) -> StoreContact {
         let span = |ms: u32| Duration::from_millis(ms.into());
@@ -217,72 +240,82 @@
         };
         Ok(Self {
             revision: changes.revision,
-            is_full: changes.whole,
+            is_full: changes.is_full,
             items: items.into_iter().map(item).collect(),
         })
     }
 }
 
-/// What instances send each other as datagrams.
+/// Datagram between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life.
+    /// Heartbeat; boxed because it is much larger than the other kinds.
     #[serde(rename = "Beat")]
     Heartbeat(Box<Heartbeat>),
-    /// What an instance needs of teams' tokens.
+    /// Quota tokens that an instance holds and needs.
     Report(Report),
-    /// What it is given.
+    /// Quota tokens that a pool grants.
     Grant(Grant),
 }
 
-/// See [`quota::Report`].
+/// Twin of [`quota::Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     name: String,
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
     seq: u64,
-    /// Whether it goes to the fleet's pool and not to the region's.
-    fleet: bool,
-    pool: u64,
+    /// Whether the report goes to the fleet's pool and not to the region's.
+    #[serde(rename = "fleet")]
+    is_fleet: bool,
+    #[serde(rename = "pool")]
+    pool_incarnation: u64,
     session: u64,
-    counted: u32,
-    /// Mark, held, received, want, urgent.
-    needs: Vec<(Long, u32, u32, u32, u32)>,
+    #[serde(rename = "counted")]
+    represented: u32,
+    /// Team hash and tokens held, received, wanted and waited for, as in
+    /// [`quota::Need`].
+    needs: Vec<(TeamHash, u32, u32, u32, u32)>,
 }
 
-/// See [`quota::Grant`].
+/// Twin of [`quota::Grant`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     name: String,
-    life: u64,
-    fleet: bool,
-    to: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
+    #[serde(rename = "fleet")]
+    is_fleet: bool,
+    #[serde(rename = "to")]
+    recipient: u64,
     session: u64,
-    /// Mark, total, keep, share, dry.
-    given: Vec<(Long, u32, u32, u32, bool)>,
+    /// Team hash, total, largest number held, rate in thousandths a second, and
+    /// whether the pool is exhausted, as in [`quota::TeamGrant`].
+    #[serde(rename = "given")]
+    grants: Vec<(TeamHash, u32, u32, u32, bool)>,
 }
 
-/// A long hash, as bytes.
-type Long = [u8; 8];
+/// 64-bit hash of a team's name as little-endian bytes.
+type TeamHash = [u8; 8];
 
 impl Message {
-    /// As bytes for a datagram.
+    /// Encodes the message for a datagram.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        form().serialize(self).unwrap_or_default()
+        codec().serialize(self).unwrap_or_default()
     }
 
-    /// From a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// If it is none of these.
+    /// [`Error::Bytes`] if the bytes are not a message.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        Ok(form().deserialize(bytes)?)
+        Ok(codec().deserialize(bytes)?)
     }
 }
 
-const fn level(fleet: bool) -> quota::Level {
-    if fleet {
+const fn level(is_fleet: bool) -> quota::Level {
+    if is_fleet {
         quota::Level::Fleet
     } else {
         quota::Level::Region
@@ -302,12 +335,12 @@
         };
         Self {
             name: report.name.as_ref().to_owned(),
-            life: report.incarnation,
+            incarnation: report.incarnation,
             seq: report.seq,
-            fleet: report.level == quota::Level::Fleet,
-            pool: report.pool_incarnation,
+            is_fleet: report.level == quota::Level::Fleet,
+            pool_incarnation: report.pool_incarnation,
             session: report.session,
-            counted: report.represented,
+            represented: report.represented,
             needs: report.needs.into_iter().map(need).collect(),
         }
     }
@@ -315,21 +348,22 @@
 
 impl From<Report> for quota::Report {
     fn from(report: Report) -> Self {
-        let need = |(team, held, received, want, urgent): (Long, u32, u32, u32, u32)| quota::Need {
-            team: u64::from_le_bytes(team),
-            held,
-            received,
-            wanted: want,
-            waiting: urgent,
-        };
+        let need =
+            |(team, held, received, wanted, waiting): (TeamHash, u32, u32, u32, u32)| quota::Need {
+                team: u64::from_le_bytes(team),
+                held,
+                received,
+                wanted,
+                waiting,
+            };
         Self {
             name: Arc::from(report.name),
-            incarnation: report.life,
+            incarnation: report.incarnation,
             seq: report.seq,
-            level: level(report.fleet),
-            pool_incarnation: report.pool,
+            level: level(report.is_fleet),
+            pool_incarnation: report.pool_incarnation,
             session: report.session,
-            represented: report.counted,
+            represented: report.represented,
             needs: report.needs.into_iter().map(need).collect(),
         }
     }
@@ -337,7 +371,7 @@
 
 impl From<quota::Grant> for Grant {
     fn from(grant: quota::Grant) -> Self {
-        let given = |g: quota::TeamGrant| {
+        let team_grant = |g: quota::TeamGrant| {
             (
                 g.team.to_le_bytes(),
                 g.total,
@@ -348,143 +382,154 @@
         };
         Self {
             name: grant.name.as_ref().to_owned(),
-            life: grant.incarnation,
-            fleet: grant.level == quota::Level::Fleet,
-            to: grant.recipient,
+            incarnation: grant.incarnation,
+            is_fleet: grant.level == quota::Level::Fleet,
+            recipient: grant.recipient,
             session: grant.session,
-            given: grant.grants.into_iter().map(given).collect(),
+            grants: grant.grants.into_iter().map(team_grant).collect(),
         }
     }
 }
 
 impl From<Grant> for quota::Grant {
     fn from(grant: Grant) -> Self {
-        let given =
-            |(team, total, keep, share, dry): (Long, u32, u32, u32, bool)| quota::TeamGrant {
-                team: u64::from_le_bytes(team),
-                total,
-                held_max: keep,
-                rate_milli: share,
-                is_exhausted: dry,
+        let team_grant =
+            |(team, total, held_max, rate_milli, is_exhausted): (TeamHash, u32, u32, u32, bool)| {
+                quota::TeamGrant {
+                    team: u64::from_le_bytes(team),
+                    total,
+                    held_max,
+                    rate_milli,
+                    is_exhausted,
+                }
             };
         Self {
             name: Arc::from(grant.name),
-            incarnation: grant.life,
-            level: level(grant.fleet),
-            recipient: grant.to,
+            incarnation: grant.incarnation,
+            level: level(grant.is_fleet),
+            recipient: grant.recipient,
             session: grant.session,
-            grants: grant.given.into_iter().map(given).collect(),
+            grants: grant.grants.into_iter().map(team_grant).collect(),
         }
     }
 }
 
 impl From<members::Registration> for Registration {
-    fn from(row: members::Registration) -> Self {
+    fn from(registration: members::Registration) -> Self {
         Self {
-            region: row.region.as_ref().to_owned(),
-            domain: row.domain.as_ref().to_owned(),
-            callers: row.callers,
-            peers: row.peers,
-            beats: row.heartbeats,
+            region: registration.region.as_ref().to_owned(),
+            domain: registration.domain.as_ref().to_owned(),
+            callers: registration.callers,
+            peers: registration.peers,
+            heartbeats: registration.heartbeats,
         }
     }
 }
 
 impl From<Registration> for members::Registration {
-    fn from(row: Registration) -> Self {
+    fn from(registration: Registration) -> Self {
         Self {
-            region: Arc::from(row.region),
-            domain: Arc::from(row.domain),
-            callers: row.callers,
-            peers: row.peers,
-            heartbeats: row.beats,
+            region: Arc::from(registration.region),
+            domain: Arc::from(registration.domain),
+            callers: registration.callers,
+            peers: registration.peers,
+            heartbeats: registration.heartbeats,
         }
     }
 }
 
 impl From<members::Heartbeat> for Heartbeat {
-    fn from(beat: members::Heartbeat) -> Self {
-        let mut flying = beat.in_flight;
-        flying.truncate(IN_FLIGHT_MAX);
-        let mut struck = beat.suspects;
-        struck.truncate(SUSPECTS_MAX);
-        let mut troubles = beat.observations;
-        troubles.truncate(OBSERVATIONS_MAX);
-        let trouble =
+    fn from(heartbeat: members::Heartbeat) -> Self {
+        let mut in_flight = heartbeat.in_flight;
+        in_flight.truncate(IN_FLIGHT_MAX);
+        let mut suspects = heartbeat.suspects;
+        suspects.truncate(SUSPECTS_MAX);
+        let mut observations = heartbeat.observations;
+        observations.truncate(OBSERVATIONS_MAX);
+        let observation =
             |t: health::Observation| (t.target_hash.to_le_bytes(), t.failures, t.ratio_eighths);
         Self {
-            name: beat.name.as_ref().to_owned(),
-            life: beat.incarnation,
-            seq: beat.seq,
-            leaving: beat.is_leaving,
-            doubtful: beat.is_stale,
-            revision: beat.revision,
-            version: beat.version,
-            row: beat.registration.map(Into::into),
-            flying: flying
+            name: heartbeat.name.as_ref().to_owned(),
+            incarnation: heartbeat.incarnation,
+            seq: heartbeat.seq,
+            is_leaving: heartbeat.is_leaving,
+            is_stale: heartbeat.is_stale,
+            revision: heartbeat.revision,
+            version: heartbeat.version,
+            registration: heartbeat.registration.map(Into::into),
+            in_flight: in_flight
                 .into_iter()
                 .map(|(t, n)| (t.to_le_bytes(), n))
                 .collect(),
-            held: beat
+            warm_objects: heartbeat
                 .warm_objects
                 .into_iter()
                 .map(|(t, o)| (t.to_le_bytes(), o.to_le_bytes()))
                 .collect(),
-            struck: struck
+            suspects: suspects
                 .into_iter()
                 .map(|(r, n)| (r.to_le_bytes(), n))
                 .collect(),
-            troubles: troubles.into_iter().map(trouble).collect(),
-            limits: beat.limits.into_iter().map(named).collect(),
+            observations: observations.into_iter().map(observation).collect(),
+            limits: heartbeat.limits.into_iter().map(encode_limit).collect(),
         }
     }
 }
 
 impl From<Heartbeat> for members::Heartbeat {
-    fn from(beat: Heartbeat) -> Self {
+    fn from(heartbeat: Heartbeat) -> Self {
         let count = |(target, count)| (u32::from_le_bytes(target), count);
-        let mut flying: Vec<(u32, u8)> = beat.flying.into_iter().map(count).collect();
-        flying.sort_unstable();
-        let held = |(target, object)| (u32::from_le_bytes(target), u32::from_le_bytes(object));
-        let trouble = |(target, failures, ratio_eighths)| health::Observation {
+        let mut in_flight: Vec<(u32, u8)> = heartbeat.in_flight.into_iter().map(count).collect();
+        in_flight.sort_unstable();
+        let warm_object =
+            |(target, object)| (u32::from_le_bytes(target), u32::from_le_bytes(object));
+        let observation = |(target, failures, ratio_eighths)| health::Observation {
             target_hash: u32::from_le_bytes(target),
             failures,
             ratio_eighths,
         };
-        let mut troubles: Vec<_> = beat.troubles.into_iter().map(trouble).collect();
-        troubles.sort_unstable();
-        let named = |(mark, rate, age): (Mark, Option<u32>, u32)| limit::LimitReport {
-            target_hash: u32::from_le_bytes(mark),
+        let mut observations: Vec<_> = heartbeat
+            .observations
+            .into_iter()
+            .map(observation)
+            .collect();
+        observations.sort_unstable();
+        let limit = |(hash, rate, age): (ShortHash, Option<u32>, u32)| limit::LimitReport {
+            target_hash: u32::from_le_bytes(hash),
             rate: rate.map(|rate| f64::from(rate) / THOUSANDTHS),
             age: Duration::from_millis(age.into()),
         };
-        let strikes = |(request, strikes)| (u128::from_le_bytes(request), strikes);
+        let suspect = |(request, strikes)| (u128::from_le_bytes(request), strikes);
         Self {
-            name: Arc::from(beat.name),
-            incarnation: beat.life,
-            seq: beat.seq,
-            is_leaving: beat.leaving,
-            is_stale: beat.doubtful,
-            revision: beat.revision,
-            version: beat.version,
-            registration: beat.row.map(Into::into),
-            in_flight: flying,
-            warm_objects: beat.held.into_iter().map(held).collect(),
-            suspects: beat.struck.into_iter().map(strikes).collect(),
-            observations: troubles,
-            limits: beat.limits.into_iter().map(named).collect(),
+            name: Arc::from(heartbeat.name),
+            incarnation: heartbeat.incarnation,
+            seq: heartbeat.seq,
+            is_leaving: heartbeat.is_leaving,
+            is_stale: heartbeat.is_stale,
+            revision: heartbeat.revision,
+            version: heartbeat.version,
+            registration: heartbeat.registration.map(Into::into),
+            in_flight,
+            warm_objects: heartbeat
+                .warm_objects
+                .into_iter()
+                .map(warm_object)
+                .collect(),
+            suspects: heartbeat.suspects.into_iter().map(suspect).collect(),
+            observations,
+            limits: heartbeat.limits.into_iter().map(limit).collect(),
         }
     }
 }
 
-fn named(named: limit::LimitReport) -> (Mark, Option<u32>, u32) {
+fn encode_limit(report: limit::LimitReport) -> (ShortHash, Option<u32>, u32) {
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "saturates"
     )]
     let thousandths = |rate: f64| (rate * THOUSANDTHS) as u32;
-    let age = u32::try_from(named.age.as_millis()).unwrap_or(u32::MAX);
-    let mark = named.target_hash.to_le_bytes();
-    (mark, named.rate.map(thousandths), age)
+    let age = u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX);
+    let hash = report.target_hash.to_le_bytes();
+    (hash, report.rate.map(thousandths), age)
 }
--- a/crates/wire/tests/direct.rs
+++ b/crates/wire/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of instances that steer straight to targets.
+//! Encoding of the heartbeats of directly steering instances.
 
 use core::time::Duration;
 
@@ -8,7 +8,7 @@
 use steer::process::direct::members::{Heartbeat, Registration};
 use wire::direct::Message;
 
-fn row() -> Registration {
+fn registration() -> Registration {
     let addr = |port| ([10, 1, 0, 15], port).into();
     Registration {
         region: "seq".into(),
@@ -19,7 +19,7 @@
     }
 }
 
-fn beat() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     Heartbeat {
         name: "edge-seq-a-1".into(),
         incarnation: u64::MAX - 3,
@@ -52,14 +52,14 @@
 }
 
 #[rstest]
-#[case::without_row(beat())]
-#[case::with_row(Heartbeat { registration: Some(row()), ..beat() })]
-fn beat_there_and_back(#[case] beat: Heartbeat) {
-    let bytes = Message::Heartbeat(Box::new(beat.clone().into())).encode();
-    let Message::Heartbeat(read) = Message::decode(&bytes).expect("it is whole") else {
-        panic!("it is a heartbeat");
+#[case::without_registration(heartbeat())]
+#[case::with_registration(Heartbeat { registration: Some(registration()), ..heartbeat() })]
+fn heartbeat_round_trip(#[case] heartbeat: Heartbeat) {
+    let bytes = Message::Heartbeat(Box::new(heartbeat.clone().into())).encode();
+    let Message::Heartbeat(read) = Message::decode(&bytes).expect("the message is complete") else {
+        panic!("decoded as another message");
     };
-    assert_eq!(Heartbeat::from(*read), beat);
+    assert_eq!(Heartbeat::from(*read), heartbeat);
     for end in 0..bytes.len() {
         assert!(Message::decode(&bytes[..end]).is_err(), "cut at {end}");
     }
@@ -67,21 +67,21 @@
     assert!(Message::decode(&longer).is_err(), "bytes left over");
 }
 
-/// What goes to other regions is paid by the byte, and to each of them all the
-/// time: a growth shows here.
+/// Guards against growth of the heartbeats that go to other regions all the time:
+/// their bytes are paid for.
 #[rstest]
 #[case::usual(None, 50)]
-#[case::with_row(Some(row()), 90)]
-fn far_beat_size(#[case] row: Option<Registration>, #[case] most: usize) {
-    let far = Heartbeat {
-        registration: row,
+#[case::with_registration(Some(registration()), 90)]
+fn remote_heartbeat_size(#[case] registration: Option<Registration>, #[case] size_max: usize) {
+    let remote = Heartbeat {
+        registration,
         in_flight: Vec::new(),
         warm_objects: Vec::new(),
         suspects: Vec::new(),
         observations: Vec::new(),
         limits: Vec::new(),
-        ..beat()
+        ..heartbeat()
     };
-    let size = Message::Heartbeat(Box::new(far.into())).encode().len();
-    assert!(size <= most, "{size} bytes");
+    let size = Message::Heartbeat(Box::new(remote.into())).encode().len();
+    assert!(size <= size_max, "{size} bytes");
 }
--- a/crates/wire/tests/heartbeat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and configurations as they cross the wire.
+//! Encoding of the messages between entry instances.
 
 use core::time::Duration;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -86,21 +86,21 @@
     }
 }
 
-fn a_digest() -> Digest {
+fn digest() -> Digest {
     Digest {
         domain: "seq-2".into(),
         value: 1 << 60,
     }
 }
 
-fn a_body() -> Body {
+fn body() -> Body {
     Body {
         hash: Hash([1; 32]),
         bytes: b"{}"[..].into(),
     }
 }
 
-fn told() -> Content {
+fn peer_seen() -> Content {
     Content::PeerSeen {
         name: "seq-1-b".into(),
         stamp: STAMP,
@@ -109,39 +109,39 @@
 }
 
 #[rstest]
-#[case::beat(Content::Heartbeat(heartbeat()))]
-#[case::across(Content::DomainHeartbeat(domain_heartbeat()))]
-#[case::sync(Content::Sync(vec![a_digest()]))]
-#[case::want(Content::RecordsRequest(vec!["seq-2".into()]))]
-#[case::rows(Content::Records(vec![record("seq-1-b")]))]
+#[case::heartbeat(Content::Heartbeat(heartbeat()))]
+#[case::domain_heartbeat(Content::DomainHeartbeat(domain_heartbeat()))]
+#[case::sync(Content::Sync(vec![digest()]))]
+#[case::records_request(Content::RecordsRequest(vec!["seq-2".into()]))]
+#[case::records(Content::Records(vec![record("seq-1-b")]))]
 #[case::superseded(Content::Superseded(STAMP))]
 #[case::succeeded(Content::Succeeded(STAMP))]
-#[case::ask(Content::PeerQuery("seq-1-b".into()))]
-#[case::told(told())]
+#[case::peer_query(Content::PeerQuery("seq-1-b".into()))]
+#[case::peer_seen(peer_seen())]
 #[case::pull(Content::Pull(Version(7)))]
 #[case::offer(Content::Offer(Arc::new(head(&["base", "site-1"]))))]
 #[case::fetch(Content::Fetch(vec![Hash([3; 32])]))]
-#[case::bodies(Content::Bodies(vec![a_body()]))]
-fn message_there_and_back(#[case] content: Content) {
+#[case::bodies(Content::Bodies(vec![body()]))]
+fn message_round_trip(#[case] content: Content) {
     let message = Message {
         from: record("seq-1-a"),
         content,
     };
     let sent = heartbeat::Message::from(&message);
-    let bytes = sent.encode().expect("it can be written");
+    let bytes = sent.encode().expect("the message can be encoded");
     assert_eq!(bytes.len() as u64, sent.wire_size());
-    let read = heartbeat::Message::decode(&bytes).expect("it can be read");
+    let read = heartbeat::Message::decode(&bytes).expect("the message can be decoded");
     assert_eq!(Message::try_from(read), Ok(message));
-    // A message cut short is refused, wherever it ends.
+    // Every truncation is rejected.
     for end in 0..bytes.len() {
         let cut = heartbeat::Message::decode(&bytes[..end]);
         assert!(matches!(cut, Err(Malformed::Bytes(_))), "cut at {end}");
     }
 }
 
-/// The heartbeat is what most bytes go into: a growth shows here.
+/// Guards against growth of the heartbeat, which takes most of the bytes between peers.
 #[test]
-fn beat_size() {
+fn heartbeat_size() {
     let message = Message {
         from: record("seq-1-a"),
         content: Content::Heartbeat(heartbeat()),
