--- a/crates/http1/src/answer.rs
+++ b/crates/http1/src/answer.rs
@@ -1,16 +1,17 @@
-//! An answer, as bytes.
+//! Encoder for responses.
 //!
-//! Invariant: its length always stands in it, so that one that breaks off can't
-//! look complete, and that the next answer begins where this one ends.
+//! Invariant: the extent of a response is always explicit, by its content length or
+//! because it can have no body. So a truncated response can't look complete, and the
+//! next one begins where it ends.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use http::header::{CONNECTION, CONTENT_LENGTH, DATE, HeaderName, TRANSFER_ENCODING, UPGRADE};
 use http::{Response, StatusCode};
 
-/// Tells a caller that its body may come.
+/// Interim response that asks the caller to send the body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Fields that only the connection's own end may set.
+/// Header fields of the connection itself, which only the encoder sets.
 const CONNECTION_FIELDS: [HeaderName; 5] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -19,18 +20,18 @@
     UPGRADE,
 ];
 
-/// What the request and the connection say about its answer.
+/// Properties of a response that follow from its request and connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// The connection closes behind it.
+    /// Whether the connection is closed after the response.
     pub is_closing: bool,
-    /// The request wanted the head only.
+    /// Whether only the head is sent, as for a `HEAD` request.
     pub is_head_only: bool,
-    /// The caller speaks HTTP/1.0 and must be told that the connection stays.
+    /// Whether the caller speaks HTTP/1.0, where keep-alive has to be explicit.
     pub is_http10: bool,
 }
 
-/// Writes the head of an answer; gives the body that follows it.
+/// Appends the head of a response to `out`; returns the body to send after it.
 #[must_use]
 pub fn encode(out: &mut BytesMut, answer: Response<Bytes>, options: Options, date: &str) -> Bytes {
     let (head, body) = answer.into_parts();
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,50 +1,51 @@
-//! A request's body, out of the bytes that follow its head.
+//! Incremental decoder for request bodies.
 //!
-//! Invariant: a chunked body is taken only in the one form that all readers
-//! understand alike; anything else is a fault, never a guess.
+//! Invariant: a chunked body is accepted only in the form that all parsers read
+//! alike; any other encoding is a fault.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::fault::Fault;
 use crate::head::Framing;
 
-/// Longest line that gives a chunk's size; callers' lines have under ten bytes.
+/// Upper bound on the line with a chunk's size; callers send fewer than ten bytes.
 const CHUNK_LINE_BYTES_MAX: usize = 1024;
 
-/// Most fields behind the last chunk.
+/// Upper bound on the number of trailer fields.
 const TRAILER_FIELDS_MAX: usize = 32;
 
-/// The body of one request while it arrives.
+/// Body of one request, while it is received.
 #[derive(Debug)]
 pub struct Body {
     stage: Stage,
-    /// What has arrived.
+    /// Decoded bytes so far.
     bytes: BytesMut,
-    /// Longest body.
+    /// Upper bound on the decoded body, in bytes.
     bytes_max: usize,
-    /// Longest fields behind the last chunk.
+    /// Upper bound on the trailer section, in bytes.
     trailers_max: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// So many bytes are due.
+    /// Expects this many more bytes.
     Length(usize),
-    /// A line with a chunk's size is due.
+    /// Expects the line with a chunk's size.
     ChunkSize,
-    /// So many bytes of a chunk are due.
+    /// Expects this many more bytes of a chunk.
     ChunkData(usize),
-    /// The end of a chunk's line is due.
+    /// Expects the line break that ends a chunk.
     ChunkEnd,
-    /// Fields behind the last chunk, up to an empty line.
+    /// Expects trailer fields, up to an empty line.
     Trailers,
 }
 
 impl Body {
-    /// A body of at most `bytes_max` bytes, with at most `trailers_max` behind its chunks.
+    /// Creates a decoder for a body of at most `bytes_max` bytes, with a trailer
+    /// section of at most `trailers_max` bytes.
     ///
     /// # Errors
-    /// If its head says that it is longer.
+    /// [`Fault::LongBody`] if the declared length exceeds `bytes_max`.
     pub fn new(framing: Framing, bytes_max: usize, trailers_max: usize) -> Result<Self, Fault> {
         let stage = match framing {
             Framing::Length(length) => match usize::try_from(length) {
@@ -61,16 +62,17 @@
         })
     }
 
-    /// Bytes held.
+    /// Returns the number of decoded bytes held.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Takes what is its own from `input`; gives the body once it is whole.
+    /// Consumes the bytes of the body from `input`; returns the body once it is
+    /// complete.
     ///
     /// # Errors
-    /// If a chunk can't be read or the body is too long.
+    /// If the chunked coding is malformed, or the body or its trailer is too long.
     pub fn take(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
         loop {
             let next = match self.stage {
@@ -107,7 +109,7 @@
         core::mem::take(&mut self.bytes).freeze()
     }
 
-    /// Moves up to `left` bytes; what is still due.
+    /// Moves up to `left` bytes; returns how many are still missing.
     fn take_data(&mut self, input: &mut BytesMut, left: usize) -> usize {
         let length = left.min(input.len());
         self.bytes.extend_from_slice(&input[..length]);
@@ -117,8 +119,8 @@
 
     fn take_size(&mut self, input: &mut BytesMut) -> Result<Option<Stage>, Fault> {
         let window = &input[..input.len().min(CHUNK_LINE_BYTES_MAX)];
-        // The parser lets any byte pass behind a semicolon, also a line's end
-        // that other readers would take for one.
+        // The parser accepts any byte in a chunk extension, also a bare LF, which
+        // other parsers take for the end of the line.
         let line = window.iter().position(|b| *b == b'\n');
         if line.is_some_and(|at| at == 0 || window[at - 1] != b'\r') {
             return Err(Fault::Chunk);
@@ -130,7 +132,7 @@
             }
             Ok(httparse::Status::Partial) | Err(_) => return Err(Fault::Chunk),
         };
-        // A line without a digit is no size, though the parser takes it for 0.
+        // The parser reads a line without a digit as size 0; it is a fault.
         if !input[0].is_ascii_hexdigit() {
             return Err(Fault::Chunk);
         }
@@ -145,8 +147,8 @@
         Ok(Some(Stage::ChunkData(size)))
     }
 
-    /// Whether the fields behind the last chunk have ended. They are dropped:
-    /// nothing that matters may come behind the body.
+    /// Consumes the trailer section; returns whether it is complete. Its fields are
+    /// discarded, since none that matters may follow the body.
     fn take_trailers(&self, input: &mut BytesMut) -> Result<bool, Fault> {
         let window = &input[..input.len().min(self.trailers_max)];
         let mut fields = [httparse::EMPTY_HEADER; TRAILER_FIELDS_MAX];
--- a/crates/http1/src/fault.rs
+++ b/crates/http1/src/fault.rs
@@ -1,34 +1,34 @@
-//! Why a connection is refused more requests.
+//! Faults in the input, after which a connection takes no more requests.
+//!
+//! Invariant: each fault has a 4xx status.
 
 use http::StatusCode;
 use thiserror::Error;
 
-/// What is wrong with what a caller sends. Nothing behind it can be read, since
-/// nobody knows where the next request begins.
+/// Fault in the bytes from a caller. Nothing after it is parsed, since the start of
+/// the next request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Fault {
-    /// The head isn't HTTP/1.x.
-    #[error("the head of the request can't be read; send HTTP/1.1")]
+    /// The head is not valid HTTP/1.x.
+    #[error("malformed request head; HTTP/1.1 is expected")]
     Head,
     /// The head is too long or has too many fields.
-    #[error("the head of the request is too long; send fewer or shorter fields")]
+    #[error("the request head is too long or has too many fields")]
     LongHead,
-    /// The length of the body is in doubt. Whoever else reads this connection
-    /// may see another request in the rest of the body.
-    #[error("the length of the body is in doubt; send one content-length or one chunked coding")]
+    /// The length of the body is ambiguous. Another parser on the path could read a
+    /// part of the body as a request (request smuggling).
+    #[error("ambiguous body length; one content-length or one chunked coding is expected")]
     Length,
-    /// The body isn't chunked as its head says.
-    #[error(
-        "a chunk of the body can't be read; send sizes in hexadecimal, each line ended by CR LF"
-    )]
+    /// The chunked coding of the body is malformed.
+    #[error("malformed chunk; hexadecimal sizes and lines that end with CR LF are expected")]
     Chunk,
     /// The body is too long.
-    #[error("the body of the request is too long; send less at a time")]
+    #[error("the request body is too long")]
     LongBody,
 }
 
 impl Fault {
-    /// The status that tells a caller.
+    /// Returns the status of the response to the caller.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,6 +1,6 @@
-//! A request's head: its syntax by `httparse`, and what it says of its body.
+//! Parser for request heads, based on `httparse`, and the framing of their bodies.
 //!
-//! Invariant: a head whose body could be given two lengths is a fault.
+//! Invariant: a head that leaves the length of the body ambiguous is a fault.
 
 use bytes::Bytes;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -8,36 +8,36 @@
 
 use crate::fault::Fault;
 
-/// Most fields of a head; the callers' own have fewer than ten.
+/// Upper bound on the number of fields in a head; callers send fewer than ten.
 const HEADER_FIELDS_MAX: usize = 100;
 
-/// How the body behind a head is delimited.
+/// Framing of a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes; none if there is no body.
+    /// Length in bytes; 0 if there is no body.
     Length(u64),
-    /// In chunks that say their sizes.
+    /// Chunked transfer coding.
     Chunked,
 }
 
-/// A head, read.
+/// Parsed request head.
 #[derive(Debug)]
 pub struct Head {
-    /// Method, target, version and fields.
+    /// Method, URI, version and header fields.
     pub request: Request<()>,
-    /// What follows.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the caller wants the connection closed behind the answer.
+    /// Whether the connection is to be closed after the response.
     pub is_closing: bool,
-    /// Whether the caller sends its body only once it is told to go on.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Reads a head at the start of `bytes`, of which `head_max` may belong to it.
-/// Gives it with its length, or nothing while it isn't whole.
+/// Parses a head of at most `head_max` bytes at the start of `bytes`. Returns it with
+/// its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// If it isn't a head, is too long, or leaves its body's length in doubt.
+/// If the head is malformed or too long, or leaves the body's length ambiguous.
 pub fn parse(bytes: &[u8], head_max: usize) -> Result<Option<(Head, usize)>, Fault> {
     let window = &bytes[..bytes.len().min(head_max)];
     let mut fields = [httparse::EMPTY_HEADER; HEADER_FIELDS_MAX];
@@ -50,7 +50,7 @@
         }
         Err(_) => return Err(Fault::Head),
     };
-    // One copy for all values, which share it.
+    // All values share one copy of the head.
     let text = Bytes::copy_from_slice(&window[..length]);
     let request = request(&parsed, window, &text)?;
     let framing = framing(&request)?;
@@ -67,12 +67,12 @@
 
 fn request(
     parsed: &httparse::Request<'_, '_>,
-    whole: &[u8],
+    head: &[u8],
     text: &Bytes,
 ) -> Result<Request<()>, Fault> {
     let method = parsed.method.unwrap_or_default();
     let method = Method::from_bytes(method.as_bytes()).map_err(|_| Fault::Head)?;
-    // What follows it would be a tunnel's bytes, not requests.
+    // Bytes after CONNECT would belong to a tunnel, not to requests.
     if method == Method::CONNECT {
         return Err(Fault::Head);
     }
@@ -88,24 +88,24 @@
     fields.reserve(parsed.headers.len());
     for field in parsed.headers.iter() {
         let name = HeaderName::from_bytes(field.name.as_bytes()).map_err(|_| Fault::Head)?;
-        let value = HeaderValue::from_maybe_shared(shared(text, whole, field.value));
+        let value = HeaderValue::from_maybe_shared(shared_slice(text, head, field.value));
         fields.append(name, value.map_err(|_| Fault::Head)?);
     }
-    // Two hosts may select two routes.
+    // Two hosts could select two different routes.
     if fields.get_all(header::HOST).iter().count() > 1 {
         return Err(Fault::Head);
     }
     Ok(request)
 }
 
-/// `part` of `whole`, out of the bytes that `text` copied from it.
-fn shared(text: &Bytes, whole: &[u8], part: &[u8]) -> Bytes {
-    // The parser gives an empty value a place of its own.
+/// Returns the slice of `text`, a copy of `head`, that corresponds to `part` of `head`.
+fn shared_slice(text: &Bytes, head: &[u8], part: &[u8]) -> Bytes {
+    // An empty value from the parser need not point into the head.
     if part.is_empty() {
         return Bytes::new();
     }
-    let from = part.as_ptr().addr() - whole.as_ptr().addr();
-    text.slice(from..from + part.len())
+    let start = part.as_ptr().addr() - head.as_ptr().addr();
+    text.slice(start..start + part.len())
 }
 
 fn framing(request: &Request<()>) -> Result<Framing, Fault> {
@@ -127,7 +127,8 @@
     Err(Fault::Length)
 }
 
-/// A length is digits only: a sign or a list would be read by some as another.
+/// Parses a content length, which must consist of digits only: parsers disagree on
+/// signs and lists.
 fn content_length(value: &HeaderValue) -> Result<Framing, Fault> {
     let text = value.to_str().map_err(|_| Fault::Length)?;
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
@@ -145,7 +146,7 @@
     request.version() == Version::HTTP_10 && !is_kept
 }
 
-/// Whether a list in a field has `token`.
+/// Returns whether a field with a comma-separated list contains `token`.
 fn is_listed(fields: &HeaderMap, name: &HeaderName, token: &str) -> bool {
     let values = fields.get_all(name).iter().filter_map(|v| v.to_str().ok());
     let mut tokens = values.flat_map(|v| v.split(','));
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,14 +1,14 @@
-//! The callers' side of HTTP/1.1 without I/O: bytes to requests, the order of a
-//! pipeline, answers to bytes.
+//! Server side of HTTP/1.1 without I/O: request parsing, pipelining and response
+//! encoding.
 //!
-//! [`reader::Reader`] takes bytes as they come and gives whole requests or the
-//! fault for which the connection ends. [`pipeline::Pipeline`] says which
-//! request may start, which answer is due, and when reading stops.
-//! [`answer::encode`] writes answers.
+//! [`reader::Reader`] takes bytes as they arrive and returns complete requests, or
+//! the fault that ends the connection. [`pipeline::Pipeline`] decides which request
+//! may start, which response is written next, and when reading stops.
+//! [`answer::encode`] encodes responses.
 //!
-//! Invariants: the same bytes give the same requests however they are cut; no
-//! byte behind a fault, or behind a request that closes its connection, becomes
-//! a request.
+//! Invariants: the same bytes yield the same requests, however they are split into
+//! reads; no byte after a fault, or after a request that closes its connection, is
+//! parsed as a request.
 
 pub mod answer;
 pub mod body;
--- a/crates/http1/src/pipeline.rs
+++ b/crates/http1/src/pipeline.rs
@@ -1,58 +1,58 @@
-//! The order of a pipeline: which request may start, which answer is due, when
-//! reading stops, where the connection ends.
+//! Scheduler for pipelined requests: decides which request may start, which answer
+//! is written next, when reading stops, and when the connection closes.
 //!
-//! A caller that sends further requests before the first is answered would
-//! otherwise wait for the sum of all their times. They run side by side, and
-//! their answers go back in the order of the requests.
+//! Pipelined idempotent requests run concurrently, so that a caller does not wait
+//! for the sum of their durations. Answers are written in the order of the requests.
 //!
 //! Invariants:
-//! - answers leave in the order of their requests, each once;
-//! - a request that must not repeat starts only when everything ahead of it is
-//!   answered, and nothing behind it starts before it is: otherwise it could
-//!   run though an answer ahead of it closes the connection, and its caller,
-//!   told by that answer that it was never read, would send it again;
-//! - the answer that closes the connection is the last of all that started:
-//!   what stands behind it never starts;
-//! - what is held is bounded, by requests and by bytes.
+//! - answers are written in the order of their requests, each once;
+//! - a request that is not idempotent starts only once all requests ahead of it are
+//!   answered, and none after it starts until its own answer is written. Otherwise it
+//!   could run although an answer ahead of it closes the connection, which tells the
+//!   caller that the request was not read, and the caller would send it again;
+//! - the answer that closes the connection is the last one of the started requests;
+//!   requests after it never start;
+//! - the requests and bytes held are bounded.
 
 use std::collections::VecDeque;
 
-/// Bounds on what one connection may have here.
+/// Limits of one connection's pipeline.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Requests that are not answered yet.
+    /// Upper bound on unanswered requests.
     pub requests_max: usize,
-    /// Bytes of requests that haven't started.
+    /// Bound on the bytes of requests that have not started; at or above it no request
+    /// is taken.
     pub waiting_bytes_max: usize,
-    /// Bytes of answers that wait for their turn. Beyond them nothing more
-    /// starts, so that a slow first request doesn't gather the answers of a
-    /// whole pipeline in memory.
+    /// Bound on the bytes of answers that wait to be written. At or above it no request
+    /// starts while others are unanswered, so that a slow first request does not
+    /// accumulate the answers of the whole pipeline in memory.
     pub answer_bytes_max: usize,
 }
 
-/// Names a request among those of its connection.
+/// Sequence number of a request on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(u64);
 
-/// A request that starts.
+/// Request that may start now.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StartedRequest<R> {
-    /// Its place.
+    /// Sequence number, to be passed to [`Pipeline::record_answer`].
     pub slot: Slot,
-    /// The request.
+    /// Request to execute.
     pub request: R,
-    /// Requests ahead of it that aren't answered.
+    /// Number of unanswered requests ahead of it.
     pub ahead: usize,
 }
 
-/// An answer whose turn has come.
+/// Answer to be written next.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DueAnswer<A, M> {
-    /// The answer.
+    /// Answer to write.
     pub answer: A,
-    /// What was noted of its request.
+    /// Context that was stored with the request.
     pub context: M,
-    /// Whether it closes the connection.
+    /// Whether the connection closes after this answer.
     pub is_closing: bool,
 }
 
@@ -71,15 +71,15 @@
     is_closing: bool,
 }
 
-/// The requests of one connection that aren't answered yet: of type `R`, with
-/// answers of type `A` and a context `M` on each that its answer needs.
+/// Unanswered requests of one connection: requests of type `R`, answers of type `A`,
+/// and a context `M` of each request that is needed to write its answer.
 #[derive(Debug)]
 pub struct Pipeline<R, A, M> {
     bounds: Bounds,
     entries: VecDeque<Entry<R, A, M>>,
-    /// Slot of the first entry.
+    /// Sequence number of the first entry.
     first_slot: u64,
-    /// How many entries have started; the others stand behind them.
+    /// Number of started entries, which are at the front.
     started_count: usize,
     waiting_bytes: usize,
     answer_bytes: usize,
@@ -88,7 +88,7 @@
 }
 
 impl<R, A, M> Pipeline<R, A, M> {
-    /// No requests.
+    /// Creates an empty pipeline.
     #[must_use]
     pub const fn new(bounds: Bounds) -> Self {
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether another request may be taken.
+    /// Returns whether another request may be pushed.
     #[must_use]
     pub fn has_room(&self) -> bool {
         !self.is_closed
@@ -111,19 +111,20 @@
             && self.waiting_bytes < self.bounds.waiting_bytes_max
     }
 
-    /// Whether every request is answered.
+    /// Returns whether all requests are answered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether an answer has closed the connection.
+    /// Returns whether the answer that closes the connection was returned.
     #[must_use]
     pub const fn is_closed(&self) -> bool {
         self.is_closed
     }
 
-    /// Takes a request of about `bytes`; `closes` if none is read behind it.
+    /// Adds a request of about `bytes` bytes; `is_closing` tells that none is read
+    /// after it.
     pub fn push(&mut self, request: R, context: M, bytes: usize, is_closing: bool) {
         self.waiting_bytes += bytes;
         self.entries.push_back(Entry {
@@ -134,8 +135,8 @@
         });
     }
 
-    /// Takes the answer to something that was no request; it closes the
-    /// connection, in its turn.
+    /// Adds the answer to malformed input. It is written in order and closes the
+    /// connection.
     pub fn reject(&mut self, answer: A, context: M) {
         self.entries.push_back(Entry {
             stage: Stage::Answered { answer, bytes: 0 },
@@ -145,14 +146,14 @@
         });
     }
 
-    /// From now on nothing starts but what has nothing ahead of it, and the
-    /// last answer of what has started closes the connection.
+    /// Begins a graceful stop: from now on a request starts only if none is ahead of it,
+    /// and the last answer of the started requests closes the connection.
     pub const fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// The next request that may start, if there is one. `is_idempotent` says
-    /// whether it may repeat.
+    /// Starts the next request if it may start now. `is_idempotent` tells whether a
+    /// request may be executed more than once.
     pub fn start_next(
         &mut self,
         is_idempotent: impl FnOnce(&R) -> bool,
@@ -183,7 +184,7 @@
         })
     }
 
-    /// Whether something may start beside what has started.
+    /// Returns whether a request may start while others are unanswered.
     fn can_start_more(&self) -> bool {
         let mut started = self.entries.iter().take(self.started_count);
         !self.is_stopping
@@ -191,7 +192,8 @@
             && started.all(|e| e.is_idempotent)
     }
 
-    /// A request that has started is answered, by `bytes`.
+    /// Records the answer of a started request, of `bytes` bytes. Unknown slots are
+    /// ignored.
     pub fn record_answer(&mut self, slot: Slot, answer: A, bytes: usize) {
         let at = slot.0.checked_sub(self.first_slot);
         let at = at.and_then(|at| usize::try_from(at).ok());
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The answer that is due next, if it is there.
+    /// Removes and returns the next answer in order, if it is available.
     pub fn next_answer(&mut self) -> Option<DueAnswer<A, M>> {
         let front = self.entries.front()?;
         if self.is_closed || !matches!(front.stage, Stage::Answered { .. }) {
@@ -222,7 +224,7 @@
         self.first_slot += 1;
         self.started_count = self.started_count.saturating_sub(1);
         self.answer_bytes -= bytes;
-        // What has started behind it must still be answered.
+        // Requests that have started after it must still be answered.
         let is_closing = is_closing || (self.is_stopping && self.started_count == 0);
         if is_closing {
             self.is_closed = true;
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -1,7 +1,7 @@
-//! Bytes as they come, to whole requests.
+//! Incremental reader that turns received bytes into complete requests.
 //!
-//! Invariant: after a fault, or a request that closes its connection, every
-//! further byte is dropped unread.
+//! Invariant: after a fault, or a request that closes its connection, all further
+//! bytes are discarded without being parsed.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http::Request;
@@ -10,50 +10,50 @@
 use crate::fault::Fault;
 use crate::head::{self, Framing, Head};
 
-/// What one request may be.
+/// Size limits of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head in bytes.
+    /// Upper bound on the head, in bytes; it also bounds the trailer section.
     pub head_bytes_max: usize,
-    /// Longest body in bytes.
+    /// Upper bound on the body, in bytes.
     pub body_bytes_max: usize,
 }
 
-/// What can be done next.
+/// Result of a step of the reader.
 #[derive(Debug)]
 #[allow(
     clippy::large_enum_variant,
-    reason = "moved once, straight to where it is kept; a box would be one more allocation a request"
+    reason = "moved once, to where it is stored; a box would cost an allocation per request"
 )]
 pub enum Step {
     /// More bytes are needed.
     NeedMore,
-    /// A head is there, and a body follows: of this length, if the head says
-    /// it. [`Reader::end`] refuses it, [`Reader::step`] goes on.
+    /// A head was read and its body follows. [`Reader::end`] rejects the body,
+    /// [`Reader::step`] reads it.
     Body {
-        /// Bytes of the body.
+        /// Length of the body in bytes, if the head declares it.
         length: Option<u64>,
-        /// Whether the caller waits to be told to send it.
+        /// Whether the caller waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// A request is there.
+    /// A request is complete.
     Request(CompleteRequest),
-    /// What came is no request, and nothing behind it is.
+    /// The input is malformed; the reader has ended.
     Fault(Fault),
 }
 
-/// A request, whole.
+/// Complete request.
 #[derive(Debug)]
 pub struct CompleteRequest {
-    /// The request.
+    /// Request with its body.
     pub request: Request<Bytes>,
-    /// Whether nothing is read behind it.
+    /// Whether no further request is read after this one.
     pub is_closing: bool,
-    /// Bytes that it takes, about.
+    /// Size of the head and the decoded body, in bytes.
     pub bytes: usize,
 }
 
-/// Reads the requests of one connection.
+/// Reader of the requests of one connection.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
@@ -69,7 +69,7 @@
 }
 
 impl Reader {
-    /// Nothing read yet.
+    /// Creates a reader without input.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Bounds requests that begin from now on.
+    /// Sets the limits of requests whose heads are read from now on.
     pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Takes bytes as they came.
+    /// Adds received bytes; they are discarded if the reader has ended.
     pub fn push(&mut self, bytes: &[u8]) {
         if !self.has_ended() {
             self.input.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes held that belong to no whole request yet.
+    /// Returns the number of bytes held for incomplete requests.
     #[must_use]
     pub fn buffered(&self) -> usize {
         let body = match &self.stage {
@@ -101,25 +101,25 @@
         self.input.len() + body
     }
 
-    /// Whether a request has begun and isn't whole.
+    /// Returns whether a request has begun and is incomplete.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         matches!(self.stage, Stage::Body(_)) || !self.input.is_empty()
     }
 
-    /// Whether nothing more is read.
+    /// Returns whether the reader has ended.
     #[must_use]
     pub const fn has_ended(&self) -> bool {
         matches!(self.stage, Stage::Ended)
     }
 
-    /// Reads nothing more; what is held is dropped.
+    /// Ends the reader and discards the bytes it holds.
     pub fn end(&mut self) {
         self.stage = Stage::Ended;
         self.input = BytesMut::new();
     }
 
-    /// Goes on as far as the bytes allow.
+    /// Reads up to the next event that the received bytes allow.
     pub fn step(&mut self) -> Step {
         let step = match &mut self.stage {
             Stage::Ended => return Step::NeedMore,
@@ -163,8 +163,8 @@
         })
     }
 
-    /// Some callers end a body with a line of its own. It begins no request, and
-    /// its time must not run.
+    /// Skips empty lines, which some callers send after a body. They don't begin a
+    /// request, and must not start its read timeout.
     fn skip_empty_lines(&mut self) {
         while self.input.starts_with(b"\r\n") {
             self.input.advance(2);
--- a/crates/http1/tests/answer.rs
+++ b/crates/http1/tests/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as bytes.
+//! Tests the encoding of responses.
 
 use bytes::{Bytes, BytesMut};
 use http::Response;
@@ -41,7 +41,8 @@
     "HTTP/1.1 200 OK|date: Thu, 01 Jan 1970 00:00:00 GMT||")]
 #[case::no_content(answer(204, &[], "body"), KEEP_ALIVE,
     "HTTP/1.1 204 No Content|date: Thu, 01 Jan 1970 00:00:00 GMT||")]
-// A target's own words on its connection and its framing say nothing of this one.
+// Connection and framing fields of a target's response must not be copied to the
+// caller's connection.
 #[case::others_framing(answer(200, &[("content-length", "9"), ("transfer-encoding", "chunked"),
     ("connection", "close"), ("date", "today")], "body"), KEEP_ALIVE,
     "HTTP/1.1 200 OK|date: today|content-length: 4||body")]
--- a/crates/http1/tests/fuzz.rs
+++ b/crates/http1/tests/fuzz.rs
@@ -1,7 +1,8 @@
-//! Any bytes, cut anywhere, and any order of events.
+//! Fuzz tests of the reader with arbitrary bytes and splits, and of the pipeline with
+//! arbitrary events.
 //!
-//! `FUZZ_CASES=100000 FUZZ_SEED=7 cargo test --release -p http1 --test fuzz`
-//! plays more. A case that failed becomes a line of the text files.
+//! `FUZZ_CASES=100000 FUZZ_SEED=7 cargo test --release -p http1 --test fuzz` runs
+//! more cases. Cases that failed are added to the text files of the other tests.
 
 #[path = "reader/bench.rs"]
 mod bench;
@@ -16,14 +17,14 @@
     body_bytes_max: 24,
 };
 
-/// A request that callers send, and what is read of it.
+/// Valid request, and the line that the reader's output must show for it.
 #[derive(Clone, Debug)]
-struct Sound {
+struct ValidRequest {
     text: Vec<u8>,
     line: String,
 }
 
-fn sound() -> impl Strategy<Value = Sound> {
+fn valid_request() -> impl Strategy<Value = ValidRequest> {
     let body = prop_oneof![Just(None), vec(any::<u8>(), 0..20).prop_map(Some)];
     ("[a-z]{0,6}", body, vec(1..7_usize, 0..3), any::<bool>()).prop_map(
         |(path, body, sizes, chunked)| {
@@ -46,7 +47,7 @@
             let body = body.unwrap_or_default();
             let body = String::from_utf8_lossy(&body);
             let line = format!("{method} /{path}{fields} body={body:?}");
-            Sound { text, line }
+            ValidRequest { text, line }
         },
     )
 }
@@ -65,9 +66,9 @@
     text.extend(b"0\r\n\r\n");
 }
 
-/// Places to cut `length` bytes at, in order.
-fn cuts(places: &[u16], length: usize) -> Vec<usize> {
-    let mut cuts: Vec<usize> = places
+/// Maps arbitrary numbers to sorted split positions within `length` bytes.
+fn cuts(positions: &[u16], length: usize) -> Vec<usize> {
+    let mut cuts: Vec<usize> = positions
         .iter()
         .map(|p| usize::from(*p) % (length + 1))
         .collect();
@@ -75,13 +76,13 @@
     cuts
 }
 
-/// Sound requests in a row, cut anywhere, are read as they were sent.
+/// Valid pipelined requests are read as sent, however they are split.
 #[test]
 fn read_sound_requests() {
-    let strategy = (vec(sound(), 0..6), vec(any::<u16>(), 0..12));
-    fuzz::check(&strategy, |(sent, places)| {
+    let strategy = (vec(valid_request(), 0..6), vec(any::<u16>(), 0..12));
+    fuzz::check(&strategy, |(sent, positions)| {
         let text: Vec<u8> = sent.iter().flat_map(|s| s.text.clone()).collect();
-        let read = bench::read(&text, LIMITS, &cuts(&places, text.len()));
+        let read = bench::read(&text, LIMITS, &cuts(&positions, text.len()));
         let mut lines: Vec<String> = sent.into_iter().map(|s| s.line).collect();
         lines.push("idle".into());
         prop_assert_eq!(read, lines);
@@ -89,7 +90,7 @@
     });
 }
 
-/// Pieces that requests are made of, sound and broken.
+/// Generates fragments of requests, valid and malformed.
 fn piece() -> impl Strategy<Value = Vec<u8>> {
     let known: &[&[u8]] = &[
         b"GET /a HTTP/1.1\r\n",
@@ -123,19 +124,19 @@
     ]
 }
 
-/// Whatever comes, cut anywhere, is read as when it comes whole, without a
-/// panic; behind a fault nothing is read.
+/// Arbitrary input is read the same however it is split, without a panic, and
+/// nothing is read after a fault.
 #[test]
 fn read_alike_however_cut() {
     let strategy = (vec(piece(), 0..24), vec(any::<u16>(), 0..12));
-    fuzz::check(&strategy, |(pieces, places)| {
+    fuzz::check(&strategy, |(pieces, positions)| {
         let text = pieces.concat();
         let whole = bench::read(&text, LIMITS, &[]);
-        let read = bench::read(&text, LIMITS, &cuts(&places, text.len()));
+        let read = bench::read(&text, LIMITS, &cuts(&positions, text.len()));
         prop_assert_eq!(&whole, &read);
         let bytes: Vec<usize> = (1..text.len()).collect();
         prop_assert_eq!(&whole, &bench::read(&text, LIMITS, &bytes));
-        // A method may begin with a digit too.
+        // A method may begin with a digit too, so the body tells requests from faults.
         let is_fault = |l: &String| l.starts_with('4') && !l.contains(" body=");
         let faults = whole.iter().filter(|l| is_fault(l)).count();
         let last = whole.len().checked_sub(2).map(|at| is_fault(&whole[at]));
@@ -148,14 +149,15 @@
     });
 }
 
-/// What happens on a connection.
+/// Event on a connection.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Get,
     Put,
     Last,
     Malformed,
-    /// The request that has run for the n-th longest is answered.
+    /// Answers one of the running requests, selected by the first number modulo their
+    /// count, with an answer of the second number of bytes.
     Answer(u8, u8),
     Stop,
 }
@@ -177,17 +179,17 @@
     answer_bytes_max: 300,
 };
 
-/// Requests by number, and what became of them.
-struct World {
+/// Model of a connection: requests by number, and their states.
+struct Model {
     pipeline: Pipeline<usize, usize, ()>,
     puts: Vec<bool>,
     running: Vec<(usize, Slot)>,
-    left: Vec<usize>,
-    ended: bool,
-    closed: bool,
+    written: Vec<usize>,
+    has_ended: bool,
+    is_closed: bool,
 }
 
-impl World {
+impl Model {
     fn event(&mut self, event: Event) {
         let number = self.puts.len();
         match event {
@@ -198,16 +200,16 @@
             }
             Event::Answer(..) => {}
             Event::Stop => self.pipeline.stop(),
-            _ if self.ended || !self.pipeline.has_room() => {}
+            _ if self.has_ended || !self.pipeline.has_room() => {}
             Event::Malformed => {
                 self.puts.push(false);
                 self.pipeline.reject(number, ());
-                self.ended = true;
+                self.has_ended = true;
             }
             Event::Get | Event::Put | Event::Last => {
                 self.puts.push(matches!(event, Event::Put));
-                self.ended = matches!(event, Event::Last);
-                self.pipeline.push(number, (), 10, self.ended);
+                self.has_ended = matches!(event, Event::Last);
+                self.pipeline.push(number, (), 10, self.has_ended);
             }
         }
     }
@@ -217,23 +219,27 @@
             let puts = &self.puts;
             if let Some(start) = self.pipeline.start_next(|n| !puts[*n]) {
                 let number = start.request;
-                prop_assert!(!self.closed, "{number} started behind the end");
-                let open = number - self.left.len();
+                prop_assert!(!self.is_closed, "{number} started after the closing answer");
+                let open = number - self.written.len();
                 prop_assert_eq!(open, start.ahead);
-                let alone = open == 0 || !puts[self.left.len()..=number].contains(&true);
+                let is_alone = open == 0 || !puts[self.written.len()..=number].contains(&true);
                 prop_assert!(
-                    alone,
-                    "{number} started beside a request that must not repeat"
+                    is_alone,
+                    "{number} started beside a request that is not idempotent"
                 );
                 self.running.push((number, start.slot));
             } else if let Some(due) = self.pipeline.next_answer() {
-                prop_assert!(!self.closed, "{} left behind the end", due.answer);
-                prop_assert_eq!(due.answer, self.left.len(), "out of order");
-                self.left.push(due.answer);
-                self.closed = due.is_closing;
+                prop_assert!(
+                    !self.is_closed,
+                    "{} written after the closing answer",
+                    due.answer
+                );
+                prop_assert_eq!(due.answer, self.written.len(), "out of order");
+                self.written.push(due.answer);
+                self.is_closed = due.is_closing;
                 prop_assert!(
                     !due.is_closing || self.running.is_empty(),
-                    "closed with requests at work"
+                    "closed with requests running"
                 );
             } else {
                 return Ok(());
@@ -242,31 +248,36 @@
     }
 }
 
-/// Answers leave in order; what must not repeat runs alone; nothing starts or
-/// leaves behind the answer that closes; nothing that runs is cut by it; and
-/// once all that runs is answered, nothing that may start is left over.
+/// Answers are written in order; a request that is not idempotent runs alone; after
+/// the closing answer nothing starts or is written, and it leaves no request running;
+/// once all running requests are answered, none that may start remains.
 #[test]
 fn keep_order() {
     fuzz::check(&vec(event(), 0..60), |events| {
-        let mut world = World {
+        let mut model = Model {
             pipeline: Pipeline::new(BOUNDS),
             puts: Vec::new(),
             running: Vec::new(),
-            left: Vec::new(),
-            ended: false,
-            closed: false,
+            written: Vec::new(),
+            has_ended: false,
+            is_closed: false,
         };
         for event in events {
-            world.event(event);
-            world.step()?;
+            model.event(event);
+            model.step()?;
         }
-        while !world.running.is_empty() {
-            world.event(Event::Answer(0, 0));
-            world.step()?;
+        while !model.running.is_empty() {
+            model.event(Event::Answer(0, 0));
+            model.step()?;
         }
-        let all = world.left.len() == world.puts.len();
-        prop_assert!(world.closed || all, "{:?} of {:?}", world.left, world.puts);
-        prop_assert_eq!(world.closed, world.pipeline.is_closed());
+        let is_complete = model.written.len() == model.puts.len();
+        prop_assert!(
+            model.is_closed || is_complete,
+            "{:?} of {:?}",
+            model.written,
+            model.puts
+        );
+        prop_assert_eq!(model.is_closed, model.pipeline.is_closed());
         Ok(())
     });
 }
--- a/crates/http1/tests/order.rs
+++ b/crates/http1/tests/order.rs
@@ -1,9 +1,9 @@
-//! The order of a pipeline, by text files.
+//! Data-driven tests of the pipeline's order.
 //!
-//! `get N` and `put N` take request N, which may repeat or must not; `last N`
-//! takes one that closes its connection; `malformed` takes something that is no
-//! request; `answer N [BYTES]` answers one that has started; `stop` begins a
-//! graceful stop. Each prints what starts and which answers leave.
+//! `get N` and `put N` push request N, idempotent or not; `last N` pushes one that
+//! closes its connection; `malformed` adds the answer to malformed input;
+//! `answer N [BYTES]` answers a started request; `stop` begins a graceful stop. Each
+//! line prints the requests that start and the answers that are written.
 
 use datadriven::TestCase;
 use http1::pipeline::{Bounds, Pipeline, Slot};
@@ -15,9 +15,9 @@
 
 impl Bench {
     fn new(case: &TestCase) -> Self {
-        let number = |name: &str, usual: usize| {
+        let number = |name: &str, default: usize| {
             let text = case.args.get(name).and_then(|values| values.first());
-            text.map_or(usual, |t| t.parse().expect("it is a number"))
+            text.map_or(default, |t| t.parse().expect("it is a number"))
         };
         Self {
             pipeline: Pipeline::new(Bounds {
--- a/crates/http1/tests/reader.rs
+++ b/crates/http1/tests/reader.rs
@@ -1,6 +1,6 @@
-//! Bytes to requests, by text files: what each connection sends, and what is
-//! read of it. Each is read whole, byte by byte, and cut at every place: what is
-//! read must be the same.
+//! Data-driven tests of the reader: the bytes of a connection, and the requests read
+//! from them. The result must be the same for the input in one piece, split at each
+//! position, and byte by byte.
 
 #[path = "reader/bench.rs"]
 mod bench;
@@ -8,16 +8,16 @@
 use datadriven::TestCase;
 use http1::reader::Limits;
 
-/// Escapes of a text file: line ends of the file itself count for nothing.
+/// Decodes the escapes of a text file; its own line breaks are removed.
 fn bytes(text: &str) -> Vec<u8> {
     let text = text.replace('\n', "");
     let text = text.replace("\\r", "\r").replace("\\n", "\n");
     text.replace("\\0", "\0").into_bytes()
 }
 
-fn number(case: &TestCase, name: &str, usual: usize) -> usize {
+fn number(case: &TestCase, name: &str, default: usize) -> usize {
     let text = case.args.get(name).and_then(|values| values.first());
-    text.map_or(usual, |t| t.parse().expect("it is a number"))
+    text.map_or(default, |t| t.parse().expect("it is a number"))
 }
 
 #[test]
--- a/crates/http1/tests/reader/bench.rs
+++ b/crates/http1/tests/reader/bench.rs
@@ -1,8 +1,9 @@
-//! Reads bytes in pieces and prints what comes of them.
+//! Test driver that feeds split input to a reader and prints the result.
 
 use http1::reader::{Limits, Reader, Step};
 
-/// What is read of `input`, cut at `cuts`, a line each.
+/// Reads `input`, split at `cuts`; returns a line for each request or fault, and one
+/// for the final state.
 pub fn read(input: &[u8], limits: Limits, cuts: &[usize]) -> Vec<String> {
     let mut reader = Reader::new(limits);
     let mut lines = Vec::new();
@@ -31,7 +32,7 @@
     loop {
         match reader.step() {
             Step::NeedMore => return,
-            // Told at a moment that depends on the cuts, and only to make room.
+            // Its position depends on the splits; it only announces the body's size.
             Step::Body { .. } => {}
             Step::Request(complete) => {
                 let request = &complete.request;
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,9 +1,9 @@
 //! Client-side HTTP/1.1 connection pool.
 //!
-//! It is built on `hyper`, since the HTTP client of the library used elsewhere in
-//! this workspace can't tell a request that was never sent from one that may have
-//! been, sends `Expect: 100-continue` before each body, reads a body delimited by
-//! the end of its connection as empty, and panics on an unknown status.
+//! It is built on `hyper`, since `trillium-client` can't tell a request that was
+//! never sent from one that may have been, sends `Expect: 100-continue` before each
+//! body, reads a body delimited by the end of its connection as empty, and panics on
+//! an unknown status.
 //! [`steer::connection::pool`] decides how many connections are open and which are
 //! reused.
 //!
