--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -31,7 +31,7 @@
     async fn tell(message: Vec<u8>);
 
     /// Returns name, domain, address and version of this instance.
-    async fn who() -> peer::Who;
+    async fn who() -> peer::PeerInfo;
 
     /// Reports how many targets broke under a request.
     async fn suspect(suspect: peer::Suspect);
@@ -41,7 +41,7 @@
 
     /// Answers a question about a key as its witness; `None` if this process is
     /// ending.
-    async fn witness(question: witness::Question) -> Option<witness::Word>;
+    async fn witness(question: witness::Question) -> Option<witness::Reply>;
 }
 
 /// Maximum size of a message.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -50,5 +50,5 @@
 
     /// Reads a part of the platform's list of instances, which lags behind the actual
     /// state.
-    fn instances<'a>(&'a self, part: &'a instance::Part) -> Pending<'a, instance::Instances>;
+    fn instances<'a>(&'a self, part: &'a instance::Filter) -> Pending<'a, instance::Instances>;
 }
