--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -20,34 +20,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The condition of a write did not hold.
-    #[error("the key changed since it was read; the write was not applied")]
+    #[error("the key changed meanwhile; read it again and decide anew")]
     Conflict {
         /// Current entry; `None` if the key does not exist.
         current: Option<kv::Entry>,
     },
     /// The lease expired or never existed.
-    #[error("the lease expired or does not exist; a new one is needed")]
+    #[error("the lease lapsed; give up what was held under it and ask for a new one")]
     LeaseLapsed,
     /// The value exceeds the store's size limit.
-    #[error(
-        "the value has {bytes} bytes; the store takes at most {}",
-        kv::VALUE_MAX
-    )]
+    #[error("the value has {bytes} bytes, more than the store takes; split it")]
     TooLarge {
         /// Size of the value in bytes.
         bytes: usize,
     },
     /// The key has characters that a URL path of the store can't carry.
-    #[error("key `{key}` is invalid; allowed are A-Z a-z 0-9 . _ - / without `./`")]
+    #[error("key `{key}` has characters besides A-Z a-z 0-9 . _ - /; encode it")]
     BadKey {
         /// Rejected key.
         key: String,
     },
     /// The limit of concurrent calls is reached.
-    #[error("too many concurrent calls to the store")]
+    #[error("too many calls of the store are under way; make fewer at a time")]
     Busy,
     /// All addresses failed recently and are backing off.
-    #[error("all addresses of the store failed recently; next attempt in {} ms", .after.as_millis())]
+    #[error("the store failed lately; ask again in {} ms", .after.as_millis())]
     BackingOff {
         /// Time until one of the addresses may be tried again.
         after: Duration,
@@ -56,13 +53,13 @@
     #[error("no connection to the store; check its addresses in the settings and the network")]
     Unreachable,
     /// The call was not completed in time; it may have been sent.
-    #[error("no response from the store within the timeout; a write may have been applied")]
+    #[error("no answer from the store in time; if it was a write, read the key to learn its fate")]
     TimedOut,
     /// The connection broke after the call may have been sent.
-    #[error("the connection to the store broke; a write may have been applied")]
+    #[error("the store's answer was lost; if it was a write, read the key to learn its fate")]
     Lost,
     /// The response does not conform to the store's protocol.
-    #[error("unexpected response from the store, status {status}; a write may have been applied")]
+    #[error("the store answered {status}; look at the store, and read the key again")]
     BadAnswer {
         /// HTTP status of the response.
         status: u16,
