--- a/crates/steer/src/process/gate.rs
+++ b/crates/steer/src/process/gate.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    fn deadline_of(&self, now: clock::Time, arrival: &arrival::Arrival) -> clock::Time {
+    fn expiry_of(&self, now: clock::Time, arrival: &arrival::Arrival) -> clock::Time {
         let service = self.view.service(&arrival.service);
         let service_default = service.map(|s| self.view.services[s].deadline);
         now + arrival
--- a/crates/steer/src/process/gate/chosen.rs
+++ b/crates/steer/src/process/gate/chosen.rs
@@ -65,7 +65,7 @@
             id,
             caller: Arc::clone(&arrival.caller),
             record_id,
-            deadline: self.deadline_of(now, &arrival),
+            expires_at: self.expiry_of(now, &arrival),
             stage: held::Stage::Storing {
                 attempt,
                 call: record::StoreCall::Create(attempt),
@@ -149,14 +149,14 @@
         let held::Stage::Storing { arrival, .. } = held.stage else {
             return;
         };
-        if held.deadline <= now {
+        if held.expires_at <= now {
             let refusal = outcome::Refusal::not_run(
                 outcome::Reason::Deadline,
                 Some(gate::DEFAULT_RETRY_AFTER),
             );
             return self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
         }
-        self.run_until(now, arrival, held.record_id, held.deadline, out);
+        self.run_until(now, arrival, held.record_id, held.expires_at, out);
     }
 
     /// Forwards the request to the process whose claim the store holds, since
--- a/crates/steer/src/process/gate/counts.rs
+++ b/crates/steer/src/process/gate/counts.rs
@@ -87,7 +87,7 @@
     pub kept: u64,
     /// Process that new keys name as their witness.
     pub witness: Option<view::Incarnation>,
-    /// Whether new keys are refused.
+    /// Set once the process is about to stop and refuses new keys.
     pub leaving: bool,
 }
 
--- a/crates/steer/src/process/gate/forwarding.rs
+++ b/crates/steer/src/process/gate/forwarding.rs
@@ -51,12 +51,12 @@
         if let Some(reason) = self.held_limit_reached(&arrival.caller) {
             return gate::refuse(id, self.unknown_refusal(reason), out);
         }
-        let deadline = self.deadline_of(now, &arrival);
+        let expires_at = self.expiry_of(now, &arrival);
         let Some(peer) = self.peer(owner) else {
             let orphan = Orphan {
                 id,
                 caller: arrival.caller,
-                deadline,
+                expires_at,
             };
             return self.owner_gone(now, orphan, key.as_ref(), out);
         };
@@ -64,13 +64,13 @@
         out.push(message::Action::Forward {
             id,
             peer,
-            budget: deadline.since(now),
+            budget: expires_at.since(now),
         });
         self.held.insert(held::HeldRequest {
             id,
             caller: Arc::clone(&arrival.caller),
             record_id: no_record_id(),
-            deadline,
+            expires_at,
             stage: held::Stage::Forwarding { key, arrival },
         });
     }
@@ -116,7 +116,7 @@
                 let orphan = Orphan {
                     id,
                     caller: held.caller,
-                    deadline: held.deadline,
+                    expires_at: held.expires_at,
                 };
                 self.owner_gone(now, orphan, key.as_ref(), out);
             }
@@ -151,7 +151,7 @@
             id,
             caller: orphan.caller,
             record_id: no_record_id(),
-            deadline: orphan.deadline,
+            expires_at: orphan.expires_at,
             stage: held::Stage::Sealing {
                 ask,
                 wait_until: now + self.limits.ask_timeout,
@@ -189,7 +189,7 @@
 struct Orphan {
     id: arrival::RequestId,
     caller: Arc<str>,
-    deadline: clock::Time,
+    expires_at: clock::Time,
 }
 
 /// Placeholder id for requests that this process only forwards: they have no
--- a/crates/steer/src/process/gate/held.rs
+++ b/crates/steer/src/process/gate/held.rs
@@ -12,7 +12,7 @@
 
 /// Stage of a held request.
 pub enum Stage {
-    /// Its witness has been asked for a claim.
+    /// The witness has been asked for a claim.
     Claiming {
         /// The question.
         ask: record::QuestionId,
@@ -63,7 +63,7 @@
     /// Record of its key.
     pub record_id: record_table::RecordId,
     /// Time at which its caller stops waiting.
-    pub deadline: clock::Time,
+    pub expires_at: clock::Time,
     /// Present stage.
     pub stage: Stage,
 }
@@ -127,9 +127,9 @@
         let is_overdue = |h: &&HeldRequest| match h.stage {
             Stage::Running => false,
             Stage::Claiming { wait_until, .. } | Stage::Sealing { wait_until, .. } => {
-                wait_until.min(h.deadline) <= now
+                wait_until.min(h.expires_at) <= now
             }
-            _ => h.deadline <= now,
+            _ => h.expires_at <= now,
         };
         self.requests
             .iter()
--- a/crates/steer/src/process/gate/message.rs
+++ b/crates/steer/src/process/gate/message.rs
@@ -47,7 +47,7 @@
     Completed {
         /// The request.
         id: arrival::RequestId,
-        /// Its result.
+        /// Result of the request.
         verdict: Verdict,
     },
     /// The hop of a request that was forwarded to its key's owner ended.
--- a/crates/steer/src/process/gate/owner.rs
+++ b/crates/steer/src/process/gate/owner.rs
@@ -12,7 +12,7 @@
 
 /// Progress of a key.
 pub enum Progress {
-    /// Its request has not been sent, or is being sent.
+    /// The key is being claimed or is running; the outcome is not known yet.
     Open,
     /// The outcome that every further copy is answered with.
     Done(message::Verdict),
@@ -136,7 +136,7 @@
         out: &mut Vec<message::Action>,
     ) {
         let id = arrival.id;
-        let deadline = self.deadline_of(now, arrival);
+        let expires_at = self.expiry_of(now, arrival);
         let is_full = self.held_limit_reached(&arrival.caller).is_some();
         let Some(record) = self.records.get_mut(&record_id) else {
             return;
@@ -165,7 +165,7 @@
             id,
             caller: Arc::clone(&arrival.caller),
             record_id,
-            deadline,
+            expires_at,
             stage: held::Stage::Waiting,
         });
     }
@@ -191,7 +191,7 @@
             id: arrival.id,
             caller: Arc::clone(&arrival.caller),
             record_id,
-            deadline: self.deadline_of(now, &arrival),
+            expires_at: self.expiry_of(now, &arrival),
             stage: held::Stage::Claiming {
                 ask,
                 witness: witness.incarnation,
@@ -237,14 +237,14 @@
         let held::Stage::Claiming { arrival, .. } = held.stage else {
             return;
         };
-        if held.deadline <= now && self.safeguards.stay_given_up {
+        if held.expires_at <= now && self.safeguards.stay_given_up {
             let refusal = outcome::Refusal::not_run(
                 outcome::Reason::Deadline,
                 Some(gate::DEFAULT_RETRY_AFTER),
             );
             return self.finish_key(&held.record_id, message::Verdict::Refused(refusal), out);
         }
-        self.run_until(now, arrival, held.record_id, held.deadline, out);
+        self.run_until(now, arrival, held.record_id, held.expires_at, out);
     }
 
     /// Stops waiting for the witness. The record is set to "not run" before the
@@ -266,7 +266,7 @@
         };
         self.tally.unclaimed += 1;
         // A passed deadline of the caller is no evidence against the witness.
-        let refusal = if held.deadline <= now {
+        let refusal = if held.expires_at <= now {
             outcome::Refusal::not_run(outcome::Reason::Deadline, Some(gate::DEFAULT_RETRY_AFTER))
         } else {
             self.issuer.suspect(now, &self.limits, witness);
@@ -297,8 +297,8 @@
         record_id: record_table::RecordId,
         out: &mut Vec<message::Action>,
     ) {
-        let deadline = self.deadline_of(now, &arrival);
-        self.run_until(now, arrival, record_id, deadline, out);
+        let expires_at = self.expiry_of(now, &arrival);
+        self.run_until(now, arrival, record_id, expires_at, out);
     }
 
     pub(super) fn run_until(
@@ -306,16 +306,16 @@
         now: clock::Time,
         mut arrival: arrival::Arrival,
         record_id: record_table::RecordId,
-        deadline: clock::Time,
+        expires_at: clock::Time,
         out: &mut Vec<message::Action>,
     ) {
         self.tally.runs += 1;
-        arrival.deadline = Some(deadline.since(now));
+        arrival.deadline = Some(expires_at.since(now));
         self.held.insert(held::HeldRequest {
             id: arrival.id,
             caller: Arc::clone(&arrival.caller),
             record_id,
-            deadline,
+            expires_at,
             stage: held::Stage::Running,
         });
         out.push(message::Action::Run(arrival));
--- a/crates/steer/src/process/gate/witness.rs
+++ b/crates/steer/src/process/gate/witness.rs
@@ -107,7 +107,7 @@
         if self.safeguards.claim_window && age > self.accept_epochs {
             return record::Reply::Expired;
         }
-        self.record(record_id, KeyState::Claimed)
+        self.grant(record_id, KeyState::Claimed)
     }
 
     /// Beyond the age of records a claim may have been removed, so the answer is
@@ -120,10 +120,10 @@
         if self.safeguards.claim_window && age > self.accept_epochs {
             return record::Reply::Sealed;
         }
-        self.record(record_id, KeyState::Sealed)
+        self.grant(record_id, KeyState::Sealed)
     }
 
-    fn record(&mut self, record_id: record_table::RecordId, state: KeyState) -> record::Reply {
+    fn grant(&mut self, record_id: record_table::RecordId, state: KeyState) -> record::Reply {
         if self.states.is_full() {
             return record::Reply::Full;
         }
--- a/crates/steer/tests/gate_scenarios/fixture.rs
+++ b/crates/steer/tests/gate_scenarios/fixture.rs
@@ -8,7 +8,7 @@
 
 use steer::version::view;
 
-pub const INCARNATIONS: [view::Incarnation; 3] = [
+pub const ENTRY_INCARNATIONS: [view::Incarnation; 3] = [
     view::Incarnation(0xa0),
     view::Incarnation(0xb0),
     view::Incarnation(0xc0),
@@ -72,7 +72,7 @@
     for &i in alive {
         view.members.push(view::MemberData {
             name: format!("entry{i}").into(),
-            incarnation: INCARNATIONS[i],
+            incarnation: ENTRY_INCARNATIONS[i],
             domain: domains[i],
             addr: ([127, 0, 0, 1], 7000).into(),
             peer: ([127, 0, 0, 1], 7000).into(),
--- a/crates/steer/tests/gate_scenarios/script.rs
+++ b/crates/steer/tests/gate_scenarios/script.rs
@@ -39,7 +39,7 @@
         Self {
             now: clock::Time::ZERO,
             // The process has run for long enough to use its allotments of caps.
-            traffic: traffic::Traffic::new(identity, fixture::INCARNATIONS[0], limits, rng)
+            traffic: traffic::Traffic::new(identity, fixture::ENTRY_INCARNATIONS[0], limits, rng)
                 .with_shares(share::Guards {
                     settle: false,
                     ..share::Guards::default()
@@ -255,7 +255,7 @@
 fn stamp(process: &str, epoch: Option<u64>) -> key::Stamp {
     let index: usize = process.parse().expect("a process's number");
     key::Stamp {
-        incarnation: fixture::INCARNATIONS[index],
+        incarnation: fixture::ENTRY_INCARNATIONS[index],
         epoch: epoch.unwrap_or(0),
     }
 }
--- a/crates/steer/tests/share_fleet.rs
+++ b/crates/steer/tests/share_fleet.rs
@@ -25,16 +25,19 @@
 };
 use steer::process::slot::{self, CONFIRMATION_TTL};
 
-const CAP: u64 = 60;
+const CAP_PER_SECOND: u64 = 60;
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Starts a fleet and runs it until every instance uses its allotment.
 fn settled(domains: usize, nodes: usize, guards: share::Guards, control: Safeguards) -> Simulation {
     let mut sim = Simulation::new(domains, nodes, guards, control, 1);
-    sim.commit(nodes, CAP);
+    sim.commit(nodes, CAP_PER_SECOND);
     sim.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 20);
     let level = sim.peak_rate();
-    assert!(level <= CAP && level * 10 >= CAP * 9, "{level}");
+    assert!(
+        level <= CAP_PER_SECOND && level * 10 >= CAP_PER_SECOND * 9,
+        "{level}"
+    );
     for at in 0..nodes {
         assert!(sim.taken_by(at) > 0, "{at}");
     }
@@ -226,17 +229,17 @@
         (Place::Domain(2), Place::Store),
     ];
     sim.fleet.cuts.extend(cuts);
-    sim.commit(4, CAP);
+    sim.commit(4, CAP_PER_SECOND);
     sim.run(SECOND);
     sim.fleet.cuts.retain(|cut| *cut != cuts[0]);
     sim.run(SECOND * 3 / 2);
-    sim.commit(5, CAP);
+    sim.commit(5, CAP_PER_SECOND);
     sim.run(SETTLING_TIME + SECOND * 30);
     assert_cap_held(&sim, on);
     // The others see d2 again and no longer reserve its allotments.
     sim.fleet.cuts.clear();
     sim.run(SECOND * 20);
-    assert_eq!(sim.peak_rate(), CAP);
+    assert_eq!(sim.peak_rate(), CAP_PER_SECOND);
 }
 
 /// The number of instances falls while some are replaced gracefully. The
@@ -252,7 +255,7 @@
     let control = with_transfer(on);
     let mut sim = settled(4, 8, guards, control);
     cut_off_d3(&mut sim);
-    sim.commit(7, CAP);
+    sim.commit(7, CAP_PER_SECOND);
     for name in ["d2-0", "d2-1"] {
         let at = sim.index_of(name);
         sim.fleet.stop(at);
@@ -262,7 +265,7 @@
     sim.fleet.cuts.clear();
     sim.run(SETTLING_TIME + SECOND * 30);
     assert_cap_held(&sim, on);
-    assert_eq!(sim.peak_rate(), CAP);
+    assert_eq!(sim.peak_rate(), CAP_PER_SECOND);
 }
 
 /// A domain with one instance is partitioned off, misses a change of the layout,
@@ -291,7 +294,7 @@
     ];
     sim.fleet.cuts.extend(cuts);
     sim.run(SECOND * 10);
-    sim.commit(2, CAP);
+    sim.commit(2, CAP_PER_SECOND);
     sim.run(SETTLING_TIME + SECOND * 10);
     sim.fleet.cuts.retain(|cut| *cut == store);
     sim.run(SECOND * 20);
@@ -314,7 +317,7 @@
     sim.commit(6, 12);
     sim.run(SECOND * 60);
     // d2 is the whole serving region, which has three quarters.
-    assert_eq!(sim.peak_rate(), 12 / 4 + CAP * 3 / 4);
+    assert_eq!(sim.peak_rate(), 12 / 4 + CAP_PER_SECOND * 3 / 4);
     sim.fleet.cuts.clear();
     sim.run(ROLLOUT_TIME_MAX + SECOND);
     let level = sim.peak_rate();
@@ -337,12 +340,12 @@
     };
     let mut sim = settled(4, 8, guards, Safeguards::default());
     cut_off_d3(&mut sim);
-    sim.commit(7, CAP);
+    sim.commit(7, CAP_PER_SECOND);
     sim.run(SETTLING_TIME + SECOND * 130);
     assert_cap_held(&sim, on);
     sim.fleet.cuts.clear();
     sim.run(SETTLING_TIME * 2);
-    assert_eq!(sim.peak_rate(), CAP);
+    assert_eq!(sim.peak_rate(), CAP_PER_SECOND);
 }
 
 /// Partitions the fourth domain, half of region `b`, off from all others.
@@ -365,12 +368,12 @@
     let mut sim = settled(3, 6, share::Guards::default(), Safeguards::default());
     let dead = sim.index_of("d2-1");
     sim.fleet.kill(dead);
-    sim.commit(5, CAP);
+    sim.commit(5, CAP_PER_SECOND);
     sim.run(SETTLING_TIME + SECOND * 10);
     // Region `b`, which serves, has three quarters for its two instances.
-    assert_eq!(sim.peak_rate(), CAP / 4 + 23);
+    assert_eq!(sim.peak_rate(), CAP_PER_SECOND / 4 + 23);
     sim.run(RESERVATION_TIME_MAX);
-    assert_eq!(sim.peak_rate(), CAP);
+    assert_eq!(sim.peak_rate(), CAP_PER_SECOND);
     assert_cap_held(&sim, true);
 }
 
@@ -396,8 +399,8 @@
     lenders_idle(&mut sim);
     sim.run(SECOND * 20);
     let rate = run_rate(&mut sim, 60);
-    println!("{rate} of {CAP}");
-    assert!(rate > CAP * 2 / 3, "{rate} of {CAP}");
+    println!("{rate} of {CAP_PER_SECOND}");
+    assert!(rate > CAP_PER_SECOND * 2 / 3, "{rate} of {CAP_PER_SECOND}");
     assert_cap_held(&sim, true);
 }
 
@@ -414,6 +417,6 @@
     sim.run(SECOND * 3);
     assert!(sim.taken_by(at) >= before + 2);
     let level = sim.peak_rate();
-    assert!(level * 10 >= CAP * 9, "{level}");
+    assert!(level * 10 >= CAP_PER_SECOND * 9, "{level}");
     assert_cap_held(&sim, true);
 }
--- a/crates/steer/tests/share_model/histories.rs
+++ b/crates/steer/tests/share_model/histories.rs
@@ -9,7 +9,7 @@
 
 use super::fleet::Place;
 use super::simulation::{Net, Simulation};
-use super::{CAP, SECOND};
+use super::{CAP_PER_SECOND, SECOND};
 
 /// Replacements, pauses, partitions of a domain or an instance, changes of caps
 /// and layouts, and loans over a faulty network, in random order.
@@ -23,7 +23,7 @@
         duplicated: 0.2,
         delay: SECOND,
     };
-    sim.commit(7, CAP);
+    sim.commit(7, CAP_PER_SECOND);
     sim.run(slot::QUARANTINE_TIME + SETTLING_TIME + SECOND * 10);
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut left = SECOND * 20;
@@ -95,7 +95,7 @@
         }
         _ => {
             let slots = rng.usize(4..8);
-            sim.commit(slots, CAP);
+            sim.commit(slots, CAP_PER_SECOND);
         }
     }
 }
--- a/crates/steer/tests/share_model/simulation.rs
+++ b/crates/steer/tests/share_model/simulation.rs
@@ -19,7 +19,7 @@
 use crate::views::Plan;
 
 /// Step of virtual time.
-pub const STEP: Duration = Duration::from_millis(10);
+pub const STEP_TIME: Duration = Duration::from_millis(10);
 /// Number of steps between two rounds of loan requests.
 const LOAN_REQUEST_STEPS: u64 = 30;
 
@@ -216,7 +216,7 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
-            self.fleet.run(STEP);
+            self.fleet.run(STEP_TIME);
             self.step();
         }
     }
@@ -433,7 +433,7 @@
     pub fn peak_rate(&mut self) -> u64 {
         let mut peak = 0;
         for _ in 0..250 {
-            self.run(STEP);
+            self.run(STEP_TIME);
             peak = peak.max(self.sum());
         }
         peak
--- a/crates/steer/tests/share_parts.rs
+++ b/crates/steer/tests/share_parts.rs
@@ -15,13 +15,13 @@
 use steer::request::arrival::RequestId;
 use views::Plan;
 
-const START: Time = Time::from_micros(SETTLING_TIME.as_secs() * 1_000_000);
+const SETTLED_AT: Time = Time::from_micros(SETTLING_TIME.as_secs() * 1_000_000);
 
 /// Creates shares that have held their slot for [`SETTLING_TIME`].
 fn shares(plan: &Plan, name: &str, guards: Guards) -> Shares {
     let mut shares = Shares::new(guards);
     shares.configure(Time::ZERO, &plan.build(1), name);
-    hold(&mut shares, Time::ZERO, START);
+    hold(&mut shares, Time::ZERO, SETTLED_AT);
     shares
 }
 
@@ -97,8 +97,8 @@
         for (name, region) in &plan.entries {
             let mut shares = shares(&plan, name, Guards::default());
             let parts = [
-                shares.limit(START, &plan.route(0, 2)),
-                shares.limit(START, &plan.link_route(1, 3)),
+                shares.limit(SETTLED_AT, &plan.route(0, 2)),
+                shares.limit(SETTLED_AT, &plan.link_route(1, 3)),
             ];
             let (shift, link) = concerned(*region);
             prop_assert!(shift || parts[0] == 0);
@@ -120,7 +120,7 @@
             let plan = Plan::new(2, &entries).shift(0, 1, cap);
             let names = plan.entries.iter();
             let limit = |name: &str| shares(&plan, name, Guards::default())
-                .limit(START, &plan.route(0, 1));
+                .limit(SETTLED_AT, &plan.route(0, 1));
             names.map(|(name, _)| limit(name)).collect::<Vec<u64>>()
         };
         let (less, more) = (limits(low), limits(low + more));
@@ -135,7 +135,7 @@
 }
 
 fn after(millis: u64) -> Time {
-    START + Duration::from_millis(millis)
+    SETTLED_AT + Duration::from_millis(millis)
 }
 
 #[test]
@@ -143,18 +143,18 @@
     let (plan, route) = pair(100);
     let mut lender = shares(&plan, "e000", Guards::default());
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let request = borrower.request_loan(START, &route, 1, 1);
-    let amount = lender.lend(START, &route, request.amount);
+    let request = borrower.request_loan(SETTLED_AT, &route, 1, 1);
+    let amount = lender.lend(SETTLED_AT, &route, request.amount);
     borrower.borrow(request.asked_at[0], &route, amount);
     assert_eq!((request.amount, amount), (50, 25));
-    assert_eq!(lender.limit(START, &route), 25);
-    assert_eq!(borrower.limit(START, &route), 75);
+    assert_eq!(lender.limit(SETTLED_AT, &route), 25);
+    assert_eq!(borrower.limit(SETTLED_AT, &route), 75);
     for shares in [&mut lender, &mut borrower] {
-        hold(shares, START, after(7200));
+        hold(shares, SETTLED_AT, after(7200));
     }
-    assert_eq!(borrower.limit(START + loan::BORROWER_TERM, &route), 50);
-    assert_eq!(lender.limit(START + loan::BORROWER_TERM, &route), 25);
-    assert_eq!(lender.limit(START + loan::LENDER_TERM, &route), 50);
+    assert_eq!(borrower.limit(SETTLED_AT + loan::BORROWER_TERM, &route), 50);
+    assert_eq!(lender.limit(SETTLED_AT + loan::BORROWER_TERM, &route), 25);
+    assert_eq!(lender.limit(SETTLED_AT + loan::LENDER_TERM, &route), 50);
 }
 
 /// The network delivers the lender's reply twice. The lender deducted 25 once; a
@@ -169,10 +169,10 @@
         ..Guards::default()
     };
     let mut borrower = shares(&plan, "e001", guards);
-    let request = borrower.request_loan(START, &route, 1, 1);
+    let request = borrower.request_loan(SETTLED_AT, &route, 1, 1);
     borrower.borrow(request.asked_at[0], &route, 25);
     borrower.borrow(request.asked_at[0], &route, 25);
-    assert_eq!(borrower.limit(START, &route), limit);
+    assert_eq!(borrower.limit(SETTLED_AT, &route), limit);
 }
 
 #[test]
@@ -180,9 +180,9 @@
     let (plan, route) = pair(100);
     let mut lender = shares(&plan, "e000", Guards::default());
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let request = borrower.request_loan(START, &route, 1, 1);
-    assert_eq!(lender.lend(START, &route, request.amount), 25);
-    let sum = lender.limit(START, &route) + borrower.limit(START, &route);
+    let request = borrower.request_loan(SETTLED_AT, &route, 1, 1);
+    assert_eq!(lender.lend(SETTLED_AT, &route, request.amount), 25);
+    let sum = lender.limit(SETTLED_AT, &route) + borrower.limit(SETTLED_AT, &route);
     assert_eq!(sum, 75);
 }
 
@@ -190,9 +190,9 @@
 fn loan_late_ignored() {
     let (plan, route) = pair(100);
     let mut borrower = shares(&plan, "e001", Guards::default());
-    let request = borrower.request_loan(START, &route, 1, 2);
-    let late = START + loan::BORROWER_TERM;
-    hold(&mut borrower, START, late);
+    let request = borrower.request_loan(SETTLED_AT, &route, 1, 2);
+    let late = SETTLED_AT + loan::BORROWER_TERM;
+    hold(&mut borrower, SETTLED_AT, late);
     borrower.borrow(request.asked_at[0], &route, 25);
     borrower.borrow(request.asked_at[1], &route, 25);
     assert_eq!(borrower.limit(late, &route), 50);
@@ -211,11 +211,11 @@
         ..Guards::default()
     };
     let mut shares = shares(&plan, "e000", guards);
-    assert_eq!(shares.take(START, &[(&route, 50)]), Ok(()));
-    shares.configure(START, &Plan::new(2, &[0, 0]).build(2), "e000");
-    assert_eq!(shares.limit(START, &route), 0);
-    shares.configure(START, &plan.build(3), "e000");
-    assert_eq!(shares.take(START, &[(&route, 50)]).is_ok(), again);
+    assert_eq!(shares.take(SETTLED_AT, &[(&route, 50)]), Ok(()));
+    shares.configure(SETTLED_AT, &Plan::new(2, &[0, 0]).build(2), "e000");
+    assert_eq!(shares.limit(SETTLED_AT, &route), 0);
+    shares.configure(SETTLED_AT, &plan.build(3), "e000");
+    assert_eq!(shares.take(SETTLED_AT, &[(&route, 50)]).is_ok(), again);
 }
 
 #[test]
@@ -224,8 +224,8 @@
     let mut shares = shares(&plan, "e000", Guards::default());
     for (version, cap) in [(2, 10), (3, 400)] {
         let (plan, _) = pair(cap);
-        shares.configure(START, &plan.build(version), "e000");
-        assert_eq!(shares.limit(START, &route), cap / 2);
+        shares.configure(SETTLED_AT, &plan.build(version), "e000");
+        assert_eq!(shares.limit(SETTLED_AT, &route), cap / 2);
     }
 }
 
@@ -272,7 +272,7 @@
     plan.shifts = vec![(0, 1, 1000, Duration::from_secs(30))];
     let route = plan.route(0, 1);
     let mut shares = shares(&plan, "e000", Guards::default());
-    let mut now = START;
+    let mut now = SETTLED_AT;
     for _ in 0..120 {
         hold(&mut shares, now, now);
         assert_eq!(shares.take(now, &[(&route, 1)]), Ok(()));
@@ -316,7 +316,7 @@
     }))
 }
 
-/// An outbox with requests over links to `b` and `c`, whose parts are 100,000
+/// An outbox with requests over links to `b` and `c`, whose limits are 100,000
 /// and 10,000 bytes a second.
 fn outbox() -> (Plan, Shares, Outbox) {
     let plan = Plan::new(3, &[0]).link(0, 1, 100_000).link(0, 2, 10_000);
@@ -333,12 +333,12 @@
     let (plan, mut shares, mut outbox) = outbox();
     for id in 1..=3 {
         let link = plan.link_route(0, 1);
-        assert!(outbox.admit(START, RequestId(id), link, &mut shares));
+        assert!(outbox.admit(SETTLED_AT, RequestId(id), link, &mut shares));
     }
     for (id, bytes) in [(2, 60_000), (1, 60_000), (3, 10)] {
         outbox.put(RequestId(id), reply(bytes));
     }
-    assert_eq!(ids(&outbox.release(START, &mut shares)), [2]);
+    assert_eq!(ids(&outbox.release(SETTLED_AT, &mut shares)), [2]);
     assert_eq!(outbox.waiting(), 2);
     assert_eq!(ids(&outbox.release(after(1049), &mut shares)), []);
     assert_eq!(ids(&outbox.release(after(1050), &mut shares)), [1, 3]);
@@ -350,10 +350,10 @@
     let (plan, mut shares, mut outbox) = outbox();
     for (id, to) in [(1, 2), (2, 1)] {
         let link = plan.link_route(0, to);
-        assert!(outbox.admit(START, RequestId(id), link, &mut shares));
+        assert!(outbox.admit(SETTLED_AT, RequestId(id), link, &mut shares));
         outbox.put(RequestId(id), reply(50_000));
     }
-    assert_eq!(ids(&outbox.release(START, &mut shares)), [2]);
+    assert_eq!(ids(&outbox.release(SETTLED_AT, &mut shares)), [2]);
     assert_eq!(
         outbox.blocked().map(|l| l.0.clone()),
         Some(plan.link_route(0, 2))
@@ -368,7 +368,7 @@
     let mut admitted = 0;
     for id in 0..10 {
         let link = plan.link_route(0, 1);
-        admitted += u32::from(outbox.admit(START, RequestId(id), link, &mut shares));
+        admitted += u32::from(outbox.admit(SETTLED_AT, RequestId(id), link, &mut shares));
     }
     assert_eq!(admitted, 3);
 }
@@ -379,7 +379,7 @@
 fn outbox_large_one_by_one() {
     let (plan, mut shares, mut outbox) = outbox();
     let link = || plan.link_route(0, 2);
-    let mut now = START;
+    let mut now = SETTLED_AT;
     for id in 0..5 {
         hold(&mut shares, now, now);
         assert!(outbox.admit(now, RequestId(id), link(), &mut shares));
@@ -398,7 +398,7 @@
     let (plan, mut shares, mut outbox) = outbox();
     let link = plan.link_route(0, 2);
     for id in [1, 2] {
-        outbox.admit(START, RequestId(id), link.clone(), &mut shares);
+        outbox.admit(SETTLED_AT, RequestId(id), link.clone(), &mut shares);
     }
     outbox.put(RequestId(1), reply(35_000 - 512));
     let mut taken = Vec::new();
@@ -423,9 +423,9 @@
 fn outbox_forgets_gone() {
     let (plan, mut shares, mut outbox) = outbox();
     let link = plan.link_route(0, 2);
-    assert!(outbox.admit(START, RequestId(1), link, &mut shares));
+    assert!(outbox.admit(SETTLED_AT, RequestId(1), link, &mut shares));
     outbox.put(RequestId(1), reply(35_000));
-    assert!(outbox.release(START, &mut shares).is_empty());
+    assert!(outbox.release(SETTLED_AT, &mut shares).is_empty());
     outbox.forget(RequestId(1));
     assert_eq!(outbox.waiting(), 0);
 }
