--- a/crates/auburnrouter/src/daemon.rs
+++ b/crates/auburnrouter/src/daemon.rs
@@ -127,9 +127,9 @@
         let operators = listen(settings.listen.operators)?;
         let addresses = Addresses {
             name: Arc::clone(&settings.name),
-            callers: local(&callers, settings.listen.callers)?,
-            peers: local(&peers, settings.listen.peers)?,
-            operators: local(&operators, settings.listen.operators)?,
+            callers: local_addr(&callers, settings.listen.callers)?,
+            peers: local_addr(&peers, settings.listen.peers)?,
+            operators: local_addr(&operators, settings.listen.operators)?,
         };
         Ok(Self {
             settings,
@@ -149,7 +149,7 @@
         let limits = self.settings.limits;
         let traffic = workers::Workers::start(limits.threads()).map_err(Error::Thread)?;
         let control_workers = workers::Workers::start(1).map_err(Error::Thread)?;
-        let core = self.core(&traffic, &control_workers)?;
+        let core = self.build_core(&traffic, &control_workers)?;
         let accept_stopper = Stopper::new();
         let service_stopper = Stopper::new();
         let open_connections = core.serve_callers(self.callers, &limits, &traffic, &accept_stopper);
@@ -190,7 +190,7 @@
         })
     }
 
-    fn core(
+    fn build_core(
         &self,
         traffic: &workers::Workers,
         control_workers: &workers::Workers,
@@ -217,7 +217,7 @@
         let resources = engine::Resources {
             executor: Arc::clone(&executor),
             outbound: outbound::Outbound::new(Arc::clone(&executor), idle),
-            peers: self.peer_calls(executor, peers::Lane::Traffic),
+            peers: self.peer_calls(executor, peers::ConnectionKind::Traffic),
             store: Arc::clone(&store),
         };
         let engine = engine::Engine::new(decisions, identity, incarnation, resources);
@@ -226,7 +226,10 @@
             addresses: self.addresses.clone(),
             incarnation,
             engine: Arc::clone(&engine),
-            peers: self.peer_calls(Arc::clone(control_workers.executor()), peers::Lane::Control),
+            peers: self.peer_calls(
+                Arc::clone(control_workers.executor()),
+                peers::ConnectionKind::Control,
+            ),
             snapshot: Arc::clone(&snapshot),
             last_run: Arc::clone(&last_run),
             metrics: Arc::clone(&metrics),
@@ -241,8 +244,12 @@
         })
     }
 
-    fn peer_calls(&self, executor: workers::Executor, lane: peers::Lane) -> Arc<peers::Peers> {
-        Arc::new(peers::Peers::new(executor, self.secret.clone(), lane))
+    fn peer_calls(
+        &self,
+        executor: workers::Executor,
+        kind: peers::ConnectionKind,
+    ) -> Arc<peers::Peers> {
+        Arc::new(peers::Peers::new(executor, self.secret.clone(), kind))
     }
 }
 
@@ -453,6 +460,6 @@
     smol::block_on(net::TcpListener::bind(addr)).map_err(|e| Error::Listen(addr, e))
 }
 
-fn local(socket: &net::TcpListener, addr: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_addr(socket: &net::TcpListener, addr: SocketAddr) -> Result<SocketAddr, Error> {
     socket.local_addr().map_err(|e| Error::Listen(addr, e))
 }
--- a/crates/auburnrouter/src/daemon/accept.rs
+++ b/crates/auburnrouter/src/daemon/accept.rs
@@ -160,7 +160,7 @@
     match ended {
         Ok(_) | Err(trillium_http::Error::Closed | trillium_http::Error::Io(_)) => {}
         Err(trillium_http::Error::HeadersTooLong) => refuse(raw, reply::HEAD_TOO_LONG).await,
-        Err(_) => refuse(raw, reply::MALFORMED).await,
+        Err(_) => refuse(raw, reply::MALFORMED_HEAD).await,
     }
 }
 
--- a/crates/auburnrouter/src/daemon/callers.rs
+++ b/crates/auburnrouter/src/daemon/callers.rs
@@ -22,7 +22,7 @@
 use wire::headers;
 
 use super::accept::Peer;
-use super::engine::{Engine, Terms};
+use super::engine::{Engine, RequestOptions};
 use super::guarded::Conn;
 use super::inbound::{self, Inbound};
 use super::metrics::Metrics;
@@ -171,7 +171,7 @@
     }
 
     async fn request(&self, mut conn: Conn, peer: &Peer, rest: &str) -> Conn {
-        let Some(terms) = self.terms(&conn) else {
+        let Some(options) = self.options(&conn) else {
             let refusal = unread_refusal(&conn, outcome::Reason::BadRequest);
             return self.refuse(conn, refusal);
         };
@@ -193,7 +193,7 @@
             caller_region: self.caller_region(peer.ip),
             ..inbound(&conn, peer.ip, rest, body)
         };
-        let served = self.engine.serve(request, terms);
+        let served = self.engine.serve(request, options);
         match conn.cancel_on_disconnect(served).await {
             Some(settled) => {
                 self.metrics.count_settled(&settled);
@@ -203,12 +203,12 @@
         }
     }
 
-    fn terms(&self, conn: &Conn) -> Option<Terms> {
+    fn options(&self, conn: &Conn) -> Option<RequestOptions> {
         let deadline = match header(conn, headers::DEADLINE_MS) {
             None => None,
             Some(text) => Some(Duration::from_millis(text.parse().ok()?).min(self.deadline_max)),
         };
-        Some(Terms {
+        Some(RequestOptions {
             deadline,
             origin: arrival::Origin::Caller,
             via: None,
--- a/crates/auburnrouter/src/daemon/control.rs
+++ b/crates/auburnrouter/src/daemon/control.rs
@@ -161,9 +161,9 @@
 
     /// Dumps the state of the process; `None` if the control loop has ended.
     pub async fn dump(&self) -> Option<Dump> {
-        let (reply, told) = async_channel::bounded(1);
+        let (reply, answer) = async_channel::bounded(1);
         self.input(driver::Input::Dump(reply));
-        told.recv().await.ok()
+        answer.recv().await.ok()
     }
 
     fn input(&self, input: driver::Input) {
--- a/crates/auburnrouter/src/daemon/control/active.rs
+++ b/crates/auburnrouter/src/daemon/control/active.rs
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// If a body is damaged or the files have faults.
-    pub fn open(
+    pub fn verify(
         head: &config::Head,
         bodies: &[config::Body],
         domain: &str,
--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -143,7 +143,7 @@
         let old = old.full().map_err(shown)?;
         let diff = diff::diff(&old.checked, &next.checked);
         report = lines(&diff.to_string());
-        judge(&old.checked, &next.checked, &change.caps)?;
+        check_moves(&old.checked, &next.checked, &change.caps)?;
     }
     Ok(CheckedChange {
         documents: next.documents,
@@ -176,7 +176,7 @@
     text.lines().map(str::to_owned).collect()
 }
 
-fn judge(
+fn check_moves(
     old: &bundle::Checked,
     new: &bundle::Checked,
     caps: &[String],
@@ -282,7 +282,7 @@
 }
 
 async fn read(store: &dyn store::Store) -> std::result::Result<Option<StoredHead>, error::Error> {
-    match store.get(keys::HEAD).await? {
+    match store.get(keys::HEAD_KEY).await? {
         None => Ok(None),
         Some(entry) => match store_calls::parse(&entry) {
             Some(stored) => Ok(Some(stored)),
@@ -325,7 +325,7 @@
         expect,
         lease: None,
     };
-    match store.put(keys::HEAD, put).await {
+    match store.put(keys::HEAD_KEY, put).await {
         Ok(_) => Outcome::Written,
         Err(error::Error::Conflict { current }) => {
             Outcome::Conflict(current.as_ref().and_then(store_calls::parse))
--- a/crates/auburnrouter/src/daemon/control/driver.rs
+++ b/crates/auburnrouter/src/daemon/control/driver.rs
@@ -117,8 +117,8 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Message(message) => self.handle(control::Event::Received(message)),
-            Input::Stored(id, reply) => self.stored(id, reply),
-            Input::Listed(list) => self.listed(list),
+            Input::Stored(id, reply) => self.handle_store_reply(id, reply),
+            Input::Listed(list) => self.handle_list(list),
             Input::Seeds(seeds) => {
                 self.seeds = seeds;
                 self.handle(control::Event::Hints(self.all_hints()));
@@ -174,7 +174,7 @@
         self.executor.spawn(work).detach();
     }
 
-    fn stored(&mut self, id: store::CallId, reply: store::Reply) {
+    fn handle_store_reply(&mut self, id: store::CallId, reply: store::Reply) {
         let reply = match reply {
             store::Reply::Listed(hints) => {
                 self.hints = hints;
@@ -189,10 +189,10 @@
         self.handle(control::Event::StoreReply { id, reply });
     }
 
-    fn listed(&mut self, list: Option<Vec<instance::Instance>>) {
+    fn handle_list(&mut self, list: Option<Vec<instance::Instance>>) {
         // Without an answer from the store the last list stays in use.
         if let Some(list) = list {
-            self.view.list(list);
+            self.view.set_instances(list);
         }
     }
 
@@ -202,7 +202,7 @@
 
     fn install(&mut self, head: &config::Head, bodies: &[config::Body]) {
         let version = head.version;
-        match ActiveConfig::open(head, bodies, &self.context.settings.domain) {
+        match ActiveConfig::verify(head, bodies, &self.context.settings.domain) {
             Ok(active) => {
                 let slots = self.view.install(active, &self.context.settings.name);
                 self.handle(control::Event::Installed { version, slots });
@@ -233,7 +233,7 @@
         self.context
             .engine
             .set_slot_held(snapshot.share.divisor.is_some());
-        self.view.members(self.control.record(), snapshot);
+        self.view.set_members(self.control.record(), snapshot);
     }
 
     /// Polls this domain's targets. The interval grows with the number of instances
@@ -249,8 +249,12 @@
                 if list.is_none() {
                     context.metrics.store_failures.inc();
                 }
-                let list =
-                    list.map(|l| l.instances.into_iter().map(view_builder::listed).collect());
+                let list = list.map(|l| {
+                    l.instances
+                        .into_iter()
+                        .map(view_builder::convert_instance)
+                        .collect()
+                });
                 if inputs.send(Input::Listed(list)).await.is_err() {
                     return;
                 }
--- a/crates/auburnrouter/src/daemon/control/keys.rs
+++ b/crates/auburnrouter/src/daemon/control/keys.rs
@@ -3,7 +3,7 @@
 use steer::process::config;
 
 /// Key of the head document.
-pub const HEAD: &str = "auburnrouter/config/head";
+pub const HEAD_KEY: &str = "auburnrouter/config/head";
 
 /// Key of a body, which contains the hash of its content.
 #[must_use]
--- a/crates/auburnrouter/src/daemon/control/status.rs
+++ b/crates/auburnrouter/src/daemon/control/status.rs
@@ -49,11 +49,11 @@
             let peers = Arc::clone(&self.context.peers);
             let addr = member.peer;
             self.executor.spawn(async move {
-                let late = async {
+                let timeout = async {
                     smol::Timer::after(VERSION_TIMEOUT).await;
                     None
                 };
-                future::or(peers.who(addr), late).await
+                future::or(peers.who(addr), timeout).await
             })
         });
         let asked: Vec<_> = asked.collect();
--- a/crates/auburnrouter/src/daemon/control/store_calls.rs
+++ b/crates/auburnrouter/src/daemon/control/store_calls.rs
@@ -24,7 +24,7 @@
         Call::Watch { wait, .. } => *wait,
         Call::Head | Call::Body(_) | Call::List => Duration::ZERO,
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(wait + CALL_TIMEOUT).await;
         Reply::Unavailable
     };
@@ -36,7 +36,7 @@
             Call::List => list(store).await,
         }
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
 /// Parses a head document; `None` if it is malformed.
@@ -49,7 +49,7 @@
 }
 
 async fn head(store: &dyn store::Store) -> Reply {
-    match store.get(keys::HEAD).await {
+    match store.get(keys::HEAD_KEY).await {
         Ok(None) => Reply::Head(None),
         Ok(Some(entry)) => parse(&entry).map_or(Reply::Malformed, |s| Reply::Head(Some(s))),
         Err(_) => Reply::Unavailable,
@@ -57,7 +57,7 @@
 }
 
 async fn watch(store: &dyn store::Store, after: u64, wait: Duration) -> Reply {
-    match store.watch(keys::HEAD, after, wait).await {
+    match store.watch(keys::HEAD_KEY, after, wait).await {
         Ok(None) => Reply::Watched(None),
         Ok(Some(entry)) => parse(&entry).map_or(Reply::Malformed, |s| Reply::Watched(Some(s))),
         Err(_) => Reply::Unavailable,
--- a/crates/auburnrouter/src/daemon/control/view_builder.rs
+++ b/crates/auburnrouter/src/daemon/control/view_builder.rs
@@ -56,7 +56,7 @@
     }
 
     /// Sets the list of instances.
-    pub fn list(&mut self, instances: Vec<instance::Instance>) {
+    pub fn set_instances(&mut self, instances: Vec<instance::Instance>) {
         if self.instances != instances {
             self.instances = instances;
             self.publish();
@@ -64,7 +64,7 @@
     }
 
     /// Sets the members, and whether this process serves look-ups.
-    pub fn members(&mut self, me: &member::Record, snapshot: &control::Snapshot) {
+    pub fn set_members(&mut self, me: &member::Record, snapshot: &control::Snapshot) {
         let serving =
             snapshot.ready && me.lifecycle == member::Lifecycle::Live && may_serve(snapshot.status);
         let mut members: Vec<instance::Member> =
@@ -129,7 +129,7 @@
 }
 
 /// Converts an entry of the platform's list.
-pub fn listed(instance: wire::instance::Instance) -> instance::Instance {
+pub fn convert_instance(instance: wire::instance::Instance) -> instance::Instance {
     let role = match instance.role {
         wire::instance::Role::Target {
             addr,
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -37,7 +37,7 @@
 
 /// Parameters of a request besides its content.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RequestOptions {
     /// Time left until the caller's deadline, if it set one.
     pub deadline: Option<Duration>,
     /// Sender of the request: a caller or a peer.
@@ -105,7 +105,7 @@
     /// Creates an engine with no requests.
     #[must_use]
     pub fn new(
-        decide: traffic::Traffic,
+        decisions: traffic::Traffic,
         identity: dispatch::Identity,
         incarnation: view::Incarnation,
         resources: Resources,
@@ -120,15 +120,19 @@
             identity,
             region: ArcSwapOption::empty(),
             arrival_signal: Signal::default(),
-            inner: Mutex::new(Inner::new(decide)),
+            inner: Mutex::new(Inner::new(decisions)),
         })
     }
 
     /// Serves one request until its final answer. Dropping the future reports to the
     /// dispatcher that the caller has disconnected.
-    pub async fn serve(self: &Arc<Self>, request: Inbound, terms: Terms) -> peer::Settled {
+    pub async fn serve(
+        self: &Arc<Self>,
+        request: Inbound,
+        options: RequestOptions,
+    ) -> peer::Settled {
         let (mailbox, settled) = async_channel::bounded(1);
-        let id = self.arrive(request, terms, mailbox);
+        let id = self.arrive(request, options, mailbox);
         let mut waiting = DisconnectGuard {
             engine: Arc::clone(self),
             id,
@@ -193,7 +197,7 @@
 
     /// Runs the timers of the dispatcher and maintains the target connections.
     pub fn tick(&self) {
-        self.resources.outbound.upkeep();
+        self.resources.outbound.maintain();
         self.handle(&mut self.lock(), traffic::Event::Tick);
     }
 
@@ -212,7 +216,7 @@
     #[must_use]
     pub fn is_drained(&self) -> bool {
         let inner = self.lock();
-        inner.decide.is_drained() && inner.waiting() == 0
+        inner.decisions.is_drained() && inner.waiting() == 0
     }
 
     /// Dump of the dispatcher's state, as lines of text for operators.
@@ -220,11 +224,11 @@
     pub fn dump(&self) -> Vec<String> {
         let now = self.now();
         let mut inner = self.lock();
-        let counts = inner.decide.gate_state().counts();
-        let dispatch = inner.decide.dispatch_state().dump(now).to_string();
+        let counts = inner.decisions.gate_state().counts();
+        let dispatch = inner.decisions.dispatch_state().dump(now).to_string();
         let mut lines: Vec<String> = dispatch.lines().map(str::to_owned).collect();
         lines.push(format!("{counts:?}"));
-        for (route, limit, used) in inner.decide.share_rows(now) {
+        for (route, limit, used) in inner.decisions.share_rows(now) {
             lines.push(format!("{route}: {used} of {limit} used this second"));
         }
         lines
@@ -252,7 +256,7 @@
     fn arrive(
         &self,
         request: Inbound,
-        terms: Terms,
+        options: RequestOptions,
         mailbox: async_channel::Sender<peer::Settled>,
     ) -> arrival::RequestId {
         let fingerprint = request.fingerprint();
@@ -264,11 +268,11 @@
             caller: Arc::clone(&request.caller),
             key: request.key.clone(),
             fingerprint,
-            deadline: terms.deadline,
+            deadline: options.deadline,
             bytes: request.bytes(),
-            origin: terms.origin,
+            origin: options.origin,
             caller_region: request.caller_region.clone(),
-            peer_region: terms.via,
+            peer_region: options.via,
         };
         inner.admit(id, request, mailbox);
         // A full channel means that the flag is set already.
@@ -305,7 +309,7 @@
 
     fn handle(&self, inner: &mut Inner, event: traffic::Event) {
         let mut actions = Vec::new();
-        inner.decide.handle(self.now(), event, &mut actions);
+        inner.decisions.handle(self.now(), event, &mut actions);
         for action in actions {
             self.act(inner, action);
         }
--- a/crates/auburnrouter/src/daemon/engine/claim.rs
+++ b/crates/auburnrouter/src/daemon/engine/claim.rs
@@ -13,7 +13,7 @@
 use wire::kv;
 
 /// Prefix of claims in the store.
-const CLAIMS: &str = "auburnrouter/claims/";
+const CLAIMS_PREFIX: &str = "auburnrouter/claims/";
 
 /// Creates or reads the claim of a key; the result is `Unknown` once `budget` is
 /// spent.
@@ -23,7 +23,7 @@
     call: record::StoreCall,
     budget: Duration,
 ) -> record::StoreResult {
-    let late = async {
+    let timeout = async {
         smol::Timer::after(budget).await;
         record::StoreResult::Unknown
     };
@@ -34,7 +34,7 @@
             record::StoreCall::Read => read(store, &path).await,
         }
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
 async fn create(
@@ -81,7 +81,7 @@
 /// Store key of a claim. It contains a hash, since callers choose keys of any length
 /// and with any characters, which the store doesn't accept.
 fn path(key: &str) -> String {
-    let mut path = CLAIMS.to_owned();
+    let mut path = CLAIMS_PREFIX.to_owned();
     for byte in Sha256::digest(key.as_bytes()) {
         // Writing to a `String` can't fail.
         let _ = write!(path, "{byte:02x}");
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -12,7 +12,7 @@
 
 use crate::daemon::inbound::Inbound;
 
-struct Pending {
+struct PendingRequest {
     id: arrival::RequestId,
     request: Arc<Inbound>,
     /// `None` once the caller has disconnected.
@@ -47,8 +47,8 @@
 /// State of the engine behind its lock.
 pub struct Inner {
     /// The dispatcher and the other traffic decisions.
-    pub decide: traffic::Traffic,
-    requests: Vec<Pending>,
+    pub decisions: traffic::Traffic,
+    requests: Vec<PendingRequest>,
     attempts: Vec<ActiveAttempt>,
     questions: Vec<PendingQuestion<record::Reply>>,
     loans: Vec<PendingQuestion<u64>>,
@@ -57,9 +57,9 @@
 
 impl Inner {
     /// Creates a state with no requests.
-    pub const fn new(decide: traffic::Traffic) -> Self {
+    pub const fn new(decisions: traffic::Traffic) -> Self {
         Self {
-            decide,
+            decisions,
             requests: Vec::new(),
             attempts: Vec::new(),
             questions: Vec::new(),
@@ -81,7 +81,7 @@
         request: Inbound,
         mailbox: async_channel::Sender<peer::Settled>,
     ) {
-        self.requests.push(Pending {
+        self.requests.push(PendingRequest {
             id,
             request: Arc::new(request),
             mailbox: Some(mailbox),
--- a/crates/auburnrouter/src/daemon/engine/operation.rs
+++ b/crates/auburnrouter/src/daemon/engine/operation.rs
@@ -117,10 +117,10 @@
                 destination,
                 request,
             } => {
-                let ended = engine
+                let result = engine
                     .send_attempt(&destination, &name, &request, budget)
                     .await;
-                engine.finish_attempt(id, attempt, &destination, ended);
+                engine.finish_attempt(id, attempt, &destination, result);
             }
             Kind::Forward { id, addr, request } => {
                 let peers = &engine.resources.peers;
@@ -208,20 +208,20 @@
         id: arrival::RequestId,
         attempt: arrival::AttemptId,
         destination: &dispatch::Destination,
-        ended: outbound::AttemptResult,
+        result: outbound::AttemptResult,
     ) {
         let mut inner = self.lock();
         let Some(active) = inner.remove_attempt(attempt) else {
             return;
         };
-        if let Some(report) = ended.report {
+        if let Some(report) = result.report {
             let target = Arc::clone(destination.name());
             self.handle(&mut inner, traffic::Event::Report { target, report });
         }
         let event = traffic::Event::Ended {
             id,
             attempt,
-            outcome: ended.outcome,
+            outcome: result.outcome,
         };
         self.handle(&mut inner, event);
         drop(inner);
--- a/crates/auburnrouter/src/daemon/guarded.rs
+++ b/crates/auburnrouter/src/daemon/guarded.rs
@@ -41,7 +41,7 @@
         self.0.store(false, Ordering::Relaxed);
     }
 
-    fn is_on(&self) -> bool {
+    fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
@@ -86,7 +86,7 @@
     }
 
     fn read_pending(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        if self.serving.is_on() {
+        if self.serving.is_set() {
             return Poll::Pending;
         }
         let has_begun = self.unanswered_bytes > 0;
--- a/crates/auburnrouter/src/daemon/inbound.rs
+++ b/crates/auburnrouter/src/daemon/inbound.rs
@@ -52,7 +52,7 @@
 /// Returns true for hop-by-hop headers and for those that the router sets itself.
 #[must_use]
 pub fn is_hop_header(name: &str) -> bool {
-    const HOP: [&str; 21] = [
+    const HOP_HEADERS: [&str; 21] = [
         "attempt-id",
         "caller-name",
         "connection",
@@ -75,6 +75,7 @@
         "transfer-encoding",
         "upgrade",
     ];
-    HOP.binary_search_by(|hop| (*hop).cmp(&name.to_ascii_lowercase()))
+    HOP_HEADERS
+        .binary_search_by(|hop| (*hop).cmp(&name.to_ascii_lowercase()))
         .is_ok()
 }
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -87,17 +87,17 @@
     }
 
     /// Opens connections in advance and closes those idle for too long.
-    pub fn upkeep(&self) {
+    pub fn maintain(&self) {
         self.pool.maintain();
     }
 
     /// Sends an attempt and waits for its answer until its budget is spent.
     pub async fn send(&self, attempt: Attempt<'_>) -> AttemptResult {
-        let late = async {
+        let timeout = async {
             smol::Timer::after(attempt.budget).await;
             AttemptResult::from(dispatch::AttemptOutcome::TimedOut)
         };
-        future::or(self.exchange(&attempt), late).await
+        future::or(self.exchange(&attempt), timeout).await
     }
 
     /// Notifies a target that an attempt was cancelled.
@@ -115,10 +115,10 @@
                 }
             }
         };
-        let late = async {
+        let timeout = async {
             smol::Timer::after(CANCEL_TIMEOUT).await;
         };
-        future::or(send, late).await;
+        future::or(send, timeout).await;
     }
 
     /// Queries a target's load and state; `None` without a valid answer in time.
@@ -138,11 +138,11 @@
                 state: health.state.into(),
             })
         };
-        let late = async {
+        let timeout = async {
             smol::Timer::after(budget).await;
             None
         };
-        future::or(query, late).await
+        future::or(query, timeout).await
     }
 
     async fn exchange(&self, attempt: &Attempt<'_>) -> AttemptResult {
--- a/crates/auburnrouter/src/daemon/peers.rs
+++ b/crates/auburnrouter/src/daemon/peers.rs
@@ -49,7 +49,7 @@
 
 /// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub enum ConnectionKind {
     /// Requests, and questions about keys.
     Traffic,
     /// Control messages.
--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -20,7 +20,7 @@
 use tarpc::{client, serde_transport};
 use wire::{heartbeat, peer};
 
-use super::{Lane, PeerClient, context, frames, handshake};
+use super::{ConnectionKind, PeerClient, context, frames, handshake};
 use crate::daemon::inbound::Inbound;
 use crate::daemon::workers::Executor;
 
@@ -56,7 +56,7 @@
 }
 
 impl Counts {
-    fn sent(&self, bytes: usize) {
+    fn record_sent(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
@@ -92,7 +92,7 @@
 pub struct Peers {
     executor: Executor,
     secret: Secret,
-    lane: Lane,
+    kind: ConnectionKind,
     connections: Mutex<Vec<Connection>>,
     sending: Arc<AtomicUsize>,
     counts: Counts,
@@ -101,11 +101,11 @@
 impl Peers {
     /// Creates a client without connections.
     #[must_use]
-    pub fn new(executor: Executor, secret: Secret, lane: Lane) -> Self {
+    pub fn new(executor: Executor, secret: Secret, kind: ConnectionKind) -> Self {
         Self {
             executor,
             secret,
-            lane,
+            kind,
             connections: Mutex::new(Vec::new()),
             sending: Arc::default(),
             counts: Counts::default(),
@@ -149,7 +149,7 @@
         let Ok(bytes) = heartbeat::Message::from(message).encode() else {
             return;
         };
-        self.counts.sent(bytes.len());
+        self.counts.record_sent(bytes.len());
         let peers = Arc::clone(self);
         let sending = SendGuard::new(&self.sending);
         let work = async move {
@@ -191,7 +191,7 @@
         question: &record::Question,
         budget: Duration,
     ) -> Option<record::Reply> {
-        let late = async {
+        let timeout = async {
             smol::Timer::after(budget).await;
             None
         };
@@ -204,7 +204,7 @@
             };
             reply.map(record::Reply::from)
         };
-        let reply = future::or(exchange, late).await;
+        let reply = future::or(exchange, timeout).await;
         if reply.is_none() {
             self.forget(addr);
         }
@@ -254,11 +254,11 @@
         if let Some(client) = self.find(addr) {
             return Some(client);
         }
-        let late = async {
+        let timeout = async {
             smol::Timer::after(CONNECT_TIMEOUT).await;
             None
         };
-        let client = future::or(self.connect(addr), late).await?;
+        let client = future::or(self.connect(addr), timeout).await?;
         let mut connections = self
             .connections
             .lock()
@@ -294,7 +294,7 @@
         let mut stream = net::TcpStream::connect(addr).await.ok()?;
         // Not fatal: without it calls are only delayed a little.
         let _ = stream.set_nodelay(true);
-        handshake::connect(&mut stream, &self.secret, self.lane)
+        handshake::connect(&mut stream, &self.secret, self.kind)
             .await
             .ok()?;
         let transport = serde_transport::new(frames(stream), Bincode::default());
--- a/crates/auburnrouter/src/daemon/peers/handshake.rs
+++ b/crates/auburnrouter/src/daemon/peers/handshake.rs
@@ -15,7 +15,7 @@
 use sha2::Sha256;
 use smol::net;
 
-use super::Lane;
+use super::ConnectionKind;
 
 const NONCE_LEN: usize = 16;
 const PROOF_LEN: usize = 32;
@@ -30,7 +30,11 @@
 /// # Errors
 /// If the connection breaks, the handshake times out, or the other end doesn't know
 /// the secret.
-pub async fn connect(stream: &mut net::TcpStream, secret: &Secret, lane: Lane) -> io::Result<()> {
+pub async fn connect(
+    stream: &mut net::TcpStream,
+    secret: &Secret,
+    kind: ConnectionKind,
+) -> io::Result<()> {
     with_timeout(async {
         let theirs = read::<NONCE_LEN>(stream).await?;
         let ours = nonce();
@@ -41,7 +45,7 @@
             CALLER_LABEL,
             &theirs,
         ));
-        message[NONCE_LEN + PROOF_LEN] = lane as u8;
+        message[NONCE_LEN + PROOF_LEN] = kind as u8;
         stream.write_all(&message).await?;
         let proof = read::<PROOF_LEN>(stream).await?;
         verify(secret, LISTENER_LABEL, &ours, &proof)
@@ -53,20 +57,20 @@
 ///
 /// # Errors
 /// As for [`connect`], or if the purpose is not a valid one.
-pub async fn accept(stream: &mut net::TcpStream, secret: &Secret) -> io::Result<Lane> {
+pub async fn accept(stream: &mut net::TcpStream, secret: &Secret) -> io::Result<ConnectionKind> {
     with_timeout(async {
         let ours = nonce();
         stream.write_all(&ours).await?;
         let theirs = read::<NONCE_LEN>(stream).await?;
         let proof = read::<PROOF_LEN>(stream).await?;
-        let [lane] = read::<1>(stream).await?;
+        let [kind] = read::<1>(stream).await?;
         verify(secret, CALLER_LABEL, &ours, &proof)?;
         stream
             .write_all(&prove(secret, LISTENER_LABEL, &theirs))
             .await?;
-        match lane {
-            0 => Ok(Lane::Traffic),
-            1 => Ok(Lane::Control),
+        match kind {
+            0 => Ok(ConnectionKind::Traffic),
+            1 => Ok(ConnectionKind::Control),
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     })
@@ -74,11 +78,11 @@
 }
 
 async fn with_timeout<T>(work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let late = async {
+    let timeout = async {
         smol::Timer::after(EXCHANGE_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
 async fn read<const N: usize>(stream: &mut net::TcpStream) -> io::Result<[u8; N]> {
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -20,9 +20,9 @@
 use trillium_http::Stopper;
 use wire::{heartbeat, peer, witness};
 
-use super::{Lane, Peer, frames, handshake};
+use super::{ConnectionKind, Peer, frames, handshake};
 use crate::daemon::control;
-use crate::daemon::engine::{Engine, Terms};
+use crate::daemon::engine::{Engine, RequestOptions};
 use crate::daemon::inbound::Inbound;
 use crate::daemon::workers::Executor;
 
@@ -72,12 +72,12 @@
 async fn authenticate(mut stream: net::TcpStream, service: Service) {
     // Not fatal: without it answers are only delayed a little.
     let _ = stream.set_nodelay(true);
-    let Ok(lane) = handshake::accept(&mut stream, &service.secret).await else {
+    let Ok(kind) = handshake::accept(&mut stream, &service.secret).await else {
         return;
     };
-    let executor = match lane {
-        Lane::Traffic => Arc::clone(&service.traffic_executor),
-        Lane::Control => Arc::clone(&service.control_executor),
+    let executor = match kind {
+        ConnectionKind::Traffic => Arc::clone(&service.traffic_executor),
+        ConnectionKind::Control => Arc::clone(&service.control_executor),
     };
     let peer_server = PeerServer {
         engine: service.engine,
@@ -113,12 +113,12 @@
         } else {
             arrival::Origin::Peer
         };
-        let terms = Terms {
+        let options = RequestOptions {
             deadline: Some(Duration::from_millis(forward.deadline_ms)),
             origin,
             via: forward.via.as_deref().map(Arc::from),
         };
-        let settled = self.engine.serve(incoming(forward), terms).await;
+        let settled = self.engine.serve(incoming(forward), options).await;
         peer::Forwarded::from(&settled)
     }
 
--- a/crates/auburnrouter/src/daemon/reply.rs
+++ b/crates/auburnrouter/src/daemon/reply.rs
@@ -23,7 +23,7 @@
 pub const HEAD_TOO_LONG: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// Response to a request whose head can't be parsed.
-pub const MALFORMED: &[u8] = b"HTTP/1.1 400 Bad Request\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+pub const MALFORMED_HEAD: &[u8] = b"HTTP/1.1 400 Bad Request\r\nOutcome: unknown\r\nReason: bad-request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// JSON body of a rejection.
 #[derive(Debug, Serialize)]
--- a/crates/auburnrouter/tests/edge/harness.rs
+++ b/crates/auburnrouter/tests/edge/harness.rs
@@ -24,7 +24,7 @@
 /// store's client.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-const BASE: &str = r#"{
+const BASE_CONFIG: &str = r#"{
   "regions": { "r": { "domains": { "d": { "entries": ["a"], "sites": ["s"] } } } },
   "classes": [ { "name": "urgent", "queue_percent": 100 } ],
   "services": {
@@ -74,7 +74,7 @@
     pub fn start(limits: &str) -> Self {
         let harness = Self::with_limits(limits);
         let base = harness.folder.join("base.jsonc");
-        fs::write(&base, BASE).expect("the folder is writable");
+        fs::write(&base, BASE_CONFIG).expect("the folder is writable");
         let args: [OsString; 6] = [
             "apply".into(),
             base.into(),
@@ -140,10 +140,11 @@
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("auburnrouter-edge-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
-        fs::create_dir_all(&folder).expect("the temporary place is writable");
+        fs::create_dir_all(&folder).expect("the temporary directory is writable");
         let secret = folder.join("secret");
         fs::write(&secret, SECRET).expect("the folder is writable");
-        fs::set_permissions(&secret, fs::Permissions::from_mode(0o600)).expect("it is ours");
+        fs::set_permissions(&secret, fs::Permissions::from_mode(0o600))
+            .expect("the file belongs to this user");
         let store = store::Store::start(store::Config {
             listen: ([127, 0, 0, 1], 0).into(),
             lag: Duration::ZERO,
@@ -251,7 +252,7 @@
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(addr).expect("it listens");
+    let stream = TcpStream::connect(addr).expect("the address accepts connections");
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
         .expect("the time isn't zero");
--- a/crates/auburnrouter/tests/soak.rs
+++ b/crates/auburnrouter/tests/soak.rs
@@ -25,7 +25,7 @@
 /// Reads a number from an environment variable.
 fn env_number(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
-    text.map_or(default, |t| t.parse().expect("it is a number"))
+    text.map_or(default, |t| t.parse().expect("the variable is a number"))
 }
 
 /// Injects overlapping faults: kills, freezes, stops, broken connections, store
--- a/crates/auburnrouter/tests/soak/callers.rs
+++ b/crates/auburnrouter/tests/soak/callers.rs
@@ -13,7 +13,7 @@
 use super::invariants::{Exchange, Received};
 
 /// Number of concurrent callers.
-const CALLERS: usize = 8;
+const CALLER_COUNT: usize = 8;
 
 /// Read timeout for an answer; the deadline that callers send is 2.5 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
@@ -35,7 +35,7 @@
         let callers = Arc::clone(&callers);
         thread::spawn(move || run_caller(&callers, number, seed))
     };
-    let threads = (0..CALLERS).map(run).collect();
+    let threads = (0..CALLER_COUNT).map(run).collect();
     (callers, threads)
 }
 
@@ -43,7 +43,9 @@
 pub fn stop(callers: &Callers, threads: Vec<JoinHandle<Vec<Exchange>>>) -> Vec<Exchange> {
     callers.is_done.store(true, Ordering::Relaxed);
     let seen = threads.into_iter().map(JoinHandle::join);
-    let mut exchanges: Vec<Exchange> = seen.flat_map(|s| s.expect("it doesn't panic")).collect();
+    let mut exchanges: Vec<Exchange> = seen
+        .flat_map(|s| s.expect("the caller thread did not panic"))
+        .collect();
     exchanges.sort_by(|a, b| a.id.cmp(&b.id));
     exchanges
 }
@@ -122,7 +124,11 @@
 }
 
 fn connect(callers: &Callers, rng: &mut Rng) -> Option<TcpStream> {
-    let addrs = callers.addrs.lock().expect("no one panics with it").clone();
+    let addrs = callers
+        .addrs
+        .lock()
+        .expect("the lock is not poisoned")
+        .clone();
     let addr = *addrs.get(rng.usize(0..addrs.len().max(1)))?;
     let stream = TcpStream::connect(addr).ok()?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
--- a/crates/auburnrouter/tests/soak/invariants.rs
+++ b/crates/auburnrouter/tests/soak/invariants.rs
@@ -71,8 +71,8 @@
             let found = self.exchanges.binary_search_by(|a| a.id.cmp(&run.id));
             match found.map(|at| &self.exchanges[at]) {
                 Ok(exchange) if exchange.method == run.method && exchange.path == run.path => {}
-                Ok(exchange) => violations.push(format!("changed: {run:?}, asked {exchange:?}")),
-                Err(_) => violations.push(format!("nobody asked for {run:?}")),
+                Ok(exchange) => violations.push(format!("changed: {run:?}, sent as {exchange:?}")),
+                Err(_) => violations.push(format!("no caller sent {run:?}")),
             }
         }
         violations
@@ -116,7 +116,7 @@
         write!(
             f,
             "{} faults; {} requests: {} answered, {} rejected, {} unknown routes, {} failed, \
-             {} of unknown fate, {unanswered} without an answer; {} runs",
+             {} with unknown outcome, {unanswered} without an answer; {} runs",
             self.faults,
             self.exchanges.len(),
             count(|s| s == 200),
--- a/crates/auburnrouter/tests/soak/proxy.rs
+++ b/crates/auburnrouter/tests/soak/proxy.rs
@@ -39,7 +39,7 @@
     pub fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let proxy = Self {
-            addr: listener.local_addr().expect("it listens"),
+            addr: listener.local_addr().expect("the listener is bound"),
             fault: Arc::new(Mutex::new(Fault::None)),
         };
         let fault = Arc::clone(&proxy.fault);
@@ -53,7 +53,7 @@
 
     /// Sets the fault for existing and new connections.
     pub fn set(&self, fault: Fault) {
-        *self.fault.lock().expect("no one panics with it") = fault;
+        *self.fault.lock().expect("the lock is not poisoned") = fault;
     }
 }
 
@@ -73,7 +73,7 @@
 /// Copies one direction until either end closes or [`Fault::Cut`] is set.
 fn copy(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_forward: bool) {
     let mut bytes = [0; 4096];
-    let current = || *fault.lock().expect("no one panics with it");
+    let current = || *fault.lock().expect("the lock is not poisoned");
     if from.set_read_timeout(Some(POLL_INTERVAL)).is_err() {
         return;
     }
--- a/crates/auburnrouter/tests/soak/runner.rs
+++ b/crates/auburnrouter/tests/soak/runner.rs
@@ -20,10 +20,10 @@
 use super::proxy::{Fault, Proxy};
 
 /// Failure domain of each instance.
-const DOMAINS: [&str; 3] = ["near-a", "near-b", "far-a"];
+const ENTRY_DOMAINS: [&str; 3] = ["near-a", "near-b", "far-a"];
 
 /// Number of targets at the start, distributed over the domains.
-const TARGETS: usize = 6;
+const TARGET_COUNT: usize = 6;
 
 /// Minimum and maximum time between faults, in ms. Most faults last longer, so they
 /// overlap.
@@ -67,7 +67,7 @@
     let mut cluster = Cluster::start(seed);
     let (callers, threads) = callers::start(seed);
     let publish = |cluster: &Cluster| {
-        *callers.addrs.lock().expect("no one panics with it") = cluster.addrs();
+        *callers.addrs.lock().expect("the lock is not poisoned") = cluster.addrs();
     };
     publish(&cluster);
     let until = Instant::now() + span;
@@ -91,7 +91,10 @@
         store.configure(1, HOST, &ROUTES);
         let mut cluster = Self {
             rng: Rng::with_seed(seed),
-            store_proxies: DOMAINS.iter().map(|_| Proxy::start(store.addr())).collect(),
+            store_proxies: ENTRY_DOMAINS
+                .iter()
+                .map(|_| Proxy::start(store.addr()))
+                .collect(),
             store,
             targets: Vec::new(),
             target_proxies: Vec::new(),
@@ -103,10 +106,10 @@
             faults: 0,
             failures: Vec::new(),
         };
-        for _ in 0..TARGETS {
+        for _ in 0..TARGET_COUNT {
             cluster.add_target();
         }
-        for number in 0..DOMAINS.len() {
+        for number in 0..ENTRY_DOMAINS.len() {
             let entry = cluster.start_entry(number);
             cluster.entries.push(Some(entry));
         }
@@ -125,7 +128,7 @@
         let name = format!("i{number}");
         Entry::start(
             &name,
-            DOMAINS[number],
+            ENTRY_DOMAINS[number],
             self.store_proxies[number].addr,
             &seeds,
         )
@@ -133,7 +136,7 @@
 
     fn add_target(&mut self) {
         let number = self.targets.len();
-        let domain = DOMAINS[number % DOMAINS.len()];
+        let domain = ENTRY_DOMAINS[number % ENTRY_DOMAINS.len()];
         let target =
             Target::start(&format!("t{number}"), "sheets", domain).expect("a port is free");
         target.set(Behavior::Normal, 20 * MS);
@@ -147,7 +150,7 @@
         let entry = json!({
             "address": self.target_proxies[number].addr, "born": 1_764_700_000_000_u64,
             "info": { "service": "sheets", "version": "v1",
-                      "zone": DOMAINS[number % DOMAINS.len()], "slots": 3 },
+                      "zone": ENTRY_DOMAINS[number % ENTRY_DOMAINS.len()], "slots": 3 },
             "status": { "state": state, "seq": seq, "warmup_left_s": 0 },
         });
         self.store.write(&format!("servers/t{number}"), &entry);
@@ -155,7 +158,7 @@
 
     fn inject_fault(&mut self) {
         self.faults += 1;
-        let entry = self.rng.usize(0..DOMAINS.len());
+        let entry = self.rng.usize(0..ENTRY_DOMAINS.len());
         let target = self.rng.usize(0..self.targets.len());
         match self.rng.u8(0..16) {
             0 => self.kill(entry),
@@ -259,14 +262,14 @@
     }
 
     fn evacuate(&mut self, number: usize) {
-        let key = format!("op/evacuate/{}", DOMAINS[number]);
+        let key = format!("op/evacuate/{}", ENTRY_DOMAINS[number]);
         self.store.write(&key, &json!({}));
         self.schedule(Recovery::Domain(number));
     }
 
     /// Adds or removes a route, or drains a target and adds another.
     fn change_config(&mut self) {
-        if self.rng.bool() && self.targets.len() < TARGETS * 2 {
+        if self.rng.bool() && self.targets.len() < TARGET_COUNT * 2 {
             let leaving = self.rng.usize(0..self.targets.len());
             self.list(leaving, "draining", 9);
             self.add_target();
@@ -313,7 +316,7 @@
             Recovery::TargetProxy(number) => self.target_proxies[number].set(Fault::None),
             Recovery::Target(number) => self.targets[number].set(Behavior::Normal, 20 * MS),
             Recovery::Domain(number) => {
-                let key = format!("op/evacuate/{}", DOMAINS[number]);
+                let key = format!("op/evacuate/{}", ENTRY_DOMAINS[number]);
                 self.store.remove(&key);
             }
         }
@@ -332,7 +335,7 @@
     /// Waits until every instance serves, now that all faults have ended.
     fn await_serving(&self) {
         for (number, entry) in self.entries.iter().enumerate() {
-            let entry = entry.as_ref().expect("all have returned");
+            let entry = entry.as_ref().expect("every instance has been restarted");
             wait_until(&format!("i{number} serves again"), || {
                 entry
                     .try_send("OPTIONS", "/view/again", "again", "")
@@ -349,7 +352,7 @@
         for entry in &mut self.leaving {
             let code = entry.wait_exit();
             if code != Some(0) {
-                let lines = entry.lines.lock().expect("no one panics with it");
+                let lines = entry.lines.lock().expect("the lock is not poisoned");
                 let last: Vec<String> = lines.iter().rev().take(5).cloned().collect();
                 self.failures.push(format!(
                     "an instance ended with {code:?} on SIGTERM: {last:?}"
