--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -130,7 +130,7 @@
         self: &Arc<Self>,
         request: Inbound,
         options: RequestOptions,
-    ) -> peer::Settled {
+    ) -> peer::FinalResult {
         let (mailbox, settled) = async_channel::bounded(1);
         let id = self.arrive(request, options, mailbox);
         let mut waiting = DisconnectGuard {
@@ -257,7 +257,7 @@
         &self,
         request: Inbound,
         options: RequestOptions,
-        mailbox: async_channel::Sender<peer::Settled>,
+        mailbox: async_channel::Sender<peer::FinalResult>,
     ) -> arrival::RequestId {
         let fingerprint = request.fingerprint();
         let mut inner = self.lock();
--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -16,7 +16,7 @@
     id: arrival::RequestId,
     request: Arc<Inbound>,
     /// `None` once the caller has disconnected.
-    mailbox: Option<async_channel::Sender<peer::Settled>>,
+    mailbox: Option<async_channel::Sender<peer::FinalResult>>,
 }
 
 /// An attempt in progress.
@@ -79,7 +79,7 @@
         &mut self,
         id: arrival::RequestId,
         request: Inbound,
-        mailbox: async_channel::Sender<peer::Settled>,
+        mailbox: async_channel::Sender<peer::FinalResult>,
     ) {
         self.requests.push(PendingRequest {
             id,
@@ -109,7 +109,7 @@
     }
 
     /// Removes a request and sends its final answer to the caller, if one waits.
-    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::Settled) {
+    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::FinalResult) {
         let Ok(at) = self.requests.binary_search_by_key(&id, |p| p.id) else {
             return;
         };
