--- a/crates/auburnrouter/src/daemon/engine/inner.rs
+++ b/crates/auburnrouter/src/daemon/engine/inner.rs
@@ -12,11 +12,11 @@
 
 use crate::daemon::inbound::Inbound;
 
-struct Pending {
+struct PendingRequest {
     id: arrival::RequestId,
     request: Arc<Inbound>,
     /// `None` once the caller has disconnected.
-    mailbox: Option<async_channel::Sender<peer::Settled>>,
+    mailbox: Option<async_channel::Sender<peer::FinalResult>>,
 }
 
 /// An attempt in progress.
@@ -47,8 +47,8 @@
 /// State of the engine behind its lock.
 pub struct Inner {
     /// The dispatcher and the other traffic decisions.
-    pub decide: traffic::Traffic,
-    requests: Vec<Pending>,
+    pub decisions: traffic::Traffic,
+    requests: Vec<PendingRequest>,
     attempts: Vec<ActiveAttempt>,
     questions: Vec<PendingQuestion<record::Reply>>,
     loans: Vec<PendingQuestion<u64>>,
@@ -57,9 +57,9 @@
 
 impl Inner {
     /// Creates a state with no requests.
-    pub const fn new(decide: traffic::Traffic) -> Self {
+    pub const fn new(decisions: traffic::Traffic) -> Self {
         Self {
-            decide,
+            decisions,
             requests: Vec::new(),
             attempts: Vec::new(),
             questions: Vec::new(),
@@ -79,9 +79,9 @@
         &mut self,
         id: arrival::RequestId,
         request: Inbound,
-        mailbox: async_channel::Sender<peer::Settled>,
+        mailbox: async_channel::Sender<peer::FinalResult>,
     ) {
-        self.requests.push(Pending {
+        self.requests.push(PendingRequest {
             id,
             request: Arc::new(request),
             mailbox: Some(mailbox),
@@ -109,7 +109,7 @@
     }
 
     /// Removes a request and sends its final answer to the caller, if one waits.
-    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::Settled) {
+    pub fn settle(&mut self, id: arrival::RequestId, settled: peer::FinalResult) {
         let Ok(at) = self.requests.binary_search_by_key(&id, |p| p.id) else {
             return;
         };
