--- a/crates/auburnrouter/src/daemon/peers/calls.rs
+++ b/crates/auburnrouter/src/daemon/peers/calls.rs
@@ -324,8 +324,8 @@
         key: request.key.as_deref().map(str::to_owned),
         deadline_ms: u64::try_from(budget.as_millis()).unwrap_or(u64::MAX),
         owned: hop.owned,
-        home: request.caller_region.as_deref().map(str::to_owned),
-        via: hop.via.as_deref().map(str::to_owned),
+        caller_region: request.caller_region.as_deref().map(str::to_owned),
+        sender_region: hop.via.as_deref().map(str::to_owned),
     }
 }
 
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -116,7 +116,7 @@
         let options = RequestOptions {
             deadline: Some(Duration::from_millis(forward.deadline_ms)),
             origin,
-            via: forward.via.as_deref().map(Arc::from),
+            via: forward.sender_region.as_deref().map(Arc::from),
         };
         let settled = self.engine.serve(incoming(forward), options).await;
         peer::Forwarded::from(&settled)
@@ -185,6 +185,6 @@
         body: forward.body.into(),
         caller: forward.caller.into(),
         key: forward.key.map(Into::into),
-        caller_region: forward.home.map(Into::into),
+        caller_region: forward.caller_region.map(Into::into),
     }
 }
--- a/crates/wire/src/direct.rs
+++ b/crates/wire/src/direct.rs
@@ -393,16 +393,15 @@
 
 impl From<Grant> for quota::Grant {
     fn from(grant: Grant) -> Self {
-        let team_grant =
-            |(team, total, held_max, rate_milli, is_exhausted): (TeamHash, u32, u32, u32, bool)| {
-                quota::TeamGrant {
-                    team: u64::from_le_bytes(team),
-                    total,
-                    held_max,
-                    rate_milli,
-                    is_exhausted,
-                }
-            };
+        let team_grant = |(team, total, held, rate, exhausted): (TeamHash, u32, u32, u32, bool)| {
+            quota::TeamGrant {
+                team: u64::from_le_bytes(team),
+                total,
+                held_max: held,
+                rate_milli: rate,
+                is_exhausted: exhausted,
+            }
+        };
         Self {
             name: Arc::from(grant.name),
             incarnation: grant.incarnation,
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -1,8 +1,11 @@
-//! Heartbeats and exchange of configurations between entry instances.
+//! Messages between entry instances: heartbeats, membership records, and the exchange
+//! of configurations.
 //!
-//! The bytes are bincode's with variable-length integers, as the transport of
-//! the calls between processes writes them, so [`Message::encode`] gives the
-//! payload that a call carries.
+//! Messages are encoded by bincode with variable-length integers, as by the transport
+//! of calls between processes; [`Message::encode`] returns the payload of a call.
+//!
+//! Invariant: fields and variants are encoded by position. Their order and types are
+//! part of the protocol.
 
 mod convert;
 
@@ -11,22 +14,22 @@
 use bincode::Options;
 use serde::{Deserialize, Serialize};
 
-/// Longest name in bytes.
+/// Largest length of a name in bytes.
 pub const NAME_MAX: usize = 128;
 
-/// Why a peer's message can't be taken.
+/// Errors in decoding a peer's message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The bytes are no message.
+    /// The bytes are not a message.
     #[error("not a message of this release: {0}; check that peers run releases that fit")]
     Bytes(String),
     /// A name is empty or longer than [`NAME_MAX`].
     #[error("a name of {0} bytes; names have 1 to 128, correct the peer's settings")]
     Name(usize),
-    /// A head's files are not sorted by name, each once.
+    /// The files of the head of this version are not sorted by name, or a name is repeated.
     #[error("the files of head {0} are not in order; replace the peer that sent it")]
     Order(u64),
-    /// A head without a version, or with more changes than one remembers.
+    /// The head of this version has version 0, no recent change, or too many of them.
     #[error("head {0} is not a whole one; replace the peer that sent it")]
     Head(u64),
 }
@@ -34,41 +37,41 @@
 /// Twin of [`steer::process::member::Stamp`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Orders the processes of one name.
+    /// Orders the processes that ran under one name.
     pub generation: u64,
-    /// Which process.
+    /// Random number of the process, little-endian.
     pub incarnation: [u8; 8],
 }
 
 /// Twin of [`steer::process::member::Lifecycle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has.
+    /// Finishes the work that it has.
     Leaving,
-    /// Stopped, and gave up its shares.
+    /// Stopped, and released its shares of all caps.
     Released,
-    /// Stopped answering.
+    /// Stopped answering, or stopped without releasing its shares.
     Dead,
 }
 
 /// Twin of [`steer::process::member::Record`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Configured name.
+    /// Configured name of the process.
     pub name: String,
     /// Name of its failure domain.
     pub domain: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
-    /// Which process.
+    /// Orders the process among those of its name.
     pub stamp: Stamp,
-    /// Raised with each change of its life.
+    /// Raised with each change of the lifecycle, and to refute a tombstone.
     pub serial: u32,
-    /// Where it is in its life.
+    /// Lifecycle as of this serial.
     #[serde(rename = "life")]
     pub lifecycle: Lifecycle,
 }
@@ -76,18 +79,18 @@
 /// Twin of [`steer::process::member::HealthSummary`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthSummary {
-    /// Version in force.
+    /// Version of the configuration in force; 0 if none.
     pub version: u64,
-    /// Load in 1/255.
+    /// Load in 1/255 of the process's capacity.
     pub load: u8,
-    /// Whether it reaches the store.
+    /// Whether the process reaches the store.
     pub store: bool,
 }
 
 /// Twin of [`steer::process::member::Summary`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Processes alive.
+    /// Number of live processes.
     pub count: u32,
     /// Lowest version in force.
     pub oldest: u64,
@@ -102,29 +105,29 @@
 pub struct DomainSeen {
     /// Name of the failure domain.
     pub domain: String,
-    /// Milliseconds since the sender heard it.
+    /// Milliseconds since the sender last received a message from it.
     pub age_ms: u32,
 }
 
 /// Twin of [`steer::process::control::message::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's.
+    /// Load and health of the sender.
     #[serde(rename = "vitals")]
     pub health: HealthSummary,
-    /// Whether an answer is wanted.
+    /// Whether an answer is requested.
     pub reply: bool,
-    /// Sender's own time in microseconds.
+    /// Local time of the sender in microseconds.
     pub probe: u64,
-    /// Receiver's newest probe.
+    /// Newest probe that the sender received from the receiver.
     pub echo: Option<u64>,
-    /// Serial of the receiver's tombstone at the sender.
+    /// Serial of the receiver's tombstone at the sender, if there is one.
     #[serde(rename = "held")]
     pub tombstone: Option<u32>,
-    /// Digest of the sender's table.
+    /// Digest of the sender's table, little-endian.
     #[serde(rename = "total")]
     pub table_digest: [u8; 8],
-    /// Domains that the sender hears.
+    /// Domains from which the sender recently received messages.
     #[serde(rename = "heard")]
     pub domains_seen: Vec<DomainSeen>,
 }
@@ -132,17 +135,17 @@
 /// Twin of [`steer::process::control::message::DomainHeartbeat`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainHeartbeat {
-    /// The sender's domain, in short.
+    /// Summary of the sender's domain.
     pub summary: Summary,
-    /// Digest of its rows.
+    /// Digest of the records of the sender's domain, little-endian.
     pub digest: [u8; 8],
-    /// Whether an answer is wanted.
+    /// Whether an answer is requested.
     pub reply: bool,
-    /// Sender's own time in microseconds.
+    /// Local time of the sender in microseconds.
     pub probe: u64,
-    /// Receiver's newest probe.
+    /// Newest probe that the sender received from the receiver.
     pub echo: Option<u64>,
-    /// Serial of the receiver's tombstone at the sender.
+    /// Serial of the receiver's tombstone at the sender, if there is one.
     #[serde(rename = "held")]
     pub tombstone: Option<u32>,
 }
@@ -152,34 +155,34 @@
 pub struct Digest {
     /// Name of the failure domain.
     pub domain: String,
-    /// Digest of its rows.
+    /// Digest of the domain's records, little-endian.
     pub value: [u8; 8],
 }
 
 /// Twin of [`steer::process::config::File`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct File {
-    /// Its name.
+    /// Name of the file.
     pub name: String,
-    /// SHA-256 of its content.
+    /// SHA-256 of the file's content.
     pub hash: [u8; 32],
 }
 
 /// Twin of [`steer::process::config::Change`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Version that it made.
+    /// Version that the change produced.
     pub version: u64,
-    /// Its id.
+    /// Id of the change.
     pub id: String,
 }
 
 /// Twin of [`steer::process::config::Head`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The last changes, newest first.
+    /// Most recent changes, newest first.
     pub recent: Vec<Change>,
     /// Files, sorted by name.
     pub files: Vec<File>,
@@ -203,47 +206,47 @@
     /// Heartbeat between domains.
     #[serde(rename = "Across")]
     DomainHeartbeat(DomainHeartbeat),
-    /// Digests to compare.
+    /// Digests to compare with the receiver's.
     Sync(Vec<Digest>),
-    /// Asks for domains' rows.
+    /// Requests the records of these domains.
     #[serde(rename = "Want")]
     RecordsRequest(Vec<String>),
-    /// Rows.
+    /// Records of one or more domains.
     #[serde(rename = "Rows")]
     Records(Vec<Record>),
-    /// The receiver's name was taken over.
+    /// The process of this stamp took over the receiver's name.
     Superseded(Stamp),
-    /// The receiver's predecessor gave up its shares.
+    /// The receiver's predecessor, of this stamp, released its shares.
     Succeeded(Stamp),
-    /// Asks about a process.
+    /// Asks when the process of this name was last heard from.
     #[serde(rename = "Ask")]
     PeerQuery(String),
-    /// Answer to it.
+    /// Answer to [`Content::PeerQuery`].
     #[serde(rename = "Told")]
     PeerSeen {
-        /// The process's name.
+        /// Name of the process.
         name: String,
-        /// Which process.
+        /// Stamp of the process.
         stamp: Stamp,
-        /// Milliseconds since it was heard.
+        /// Milliseconds since the sender last received a message from it.
         age_ms: u32,
     },
-    /// Asks for a head above this version.
+    /// Requests the head in force unless it has this version.
     Pull(u64),
-    /// A head.
+    /// The head in force at the sender.
     Offer(Head),
-    /// Asks for bodies.
+    /// Requests the bodies with these hashes.
     Fetch(Vec<[u8; 32]>),
-    /// Bodies.
+    /// Requested bodies.
     Bodies(Vec<Body>),
 }
 
 /// Twin of [`steer::process::control::message::Message`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// Record of the sender.
     pub from: Record,
-    /// What it says.
+    /// Content of the message.
     pub content: Content,
 }
 
@@ -252,19 +255,19 @@
 }
 
 impl Message {
-    /// The bytes of the payload.
+    /// Encodes the payload of a call.
     ///
     /// # Errors
-    /// None in practice: the types hold nothing that can't be written.
+    /// None in practice: every value of these types can be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, Malformed> {
         let bytes = codec().serialize(self);
         bytes.map_err(|e| Malformed::Bytes(e.to_string()))
     }
 
-    /// Reads a payload.
+    /// Decodes the payload of a call.
     ///
     /// # Errors
-    /// [`Malformed::Bytes`] if the bytes are no message.
+    /// [`Malformed::Bytes`] if the bytes are not a message.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         let message = codec().deserialize(bytes);
         message.map_err(|e| Malformed::Bytes(e.to_string()))
--- a/crates/wire/src/heartbeat/convert.rs
+++ b/crates/wire/src/heartbeat/convert.rs
@@ -1,4 +1,7 @@
-//! Conversions between heartbeats and their inner twins.
+//! Conversions between the messages of [`super`] and their twins in `steer`.
+//!
+//! Invariant: a message from a peer is only converted if its names and heads are
+//! valid.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -382,7 +385,7 @@
     }
 }
 
-/// Converts a list, or gives the first error.
+/// Converts a list, or returns the first error.
 fn convert_all<W, T: TryFrom<W, Error = Malformed>>(list: Vec<W>) -> Result<Vec<T>, Malformed> {
     list.into_iter().map(T::try_from).collect()
 }
--- a/crates/wire/src/instance.rs
+++ b/crates/wire/src/instance.rs
@@ -1,8 +1,8 @@
-//! The platform's list of instances. It lags.
+//! The platform's list of instances. It may be out of date.
 //!
 //! | call | answer |
 //! |---|---|
-//! | `GET /instances` | the whole list |
+//! | `GET /instances` | the complete list |
 //! | `GET /instances?kind=entry` | entry instances only |
 //! | `GET /instances?kind=target&domain=D` | targets of one failure domain |
 
@@ -10,74 +10,74 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What an instance runs.
+/// Role of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Role {
-    /// A target: where it listens, and for which service of which site.
+    /// A target, which runs requests of one service of one site.
     Target {
-        /// Where it listens for requests.
+        /// Address for requests.
         addr: SocketAddr,
         /// Name of the service.
         service: String,
         /// Name of the site.
         site: String,
-        /// Requests it runs at a time.
+        /// Largest number of requests that it runs at a time.
         slots: u32,
     },
-    /// An entry instance of this system.
+    /// An entry instance, which steers requests to targets.
     Entry {
-        /// Where its peers reach it.
+        /// Address for peers.
         peer: SocketAddr,
     },
 }
 
-/// Whether an instance takes new work, as the platform says.
+/// State of an instance according to the platform, or of a target according to itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has.
+    /// Finishes the work that it has.
     Leaving,
 }
 
-/// One line of the list.
+/// Entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name, unique.
+    /// Unique name.
     pub name: String,
     /// Name of its failure domain.
     pub domain: String,
-    /// Whether it takes new work.
+    /// State according to the platform.
     pub state: State,
-    /// What it runs.
+    /// Role with its addresses; its fields stand beside the others in JSON.
     #[serde(flatten)]
     pub role: Role,
 }
 
-/// The whole list.
+/// Instances as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// All instances the platform knows of.
+    /// Listed instances.
     pub instances: Vec<Instance>,
 }
 
-/// A part of the list. An entry instance reads its own domain's targets often,
-/// and the whole list never: that would grow with the fleet.
+/// Selects a part of the list. An entry instance often reads the targets of its own
+/// domain, and never the complete list, which grows with the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Filter {
-    /// All of it.
+    /// All instances.
     All,
-    /// All entry instances.
+    /// Entry instances.
     Entries,
-    /// The targets of this failure domain.
+    /// Targets of this failure domain.
     Targets(String),
 }
 
 impl Filter {
-    /// The path and query that ask for it. Names hold no characters that a
-    /// query can't.
+    /// Returns the path and query of the call. Names need no escaping: they hold only
+    /// characters that a query may hold.
     #[must_use]
     pub fn path(&self) -> String {
         match self {
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Whether a line is in it.
+    /// Returns whether the filter selects an instance.
     #[must_use]
     pub fn matches(&self, instance: &Instance) -> bool {
-        let target = matches!(instance.role, Role::Target { .. });
+        let is_target = matches!(instance.role, Role::Target { .. });
         match self {
             Self::All => true,
-            Self::Entries => !target,
-            Self::Targets(domain) => target && instance.domain == *domain,
+            Self::Entries => !is_target,
+            Self::Targets(domain) => is_target && instance.domain == *domain,
         }
     }
 }
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -8,39 +8,40 @@
 //! | `PUT /kv/{key}` with [`Put`] | 200 [`Written`], 409 [`Conflict`], 413 |
 //! | `DELETE /kv/{key}?revision=N` | 200 [`Written`], 409 [`Conflict`] |
 //! | `POST /leases` with [`LeaseRequest`] | 200 [`Lease`] |
-//! | `POST /leases/{id}/renew` | 200 [`Lease`], 404 once it lapsed |
+//! | `POST /leases/{id}/renew` | 200 [`Lease`], 404 once it expired |
 //!
-//! Each call counts, a waiting watch as one. A value holds up to a megabyte. A
-//! key written under a lease is deleted when the lease lapses.
+//! Every call is counted, a waiting watch as one call. A value
+//! has up to [`VALUE_MAX`] bytes. A key written under a lease is deleted when the lease
+//! expires.
 
 use serde::{Deserialize, Serialize};
 
-/// Largest value in bytes.
+/// Largest size of a value in bytes.
 pub const VALUE_MAX: usize = 1 << 20;
 
-/// A key's present value.
+/// Current value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key; may hold slashes.
+    /// Key; may contain slashes.
     pub key: String,
-    /// The value.
+    /// Value of the key.
     pub value: String,
-    /// Revision of the write that set it; grows over the whole store.
+    /// Revision of the write that set the value; increases with each write to the store.
     pub revision: u64,
 }
 
-/// Keys under a prefix, in order.
+/// Entries under a prefix, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The entries.
+    /// Entries, ordered by key.
     pub entries: Vec<Entry>,
 }
 
-/// What must hold for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expect {
-    /// Nothing.
+    /// Always.
     Any,
     /// The key does not exist.
     Absent,
@@ -48,43 +49,43 @@
     Revision(u64),
 }
 
-/// A write.
+/// Body of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The new value.
+    /// New value.
     pub value: String,
-    /// The condition.
+    /// Condition of the write.
     pub expect: Expect,
-    /// Lease the key lives under, if any.
+    /// Lease that the key depends on, if any.
     pub lease: Option<u64>,
 }
 
 /// A write that took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
-    /// Its revision.
+    /// Revision of the write.
     pub revision: u64,
 }
 
 /// A write whose condition did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// What is there now; `None` if the key does not exist.
+    /// Current entry; `None` if the key does not exist.
     pub current: Option<Entry>,
 }
 
-/// A wish for a lease.
+/// Request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds the lease lives without renewal.
+    /// Milliseconds until the lease expires without renewal.
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// A granted or renewed lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// Id of the lease.
     pub id: u64,
-    /// Milliseconds it lives from now.
+    /// Milliseconds until it expires, from the answer on.
     pub ttl_ms: u64,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! Types as they cross a wire, apart from the types decisions use.
+//! Types that are sent between processes, separate from those of the `steer` crate.
 //!
-//! Invariant: nothing outside this crate serialises a decision type. A type
-//! here converts to its inner twin by `From`, or by `TryFrom` where the bytes
-//! may lie.
+//! Invariant: no type of `steer` is serialized for the wire. A type here converts to
+//! its twin in `steer` by `From`, or by `TryFrom` where received data may be invalid.
 
 pub mod direct;
 pub mod headers;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,7 @@
-//! What entry instances say to each other, by `tarpc`.
+//! Arguments and results of the calls between entry instances, which `tarpc` carries.
+//!
+//! Invariant: fields and variants are encoded by position. Their order and types are
+//! part of the protocol.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -7,7 +10,7 @@
 use steer::request::{answer, outcome};
 use thiserror::Error;
 
-/// A header line.
+/// An HTTP header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// Field name.
@@ -16,85 +19,87 @@
     pub value: String,
 }
 
-/// A request passed on to an entry instance of another failure domain.
+/// A request forwarded to an entry instance of another failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
     /// Name of the service.
     pub service: String,
     /// HTTP method.
     pub method: String,
-    /// Path and query at the target, from the slash on.
+    /// Path and query at the target, with the leading slash.
     pub path: String,
     /// End-to-end headers.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// Complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Who asks.
+    /// Name or address of the caller.
     pub caller: String,
     /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Milliseconds left to answer.
+    /// Milliseconds left until the deadline.
     pub deadline_ms: u64,
-    /// Whether the receiver is asked as the key's owner, and not just to run
-    /// what the sender has already guarded.
+    /// Whether the receiver is to act as the owner of the key, and not only to run a
+    /// request that the sender has already protected from running twice.
     pub owned: bool,
     /// Region of the caller, if known.
-    pub home: Option<String>,
+    #[serde(rename = "home")]
+    pub caller_region: Option<String>,
     /// Region of the sender.
-    pub via: Option<String>,
+    #[serde(rename = "via")]
+    pub sender_region: Option<String>,
 }
 
-/// How many targets broke under a request.
+/// Number of targets that broke off while they ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request's fingerprint.
+    /// Fingerprint of the request.
     pub fingerprint: u128,
-    /// Targets that broke; zero clears it.
+    /// Targets that broke off; zero clears the suspicion.
     pub strikes: u8,
 }
 
-/// What became of a request passed on.
+/// Result of a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Forwarded {
-    /// A target's whole answer.
+    /// Complete answer of a target.
     Answer {
         /// HTTP status.
         status: u16,
         /// End-to-end headers.
         headers: Vec<Header>,
-        /// The whole body.
+        /// Complete body.
         #[serde(with = "serde_bytes")]
         body: Vec<u8>,
     },
     /// A final refusal.
     Refusal {
-        /// The reason's word.
+        /// Reason, as in [`outcome::Reason::as_str`].
         reason: String,
-        /// The outcome's word.
+        /// Outcome, as in [`outcome::Outcome::as_str`].
         outcome: String,
-        /// Milliseconds until asking again makes sense.
+        /// Milliseconds until the request should be retried.
         after_ms: Option<u64>,
     },
 }
 
-/// A peer said something that this version doesn't know.
+/// Errors in reading a peer's result, such as one of a later release.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The reason's word is not known.
+    /// The reason is unknown.
     #[error("unknown reason {0:?} from a peer; run the same version everywhere")]
     Reason(String),
-    /// The outcome's word is not known.
+    /// The outcome is unknown.
     #[error("unknown outcome {0:?} from a peer; run the same version everywhere")]
     Outcome(String),
 }
 
-/// A final answer or refusal, as decisions know it.
+/// Final answer or refusal of a request, in the types of `steer`.
 pub type FinalResult = Result<Arc<answer::Answer>, outcome::Refusal>;
 
 impl From<&FinalResult> for Forwarded {
-    fn from(settled: &FinalResult) -> Self {
-        match settled {
+    fn from(result: &FinalResult) -> Self {
+        match result {
             Ok(answer) => Self::Answer {
                 status: answer.status,
                 headers: answer.headers.iter().map(Header::from).collect(),
@@ -154,34 +159,34 @@
     }
 }
 
-fn parse_reason(word: String) -> Result<outcome::Reason, Error> {
+fn parse_reason(text: String) -> Result<outcome::Reason, Error> {
     let found = outcome::Reason::ALL
         .into_iter()
-        .find(|r| r.as_str() == word);
-    found.ok_or(Error::Reason(word))
+        .find(|r| r.as_str() == text);
+    found.ok_or(Error::Reason(text))
 }
 
-fn parse_outcome(word: String) -> Result<outcome::Outcome, Error> {
+fn parse_outcome(text: String) -> Result<outcome::Outcome, Error> {
     use outcome::Outcome::{NotRun, Ran, Unknown};
     let found = [Ran, NotRun, Unknown]
         .into_iter()
-        .find(|o| o.as_str() == word);
-    found.ok_or(Error::Outcome(word))
+        .find(|o| o.as_str() == text);
+    found.ok_or(Error::Outcome(text))
 }
 
 fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Who listens at an address.
+/// Identity of the entry instance at an address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// Name of its entry instance.
+    /// Name of the entry instance.
     pub name: String,
     /// Name of its failure domain.
     pub domain: String,
-    /// Where its peers reach it.
+    /// Address for peers.
     pub peer: std::net::SocketAddr,
-    /// Version in force at it; 0 if none.
+    /// Version of the configuration in force; 0 if none.
     pub version: u64,
 }
--- a/crates/wire/src/share.rs
+++ b/crates/wire/src/share.rs
@@ -1,4 +1,4 @@
-//! Parts of caps that entry instances lend each other.
+//! Names of the caps whose shares entry instances lend to each other.
 
 use serde::{Deserialize, Serialize};
 use steer::process::share;
@@ -6,16 +6,16 @@
 /// Twin of [`share::Route`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Route {
-    /// Requests a second of a service between two regions.
+    /// Cap on requests a second of a service between two regions.
     Shift {
         /// Name of the service.
         service: String,
-        /// Name of the callers' region.
+        /// Name of the region of the callers.
         from: String,
         /// Name of the region that serves them.
         to: String,
     },
-    /// Bytes a second between two regions.
+    /// Cap on bytes a second between two regions.
     Link {
         /// Name of the sending region.
         from: String,
--- a/crates/wire/src/witness.rs
+++ b/crates/wire/src/witness.rs
@@ -1,4 +1,4 @@
-//! Questions to a witness, and its words, as they cross between processes.
+//! Questions to the witness of a key and its replies.
 
 use std::sync::Arc;
 
@@ -8,28 +8,28 @@
 /// Twin of [`record::Question`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// Record that the key's request is about to be sent.
+    /// Records that the key's request is about to be sent.
     Claim(String),
-    /// Make sure that the key never runs, if it has not been claimed.
+    /// Seals the key: unless it has been claimed, its request never runs.
     Seal(String),
-    /// Which epoch do you count?
+    /// Asks for the witness's current epoch.
     Epoch,
 }
 
 /// Twin of [`record::Reply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The key is claimed.
+    /// The key is claimed: its request may have run.
     Claimed,
-    /// The key never gets a claim.
+    /// The key is sealed: its request has not run and never will.
     Sealed,
-    /// The key is too old to say.
+    /// The key's epoch is too old or not yet reached, so that its state is unknown.
     Expired,
-    /// No room for another record.
+    /// The witness has no room for another record.
     Full,
-    /// The key names another process.
+    /// The key names another process as its witness.
     Foreign,
-    /// The witness's present epoch.
+    /// Current epoch of the witness.
     Epoch(u64),
 }
 
