--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -223,9 +223,8 @@
     }
     if stored_version > in_force {
         // The moved traffic was computed against an older version.
-        let line = format!(
-            "not accepted: {stored_version} isn't in in_force here yet; apply again at once"
-        );
+        let line =
+            format!("not accepted: {stored_version} isn't in force here yet; apply again at once");
         return Answer::new(Result::NotAccepted, in_force, vec![line]);
     }
     let head = stored.as_ref().map(|s| &*s.head);
--- a/crates/auburnrouter/src/daemon/control/view_builder.rs
+++ b/crates/auburnrouter/src/daemon/control/view_builder.rs
@@ -64,16 +64,17 @@
     }
 
     /// Sets the members, and whether this process serves look-ups.
-    pub fn set_members(&mut self, me: &member::Record, snapshot: &control::Snapshot) {
-        let serving =
-            snapshot.ready && me.lifecycle == member::Lifecycle::Live && may_serve(snapshot.status);
+    pub fn set_members(&mut self, own: &member::Record, snapshot: &control::Snapshot) {
+        let serving = snapshot.ready
+            && own.lifecycle == member::Lifecycle::Live
+            && may_serve(snapshot.status);
         let mut members: Vec<instance::Member> =
             snapshot.members.iter().filter_map(member).collect();
         if !members
             .iter()
-            .any(|m| m.incarnation == me.stamp.incarnation)
+            .any(|m| m.incarnation == own.stamp.incarnation)
         {
-            members.extend(peer(me));
+            members.extend(peer(own));
         }
         if self.members != members || self.serving != serving {
             self.members = members;
--- a/crates/auburnrouter/src/daemon/engine.rs
+++ b/crates/auburnrouter/src/daemon/engine.rs
@@ -150,7 +150,7 @@
     /// ends first.
     pub async fn witness(&self, question: record::Question) -> Option<record::Reply> {
         let (mailbox, reply) = async_channel::bounded(1);
-        self.ask_witness(question, mailbox);
+        self.start_question(question, mailbox);
         reply.recv().await.ok()
     }
 
@@ -163,12 +163,12 @@
     /// or 0.
     pub async fn lend(&self, route: share::Route, amount: u64) -> u64 {
         let (mailbox, reply) = async_channel::bounded(1);
-        self.request_loan(route, amount, mailbox);
+        self.start_loan(route, amount, mailbox);
         reply.recv().await.unwrap_or(0)
     }
 
     /// Handles a peer's report of a request under which targets broke.
-    pub fn report_suspect(&self, fingerprint: arrival::Fingerprint, strikes: u8) {
+    pub fn handle_suspect(&self, fingerprint: arrival::Fingerprint, strikes: u8) {
         let event = traffic::Event::Suspected {
             fingerprint,
             strikes,
@@ -281,7 +281,7 @@
         id
     }
 
-    fn request_loan(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
+    fn start_loan(&self, route: share::Route, amount: u64, mailbox: async_channel::Sender<u64>) {
         let mut inner = self.lock();
         let ask = inner.add_loan(mailbox);
         self.handle(
@@ -290,7 +290,7 @@
         );
     }
 
-    fn ask_witness(
+    fn start_question(
         &self,
         question: record::Question,
         mailbox: async_channel::Sender<record::Reply>,
--- a/crates/auburnrouter/src/daemon/peers/serving.rs
+++ b/crates/auburnrouter/src/daemon/peers/serving.rs
@@ -146,7 +146,7 @@
 
     async fn suspect(self, _: context::Context, suspect: peer::Suspect) {
         let fingerprint = arrival::Fingerprint(suspect.fingerprint);
-        self.engine.report_suspect(fingerprint, suspect.strikes);
+        self.engine.handle_suspect(fingerprint, suspect.strikes);
     }
 
     async fn lend(self, _: context::Context, route: wire::share::Route, amount: u64) -> u64 {
