--- a/crates/auburnrouter/src/daemon/callers.rs
+++ b/crates/auburnrouter/src/daemon/callers.rs
@@ -232,8 +232,8 @@
 }
 
 /// Rejection of a request that did not reach the engine. With a key its outcome is
-/// "unknown": another copy may have run under the key, and after "not run" the
-/// caller could repeat it under a new key, to be charged twice.
+/// "unknown": another copy may have run under the key, and a caller told "not run"
+/// could repeat the request and be charged again.
 fn unread_refusal(conn: &Conn, reason: outcome::Reason) -> outcome::Refusal {
     match header(conn, headers::IDEMPOTENCY_KEY) {
         Some(_) => outcome::Refusal::unknown(reason, None),
--- a/crates/auburnrouter/src/daemon/control/apply.rs
+++ b/crates/auburnrouter/src/daemon/control/apply.rs
@@ -1,4 +1,4 @@
-//! Applies an operator's change: verifies it, limits the traffic it moves, and
+//! Applies an operator's change: verifies it, checks how much traffic it moves, and
 //! commits it with one write of the head document.
 //!
 //! Invariant: nothing is written before the full configuration has passed the
@@ -61,7 +61,7 @@
     Conflict,
     /// The change was certainly not accepted.
     NotAccepted,
-    /// Whether the change was accepted can't be determined yet.
+    /// Acceptance of the change can't be determined yet.
     Unknown,
 }
 
@@ -129,7 +129,7 @@
     report: Vec<String>,
 }
 
-/// Verifies a change and limits the traffic it moves; an error is the text to show.
+/// Verifies a change and checks the traffic it moves; an error is the text to show.
 fn check_change(
     old: Option<&ActiveConfig>,
     change: &Change,
--- a/crates/auburnrouter/src/daemon/engine/operation.rs
+++ b/crates/auburnrouter/src/daemon/engine/operation.rs
@@ -54,7 +54,7 @@
         id: arrival::RequestId,
         /// The key.
         key: Arc<str>,
-        /// Whether to create or to read the claim.
+        /// Call that creates or reads the claim.
         call: record::StoreCall,
     },
     /// Borrow part of a peer's share of a cap.
