--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -9,7 +9,7 @@
 use crate::head::Framing;
 
 /// Upper bound on the line with a chunk's size; callers send fewer than ten bytes.
-const CHUNK_LINE_BYTES_MAX: usize = 1024;
+const CHUNK_LINE_MAX: usize = 1024;
 
 /// Upper bound on the number of trailer fields.
 const TRAILER_FIELDS_MAX: usize = 32;
@@ -118,7 +118,7 @@
     }
 
     fn take_size(&mut self, input: &mut BytesMut) -> Result<Option<Stage>, Fault> {
-        let window = &input[..input.len().min(CHUNK_LINE_BYTES_MAX)];
+        let window = &input[..input.len().min(CHUNK_LINE_MAX)];
         // The parser accepts any byte in a chunk extension, also a bare LF, which
         // other parsers take for the end of the line.
         let line = window.iter().position(|b| *b == b'\n');
@@ -127,9 +127,7 @@
         }
         let (length, size) = match httparse::parse_chunk_size(window) {
             Ok(httparse::Status::Complete(found)) => found,
-            Ok(httparse::Status::Partial) if window.len() < CHUNK_LINE_BYTES_MAX => {
-                return Ok(None);
-            }
+            Ok(httparse::Status::Partial) if window.len() < CHUNK_LINE_MAX => return Ok(None),
             Ok(httparse::Status::Partial) | Err(_) => return Err(Fault::Chunk),
         };
         // The parser reads a line without a digit as size 0; it is a fault.
--- a/crates/http1/tests/reader/bench.rs
+++ b/crates/http1/tests/reader/bench.rs
@@ -32,7 +32,7 @@
     loop {
         match reader.step() {
             Step::NeedMore => return,
-            // Its position depends on the splits; it only announces the body's size.
+            // The splits decide when this step comes; it only announces a body.
             Step::Body { .. } => {}
             Step::Request(complete) => {
                 let request = &complete.request;
--- a/crates/scenarios/src/bin/actor.rs
+++ b/crates/scenarios/src/bin/actor.rs
@@ -24,7 +24,7 @@
         return standin::run(args);
     }
     if program == "platform-standin" {
-        return platform_standin::stage::run(args);
+        return platform_standin::program::run(args);
     }
     if program == "auburnrouter" {
         return auburnrouter::run(args);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -29,10 +29,7 @@
     #[error("the lease expired or does not exist; a new one is needed")]
     LeaseLapsed,
     /// The value exceeds the store's size limit.
-    #[error(
-        "the value has {bytes} bytes; the store takes at most {}",
-        kv::VALUE_MAX
-    )]
+    #[error("the value has {bytes} bytes, more than the store takes")]
     TooLarge {
         /// Size of the value in bytes.
         bytes: usize,
