--- a/crates/auburnrouter/tests/edge/harness.rs
+++ b/crates/auburnrouter/tests/edge/harness.rs
@@ -8,7 +8,6 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::thread;
 use std::time::{Duration, Instant};
 
 use auburnrouter::daemon;
@@ -20,10 +19,6 @@
 /// Timeout of every wait in these tests.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause before an unaccepted change is retried: the maximum initial backoff of the
-/// store's client.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-
 const BASE_CONFIG: &str = r#"{
   "regions": { "r": { "domains": { "d": { "entries": ["a"], "sites": ["s"] } } } },
   "classes": [ { "name": "urgent", "queue_percent": 100 } ],
@@ -83,7 +78,7 @@
             "--secret-file".into(),
             harness.folder.join("secret").into(),
         ];
-        harness.apply(&args);
+        assert_eq!(auburnrouter::run(args), ExitCode::SUCCESS);
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let ready = || {
             harness
@@ -100,36 +95,6 @@
         harness
     }
 
-    /// Retries `apply` until it succeeds. Under load a first call to the store may time
-    /// out; the store's client then backs off, and `apply` asks for a retry. A rejected
-    /// change has the same exit code, but persists and fails after [`WAIT_TIMEOUT`]. Any
-    /// other exit code, or a head that was written all the same, fails at once.
-    fn apply(&self, args: &[OsString]) {
-        let deadline = Instant::now() + WAIT_TIMEOUT;
-        loop {
-            let code = auburnrouter::run(args.iter().cloned());
-            if code == ExitCode::SUCCESS {
-                assert!(self.is_head_stored(), "accepted, but no head is stored");
-                return;
-            }
-            assert_eq!(code, ExitCode::from(1), "not the code for `not accepted`");
-            assert!(!self.is_head_stored(), "not accepted, but a head is stored");
-            assert!(
-                Instant::now() < deadline,
-                "the configuration isn't accepted"
-            );
-            thread::sleep(RETRY_PAUSE);
-        }
-    }
-
-    /// Returns true if the store has a head document, whose write commits a change.
-    fn is_head_stored(&self) -> bool {
-        let text = "GET /kv/auburnrouter/config/head HTTP/1.1\r\nHost: s\r\n\r\n";
-        let answer = send_to(self.store.addr(), text);
-        assert!(matches!(&*answer.status, "200" | "404"), "{answer:?}");
-        answer.status == "200"
-    }
-
     /// Starts an instance without a configuration.
     pub fn start_empty() -> Self {
         Self::with_limits("")
