--- a/crates/entity/src/lib.rs
+++ b/crates/entity/src/lib.rs
@@ -1,9 +1,8 @@
 //! Dense entity references and the maps they index.
 //!
-//! An entity reference is a `u32` index with a type of its own, so that a
-//! target can't be mistaken for a service. Invariant: a reference is only valid
-//! for the [`PrimaryMap`] that handed it out, which in this project means for
-//! one version of the configuration.
+//! An entity reference is a `u32` index with a type of its own, so that a target can't
+//! be mistaken for a service. Invariant: a reference is only valid for the
+//! [`PrimaryMap`] that returned it, and so for one version of the configuration.
 
 mod primary;
 mod secondary;
@@ -19,7 +18,7 @@
     /// If the index doesn't fit 32 bits.
     fn new(index: usize) -> Self;
 
-    /// The index behind the reference.
+    /// Returns the index.
     fn index(self) -> usize;
 }
 
--- a/crates/entity/src/primary.rs
+++ b/crates/entity/src/primary.rs
@@ -1,11 +1,11 @@
-//! The map that hands out entity references.
+//! [`PrimaryMap`], which stores entities and allocates references to them.
 
 use core::marker::PhantomData;
 use core::ops::{Index, IndexMut};
 
 use crate::EntityRef;
 
-/// Owns the values of one kind of entity; references are dense from zero.
+/// Map that owns the values of one kind of entity. References are dense from zero.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrimaryMap<K, V> {
     values: Vec<V>,
@@ -22,7 +22,7 @@
 }
 
 impl<K: EntityRef, V> PrimaryMap<K, V> {
-    /// An empty map.
+    /// Creates an empty map.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -35,55 +35,56 @@
         key
     }
 
-    /// The value behind a reference, or `None` if the map never handed it out.
+    /// Returns the value of a reference, or `None` if it is beyond the last entity.
     #[must_use]
     pub fn get(&self, key: K) -> Option<&V> {
         self.values.get(key.index())
     }
 
-    /// Number of entities.
+    /// Returns the number of entities.
     #[must_use]
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether there are no entities.
+    /// Returns whether there are no entities.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// All values as a slice, for binary searches.
+    /// Returns all values as a slice, for binary searches.
     #[must_use]
     pub fn as_slice(&self) -> &[V] {
         &self.values
     }
 
-    /// The entity of this name, in a map built in order of its names.
+    /// Returns the entity of this name by binary search. The values must be in ascending
+    /// order of the names that `key` returns.
     #[must_use]
     pub fn find_name<'a>(&'a self, name: &str, key: impl Fn(&'a V) -> &'a str) -> Option<K> {
         let found = self.values.binary_search_by(|value| key(value).cmp(name));
         found.ok().map(K::new)
     }
 
-    /// All references, in order.
+    /// Returns all references, in order.
     #[must_use]
     pub fn keys(&self) -> impl ExactSizeIterator<Item = K> + use<K, V> {
         (0..self.values.len()).map(K::new)
     }
 
-    /// All values, in order of their references.
+    /// Returns all values, in order of their references.
     pub fn values(&self) -> core::slice::Iter<'_, V> {
         self.values.iter()
     }
 
-    /// All references with their values, in order.
+    /// Returns all references with their values, in order.
     #[must_use]
     pub fn iter(&self) -> impl ExactSizeIterator<Item = (K, &V)> {
         self.values.iter().enumerate().map(|(i, v)| (K::new(i), v))
     }
 
-    /// All references with mutable values, in order.
+    /// Returns all references with mutable values, in order.
     pub fn iter_mut(&mut self) -> impl ExactSizeIterator<Item = (K, &mut V)> {
         self.values
             .iter_mut()
--- a/crates/entity/src/secondary.rs
+++ b/crates/entity/src/secondary.rs
@@ -1,11 +1,14 @@
-//! Further facts about entities that another map owns.
+//! [`SecondaryMap`], which holds further data on entities that a [`PrimaryMap`] owns.
+//!
+//! [`PrimaryMap`]: crate::PrimaryMap
 
 use core::marker::PhantomData;
 use core::ops::{Index, IndexMut};
 
 use crate::EntityRef;
 
-/// Associates a value with each entity; entities never written have the default.
+/// Map from entities to values, in which an entity has the default value until it is
+/// written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SecondaryMap<K, V> {
     values: Vec<V>,
@@ -20,7 +23,7 @@
 }
 
 impl<K: EntityRef, V: Clone> SecondaryMap<K, V> {
-    /// A map in which every entity has `default` until written.
+    /// Creates a map in which every entity has the value `default` until it is written.
     #[must_use]
     pub fn with_default(default: V) -> Self {
         Self {
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Entities up to the last one written, with their values.
+    /// Returns the entities up to the last one written, with their values.
     pub fn iter(&self) -> impl Iterator<Item = (K, &V)> {
         self.values.iter().enumerate().map(|(i, v)| (K::new(i), v))
     }
--- a/crates/jsonc/src/edit.rs
+++ b/crates/jsonc/src/edit.rs
@@ -1,26 +1,28 @@
-//! Small edits of a file's text that keep its comments and layout.
+//! Edits of a file's text that keep its comments and layout.
 //!
-//! Invariant: whatever an edit doesn't touch stays as it was, to the letter.
+//! Invariant: text outside the edited list stays byte for byte.
 
 use jsonc_parser::ParseOptions;
 use jsonc_parser::cst::{CstArray, CstInputValue, CstNode, CstRootNode};
 use thiserror::Error;
 
-/// Why a text can't be edited.
+/// Errors in editing a text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// It can't be parsed.
+    /// The text can't be parsed.
     #[error("the file can't be parsed: {0}; run `check` on it")]
     Syntax(String),
-    /// A value is of another kind than the edit needs.
+    /// The value at this path is not the object or list that the edit needs.
     #[error("{0} is not of the kind expected there; run `check` on the file")]
     Kind(String),
 }
 
-/// Adds `name` to the list at `object.list`, both made if absent.
+/// Adds `name` to the list at `object.list` unless it is there. Creates the object and
+/// the list if absent.
 ///
 /// # Errors
-/// If the text can't be parsed, or something else stands at either place.
+/// [`Error::Syntax`] if the text can't be parsed, [`Error::Kind`] if a value of another
+/// type stands at either path.
 pub fn list_add(text: &str, object: &str, list: &str, name: &str) -> Result<String, Error> {
     let root = parse(text)?;
     let array = root
@@ -35,10 +37,11 @@
     Ok(root.to_string())
 }
 
-/// Removes `name` from the list at `object.list`, wherever it stands in it.
+/// Removes every occurrence of `name` from the list at `object.list`. Does nothing if
+/// there is no such list.
 ///
 /// # Errors
-/// If the text can't be parsed.
+/// [`Error::Syntax`] if the text can't be parsed.
 pub fn list_remove(text: &str, object: &str, list: &str, name: &str) -> Result<String, Error> {
     let root = parse(text)?;
     let array = root
@@ -57,9 +60,9 @@
 }
 
 fn find(array: &CstArray, name: &str) -> Vec<CstNode> {
-    let is = |node: &CstNode| {
+    let is_name = |node: &CstNode| {
         let text = node.as_string_lit().and_then(|t| t.decoded_value().ok());
         text.is_some_and(|t| t == name)
     };
-    array.elements().into_iter().filter(is).collect()
+    array.elements().into_iter().filter(is_name).collect()
 }
--- a/crates/jsonc/src/fault.rs
+++ b/crates/jsonc/src/fault.rs
@@ -1,21 +1,24 @@
-//! Faults in a text, each with its place and remedy.
+//! Faults found in a file, each with its place and remedy.
+//!
+//! Invariant: faults are ordered by place first, so that sorting lists them as they
+//! stand in the file.
 
 use core::fmt;
 use std::sync::Arc;
 
-/// Where something stands in a file.
+/// Position in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The file, as its reader names it.
+    /// Name of the file, as passed to the parser.
     pub file: Arc<str>,
-    /// Line, from 1; 0 if the value stands in no file, such as a default.
+    /// Line, from 1; 0 if the value comes from no file, such as a default.
     pub line: u32,
     /// Column in characters, from 1.
     pub column: u32,
 }
 
 impl Place {
-    /// The first character of a file.
+    /// Returns the place of the first character of a file.
     #[must_use]
     pub fn start(file: &Arc<str>) -> Self {
         Self {
@@ -35,26 +38,26 @@
     }
 }
 
-/// What sort of fault it is; scripts may rely on the names.
+/// Kind of a fault. Scripts may rely on the printed names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// The text is not JSON with comments.
     Syntax,
-    /// A field or name that nothing declares.
+    /// An undeclared field or name.
     Unknown,
-    /// A value of another type than declared.
+    /// A value of a type other than the declared one.
     WrongType,
-    /// A field that must be there and isn't.
+    /// A required field is absent.
     Missing,
-    /// The same name twice.
+    /// A name is repeated.
     Duplicate,
     /// A number, address or text outside its range.
     OutOfRange,
-    /// Two statements that can't both hold.
+    /// Two values that contradict each other.
     Conflict,
-    /// A statement without effect.
+    /// A value without effect.
     Redundant,
-    /// A statement that moves more traffic than its cap allows.
+    /// A value that moves more traffic than its cap allows.
     OverCap,
 }
 
@@ -74,22 +77,22 @@
     }
 }
 
-/// One fault; prints as `file:line:column: message; remedy`.
+/// A fault; prints as `file:line:column: message; remedy`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("{place}: {message}; {remedy}")]
 pub struct Fault {
-    /// Where it stands.
+    /// Position of the fault.
     pub place: Place,
-    /// What sort it is.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What to do about it.
+    /// Proposed correction.
     pub remedy: String,
 }
 
 impl Fault {
-    /// A fault at a place.
+    /// Makes a fault at a place.
     pub fn new(
         place: &Place,
         kind: Kind,
--- a/crates/jsonc/src/fields.rs
+++ b/crates/jsonc/src/fields.rs
@@ -1,11 +1,11 @@
-//! Objects whose fields are declared.
+//! Access to the fields of objects whose field names are declared.
 
 use crate::fault::{Fault, Kind};
 use crate::nearest;
 use crate::node::{Field, Node};
 use crate::read;
 
-/// An object whose unknown and doubled fields have been reported.
+/// An object whose unknown and duplicate fields have been reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Fields<'a> {
     node: &'a Node,
@@ -13,7 +13,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Opens an object that may have only the `known` fields.
+    /// Reads an object, and reports fields that are not in `known` or are repeated.
     pub fn open(node: &'a Node, known: &[&str], faults: &mut Vec<Fault>) -> Self {
         let fields = read::object(node, faults);
         for field in fields {
@@ -29,15 +29,15 @@
         Self { node, fields }
     }
 
-    /// A field that may be absent.
+    /// Returns an optional field.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<&'a Node> {
         let field = self.fields.iter().find(|f| &*f.name == name)?;
         Some(&field.node)
     }
 
-    /// A field that must be there. A node that is no object has been reported
-    /// as such; its fields are not reported missing besides.
+    /// Returns a required field, or reports that it is missing. A node that is not an
+    /// object has already been reported, so its fields are not reported as missing.
     pub fn need(&self, name: &str, faults: &mut Vec<Fault>) -> Option<&'a Node> {
         let found = self.find(name);
         if found.is_none() && matches!(self.node.value, crate::node::Value::Object(_)) {
--- a/crates/jsonc/src/lib.rs
+++ b/crates/jsonc/src/lib.rs
@@ -1,8 +1,8 @@
-//! JSON with comments, parsed to values that remember their places.
+//! JSON with comments, parsed into values that keep their places.
 //!
-//! Invariant: every fault names its file, line, column and remedy, and a reader
-//! goes on after a fault, so that one run reports all of them. The one
-//! exception is a syntax error: what follows it has no certain meaning.
+//! Invariant: every fault has its file, line, column and remedy, and reading continues
+//! after a fault, so that one run reports all of them. The exception is a syntax error,
+//! after which the text has no certain meaning.
 
 pub mod edit;
 pub mod fault;
--- a/crates/jsonc/src/nearest.rs
+++ b/crates/jsonc/src/nearest.rs
@@ -1,22 +1,23 @@
-//! "Did you mean": the nearest of the names there are.
+//! Suggestions for misspelt names.
 
-/// Farthest edit distance at which a name still counts as a misspelling.
-const FAR: usize = 3;
+/// Largest edit distance at which a name counts as a misspelling of another.
+const EDIT_DISTANCE_MAX: usize = 3;
 
-/// The nearest of `names`, if one is near.
+/// Returns the name with the least edit distance, unless that exceeds the bound for
+/// the length of `name`.
 pub fn nearest<'a>(name: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let near = names
+    let closest = names
         .into_iter()
         .map(|other| (strsim::damerau_levenshtein(name, other), other))
         .min()?;
-    let limit = FAR.min(name.chars().count() / 2 + 1);
-    (near.0 <= limit).then_some(near.1)
+    let limit = EDIT_DISTANCE_MAX.min(name.chars().count() / 2 + 1);
+    (closest.0 <= limit).then_some(closest.1)
 }
 
-/// The remedy for an unknown name: the nearest one, or the names there are.
+/// Returns the remedy for an unknown name: the nearest name, or up to 12 known ones.
 pub fn remedy<'a>(name: &str, names: impl IntoIterator<Item = &'a str> + Clone) -> String {
-    if let Some(near) = nearest(name, names.clone()) {
-        return format!("write \"{near}\"?");
+    if let Some(closest) = nearest(name, names.clone()) {
+        return format!("write \"{closest}\"?");
     }
     let all: Vec<&str> = names.into_iter().take(12).collect();
     if all.is_empty() {
--- a/crates/jsonc/src/node.rs
+++ b/crates/jsonc/src/node.rs
@@ -1,49 +1,50 @@
-//! The value tree; every key and value keeps its place.
+//! Tree of parsed values, in which every key and value keeps its place.
 
 use core::fmt;
 use std::sync::Arc;
 
 use crate::fault::Place;
 
-/// A value and its place.
+/// A value with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Where the value starts.
+    /// Start of the value.
     pub place: Place,
-    /// The value.
+    /// Value at this place.
     pub value: Value,
 }
 
-/// A value.
+/// A JSON value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
     /// `null`.
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A number, as it was written.
+    /// A number as written in the file.
     Number(Arc<str>),
     /// A string.
     Text(Arc<str>),
     /// A list.
     List(Vec<Node>),
-    /// An object, in the order it was written; names may stand twice.
+    /// An object with its fields as written: in the order of the file, with repeated
+    /// names.
     Object(Vec<Field>),
 }
 
-/// One field of an object.
+/// A field of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     pub name: Arc<str>,
-    /// Where the name starts.
+    /// Start of the name.
     pub place: Place,
-    /// Its value.
+    /// Value of the field.
     pub node: Node,
 }
 
 impl Value {
-    /// The type, as messages name it.
+    /// Returns the type as named in messages.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -58,7 +59,8 @@
 }
 
 impl Node {
-    /// The first field of this name, if the node is an object that has one.
+    /// Returns the value of the first field of this name, if the node is an object with
+    /// one.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Node> {
         let Value::Object(fields) = &self.value else {
@@ -68,7 +70,8 @@
         Some(&field.node)
     }
 
-    /// Whether two nodes say the same, wherever they stand.
+    /// Returns whether two nodes have equal values, regardless of places and of the order
+    /// of fields.
     #[must_use]
     pub fn same(&self, other: &Node) -> bool {
         match (&self.value, &other.value) {
--- a/crates/jsonc/src/parse.rs
+++ b/crates/jsonc/src/parse.rs
@@ -1,4 +1,4 @@
-//! From text to the value tree.
+//! Parser from text to the value tree.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use crate::fault::{Fault, Kind, Place};
 use crate::node::{Field, Node, Value};
 
-/// Parses one file's text.
+/// Parses the text of a file.
 ///
 /// # Errors
-/// One fault, at the first place where the text is not JSON with comments.
+/// A fault at the first place where the text is not JSON with comments.
 pub fn parse(file: &str, text: &str) -> Result<Node, Fault> {
     let file: Arc<str> = file.into();
     let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &options());
     let root = match parsed {
         Ok(result) => result.value,
-        Err(error) => return Err(syntax(&file, text, &error)),
+        Err(error) => return Err(syntax_fault(&file, text, &error)),
     };
     let mut cursor = Cursor::new(file, text);
     match root {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Comments and trailing commas, no other licence.
+/// Accepts comments and trailing commas, and no other extension of JSON.
 fn options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
@@ -48,14 +48,15 @@
     }
 }
 
-fn syntax(file: &Arc<str>, text: &str, error: &jsonc_parser::errors::ParseError) -> Fault {
+fn syntax_fault(file: &Arc<str>, text: &str, error: &jsonc_parser::errors::ParseError) -> Fault {
     let mut cursor = Cursor::new(Arc::clone(file), text);
     let place = cursor.place(error.range().start);
     let message = format!("not JSON with comments: {}", error.kind());
     Fault::new(&place, Kind::Syntax, message, "mend the syntax here")
 }
 
-/// Counts lines and columns once through the text; offsets must not fall.
+/// Converts offsets to lines and columns in one pass over the text; offsets must not
+/// decrease.
 struct Cursor<'a> {
     file: Arc<str>,
     text: &'a str,
--- a/crates/jsonc/src/read.rs
+++ b/crates/jsonc/src/read.rs
@@ -1,4 +1,6 @@
-//! Reading single values; a wrong one is reported and reads as `None`.
+//! Readers of single values.
+//!
+//! Invariant: an invalid value is reported as a fault and read as `None` or as empty.
 
 use core::fmt::Display;
 use core::ops::RangeInclusive;
@@ -8,15 +10,15 @@
 use crate::fault::{Fault, Kind};
 use crate::node::{Field, Node, Value};
 
-/// A string.
+/// Reads a string.
 pub fn text<'a>(node: &'a Node, faults: &mut Vec<Fault>) -> Option<&'a Arc<str>> {
     match &node.value {
         Value::Text(text) => Some(text),
-        _ => wrong(node, "a string", faults),
+        _ => wrong_type(node, "a string", faults),
     }
 }
 
-/// A string that names something: not empty, no blanks or slashes.
+/// Reads a string that is a valid name; see [`name_fault`].
 pub fn name<'a>(node: &'a Node, faults: &mut Vec<Fault>) -> Option<&'a Arc<str>> {
     let found = text(node, faults)?;
     if let Some(fault) = name_fault(found, &node.place) {
@@ -26,12 +28,12 @@
     Some(found)
 }
 
-/// Why `name` can't name anything, if so. Names go into keys, header values
-/// and log lines; a blank or slash in one would split them.
+/// Checks a name; returns the fault if it is invalid. Names are used in keys, header
+/// values and log lines, which a blank or slash would split.
 #[must_use]
 pub fn name_fault(name: &str, place: &crate::Place) -> Option<Fault> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if !name.is_empty() && name.len() <= NAME_MAX && name.chars().all(fits) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if !name.is_empty() && name.len() <= NAME_MAX && name.chars().all(is_allowed) {
         return None;
     }
     Some(Fault::new(
@@ -42,21 +44,21 @@
     ))
 }
 
-/// Longest name in bytes.
+/// Largest length of a name in bytes.
 pub const NAME_MAX: usize = 64;
 
-/// `true` or `false`.
+/// Reads `true` or `false`.
 pub fn flag(node: &Node, faults: &mut Vec<Fault>) -> Option<bool> {
     match node.value {
         Value::Bool(flag) => Some(flag),
-        _ => wrong(node, "true or false", faults),
+        _ => wrong_type(node, "true or false", faults),
     }
 }
 
-/// A whole number within `range`.
+/// Reads an integer within `range`.
 pub fn number(node: &Node, range: RangeInclusive<u64>, faults: &mut Vec<Fault>) -> Option<u64> {
     let Value::Number(text) = &node.value else {
-        return wrong(node, "a number", faults);
+        return wrong_type(node, "a number", faults);
     };
     let found = text.parse().ok().filter(|n| range.contains(n));
     if found.is_none() {
@@ -74,7 +76,8 @@
     found
 }
 
-/// A string that parses to a `T`, such as a socket address; `what` names it.
+/// Reads a string that parses to a `T`, such as a socket address. Messages describe it
+/// as `what`, with an `example`.
 pub fn parsed<T>(node: &Node, what: &str, example: &str, faults: &mut Vec<Fault>) -> Option<T>
 where
     T: FromStr<Err: Display>,
@@ -94,27 +97,27 @@
     }
 }
 
-/// A list; empty if it is none.
+/// Reads a list; empty if the value is of another type.
 pub fn list<'a>(node: &'a Node, faults: &mut Vec<Fault>) -> &'a [Node] {
     if let Value::List(items) = &node.value {
         return items;
     }
-    wrong::<()>(node, "a list", faults);
+    wrong_type::<()>(node, "a list", faults);
     &[]
 }
 
-/// An object's fields, whatever their names; a name that stands twice is
-/// reported. Empty if it is none.
+/// Reads the fields of an object, and reports repeated names; empty if the value is of
+/// another type.
 pub fn object<'a>(node: &'a Node, faults: &mut Vec<Fault>) -> &'a [Field] {
     let Value::Object(fields) = &node.value else {
-        wrong::<()>(node, "an object", faults);
+        wrong_type::<()>(node, "an object", faults);
         return &[];
     };
-    report_doubles(fields, faults);
+    report_duplicates(fields, faults);
     fields
 }
 
-fn report_doubles(fields: &[Field], faults: &mut Vec<Fault>) {
+fn report_duplicates(fields: &[Field], faults: &mut Vec<Fault>) {
     let mut order: Vec<usize> = (0..fields.len()).collect();
     order.sort_by(|&a, &b| fields[a].name.cmp(&fields[b].name).then(a.cmp(&b)));
     for pair in order.windows(2) {
@@ -130,12 +133,12 @@
     }
 }
 
-fn wrong<T>(node: &Node, wanted: &str, faults: &mut Vec<Fault>) -> Option<T> {
+fn wrong_type<T>(node: &Node, expected: &str, faults: &mut Vec<Fault>) -> Option<T> {
     faults.push(Fault::new(
         &node.place,
         Kind::WrongType,
         format!("found {}", node.value.kind()),
-        format!("write {wanted}"),
+        format!("write {expected}"),
     ));
     None
 }
--- a/crates/jsonc/tests/edit.rs
+++ b/crates/jsonc/tests/edit.rs
@@ -1,15 +1,15 @@
-//! Edits keep comments and layout.
+//! Edits of lists keep comments and layout.
 
 use jsonc::edit;
 use rstest::rstest;
 
 #[rstest]
 #[case::empty("{}", "{\n  \"drain\": {\n    \"sites\": [\"s1\"]\n  }\n}")]
-#[case::there(
+#[case::present(
     "{ \"drain\": { \"sites\": [\"s1\"] } } // end",
     "{ \"drain\": { \"sites\": [\"s1\"] } } // end"
 )]
-#[case::beside(
+#[case::appended(
     "{ /* a */ \"drain\": { \"sites\": [\"s0\"] } }",
     "{ /* a */ \"drain\": { \"sites\": [\"s0\", \"s1\"] } }"
 )]
@@ -34,6 +34,6 @@
 #[case::syntax("{")]
 #[case::object("{\"drain\": 3}")]
 #[case::list("{\"drain\": {\"sites\": true}}")]
-fn add_refused(#[case] text: &str) {
+fn add_rejected(#[case] text: &str) {
     assert!(edit::list_add(text, "drain", "sites", "s1").is_err());
 }
--- a/crates/jsonc/tests/parse.rs
+++ b/crates/jsonc/tests/parse.rs
@@ -1,4 +1,5 @@
-//! Places survive parsing, and no text makes the parser panic.
+//! Places of parsed values and faults, and texts that the parser must reject without a
+//! panic.
 
 use jsonc::fault::Kind;
 use jsonc::{nearest, parse, read};
@@ -23,13 +24,13 @@
 }
 
 #[test]
-fn deep_nesting_is_refused() {
+fn deep_nesting_is_rejected() {
     let text = "[".repeat(100_000);
     assert_eq!(parse("f", &text).unwrap_err().kind, Kind::Syntax);
 }
 
 #[test]
-fn object_reports_every_double() {
+fn object_reports_every_duplicate() {
     let node = parse("f", r#"{"a": 1, "b": 2, "a": 3, "a": 4}"#).unwrap();
     let mut faults = Vec::new();
     read::object(&node, &mut faults);
