--- a/crates/settings/src/direct.rs
+++ b/crates/settings/src/direct.rs
@@ -34,7 +34,7 @@
 /// Bounds that the operator sets on all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Longest time for which a fault may cut an instance off from all others.
+    /// Longest time for which a fault may leave an instance without contact.
     pub contact_loss: Duration,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
@@ -46,7 +46,7 @@
     pub retry_window: Duration,
     /// ... plus this number of retries.
     pub retry_slack: f64,
-    /// Requests to a cold target as a multiple of its cold rate ...
+    /// Requests to a cold target in any second as a multiple of its cold rate ...
     pub cold_factor: f64,
     /// ... plus this number of requests.
     pub cold_slack: f64,
@@ -91,7 +91,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Memory of the process in megabytes.
     pub memory_mb: u64,
-    /// Number of file descriptors of the process.
+    /// Largest number of file descriptors of the process.
     pub descriptors: u64,
     /// Bounds on all instances together.
     pub bounds: Bounds,
