--- a/crates/emulator/src/plan/read.rs
+++ b/crates/emulator/src/plan/read.rs
@@ -45,7 +45,7 @@
     }
 
     fn amount(&mut self, name: &str, range: RangeInclusive<f64>) -> Option<f64> {
-        let node = self.fields.need(name, self.faults)?;
+        let node = self.fields.require(name, self.faults)?;
         number(node, name, &range, self.faults)
     }
 
@@ -57,7 +57,7 @@
     }
 
     fn count(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<usize> {
-        let node = self.fields.need(name, self.faults)?;
+        let node = self.fields.require(name, self.faults)?;
         let found = read::number(node, range, self.faults)?;
         usize::try_from(found).ok()
     }
@@ -80,13 +80,13 @@
     }
 
     fn name(&mut self, name: &str) -> Option<Arc<str>> {
-        let node = self.fields.need(name, self.faults)?;
+        let node = self.fields.require(name, self.faults)?;
         read::name(node, self.faults).cloned()
     }
 
     /// Place in `names` of what a field names.
     fn place(&mut self, name: &str, names: &[Arc<str>]) -> Option<usize> {
-        let node = self.fields.need(name, self.faults)?;
+        let node = self.fields.require(name, self.faults)?;
         place(node, names, self.faults)
     }
 
@@ -140,7 +140,7 @@
     faults: &mut Vec<Fault>,
     mut item: impl FnMut(&Node, &mut Vec<Fault>) -> Option<T>,
 ) -> Option<Vec<T>> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     let items = read::list(node, faults);
     let found: Vec<T> = items.iter().filter_map(|n| item(n, faults)).collect();
     (found.len() == items.len()).then_some(found)
@@ -173,13 +173,13 @@
         trouble(n, &names, &served, &regions, f)
     });
     let delays = fields
-        .need("delays_ms", faults)
+        .require("delays_ms", faults)
         .and_then(|n| delays(n, faults));
     let bounds = fields
-        .need("bounds", faults)
+        .require("bounds", faults)
         .and_then(|n| bounds(n, faults));
     let weights = fields
-        .need("weights", faults)
+        .require("weights", faults)
         .and_then(|n| weights(n, faults));
     let (kinds, callers) = (kinds?, callers?);
     if domains.is_empty() || kinds.is_empty() || callers.is_empty() {
@@ -254,7 +254,7 @@
     let cold_rate = r.amount("cold_rate", AMOUNT);
     let knee = r.amount_or("knee", SHARE, 1.0);
     let knee_x = r.amount_or("knee_x", 1.0..=100.0, 1.0);
-    let at = r.fields.need("targets", faults)?;
+    let at = r.fields.require("targets", faults)?;
     let mut targets = vec![0; domains.len()];
     for field in read::object(at, faults) {
         let count = read::number(&field.node, 0..=10_000, faults);
@@ -319,7 +319,7 @@
     let objects = r.count_or("objects", 1..=1_000_000, 1);
     let skew = r.amount_or("skew", 0.0..=5.0, 0.0);
     let ahead = r.count_or("ahead", 1..=64, 1);
-    let flag = r.fields.need("idempotent", faults);
+    let flag = r.fields.require("idempotent", faults);
     let idempotent = flag.and_then(|n| read::flag(n, faults));
     Some(Kind {
         name: name?,
--- a/crates/intent/src/draft/read.rs
+++ b/crates/intent/src/draft/read.rs
@@ -37,9 +37,9 @@
 pub fn draft(root: &Node, faults: &mut Vec<Fault>) -> Draft {
     let fields = Fields::open(root, &FIELDS, faults);
     Draft {
-        regions: regions(fields.need("regions", faults), faults),
-        classes: each(fields.need("classes", faults), faults, class),
-        services: services(fields.need("services", faults), faults),
+        regions: regions(fields.require("regions", faults), faults),
+        classes: each(fields.require("classes", faults), faults, class),
+        services: services(fields.require("services", faults), faults),
         links: each(fields.find("links"), faults, |n, f| Some(link(n, f))),
         shifts: each(fields.find("shifts"), faults, |n, f| Some(shift(n, f))),
         drain: drain(fields.find("drain"), faults),
@@ -53,7 +53,7 @@
     for field in members(node, faults) {
         let name = key(field, faults);
         let fields = Fields::open(&field.node, &["domains"], faults);
-        let domains = domains(fields.need("domains", faults), faults);
+        let domains = domains(fields.require("domains", faults), faults);
         regions.extend(name.map(|name| Region { name, domains }));
     }
     regions
@@ -64,7 +64,7 @@
     for field in members(node, faults) {
         let name = key(field, faults);
         let fields = Fields::open(&field.node, &["entries", "sites"], faults);
-        let entries = names(fields.need("entries", faults), faults);
+        let entries = names(fields.require("entries", faults), faults);
         let sites = names(fields.find("sites"), faults);
         domains.extend(name.map(|name| Domain {
             name,
@@ -77,8 +77,8 @@
 
 fn class(node: &Node, faults: &mut Vec<Fault>) -> Option<Class> {
     let fields = Fields::open(node, &["name", "queue_percent"], faults);
-    let name = name(fields.need("name", faults), faults);
-    let percent = fields.need("queue_percent", faults);
+    let name = name(fields.require("name", faults), faults);
+    let percent = fields.require("queue_percent", faults);
     let queue = number(percent, 1, 100, faults).zip(percent);
     Some(Class {
         name: name?,
@@ -98,11 +98,11 @@
     let known = ["class", "idempotent", "deadline_ms", "sites"];
     let own = key(field, faults);
     let fields = Fields::open(&field.node, &known, faults);
-    let class = name(fields.need("class", faults), faults);
-    let idempotent = fields.need("idempotent", faults);
+    let class = name(fields.require("class", faults), faults);
+    let idempotent = fields.require("idempotent", faults);
     let idempotent = idempotent.and_then(|node| read::flag(node, faults));
     let deadline = number(fields.find("deadline_ms"), 1, 600_000, faults);
-    let list = fields.need("sites", faults);
+    let list = fields.require("sites", faults);
     let sites = list.map(|list| Spot {
         value: names(Some(list), faults),
         place: list.place.clone(),
@@ -119,9 +119,9 @@
 fn link(node: &Node, faults: &mut Vec<Fault>) -> Link {
     let fields = Fields::open(node, &["from", "to", "mbit"], faults);
     Link {
-        from: name(fields.need("from", faults), faults),
-        to: name(fields.need("to", faults), faults),
-        mbit: number(fields.need("mbit", faults), 1, 10_000_000, faults),
+        from: name(fields.require("from", faults), faults),
+        to: name(fields.require("to", faults), faults),
+        mbit: number(fields.require("mbit", faults), 1, 10_000_000, faults),
     }
 }
 
@@ -129,10 +129,10 @@
     let known = ["service", "from", "to", "cap_per_s", "ramp_s"];
     let fields = Fields::open(node, &known, faults);
     Shift {
-        service: name(fields.need("service", faults), faults),
-        from: name(fields.need("from", faults), faults),
-        to: name(fields.need("to", faults), faults),
-        cap: number(fields.need("cap_per_s", faults), 1, CAP_MAX, faults),
+        service: name(fields.require("service", faults), faults),
+        from: name(fields.require("from", faults), faults),
+        to: name(fields.require("to", faults), faults),
+        cap: number(fields.require("cap_per_s", faults), 1, CAP_MAX, faults),
         ramp: number(fields.find("ramp_s"), 0, 86_400, faults).unwrap_or(RAMP_S),
     }
 }
--- a/crates/intent/src/merge.rs
+++ b/crates/intent/src/merge.rs
@@ -114,7 +114,7 @@
 }
 
 fn lay_value(rule: Rule, name: &str, base: &mut Node, over: &Node, faults: &mut Vec<Fault>) {
-    if base.same(over) {
+    if base.has_same_value(over) {
         faults.push(Fault::new(
             &over.place,
             Kind::Redundant,
@@ -231,7 +231,7 @@
     items.iter_mut().find(|under| {
         keys.iter()
             .all(|key| match (under.get(key), item.get(key)) {
-                (Some(a), Some(b)) => a.same(b),
+                (Some(a), Some(b)) => a.has_same_value(b),
                 _ => false,
             })
     })
--- a/crates/intent/src/merge/shape.rs
+++ b/crates/intent/src/merge/shape.rs
@@ -55,7 +55,7 @@
         return true;
     };
     over.iter()
-        .all(|item| base.iter().any(|other| other.same(item)))
+        .all(|item| base.iter().any(|other| other.has_same_value(item)))
 }
 
 /// A part of the base file, as an overlay sees it.
--- a/crates/jsonc/src/fields.rs
+++ b/crates/jsonc/src/fields.rs
@@ -38,7 +38,7 @@
 
     /// Returns a required field, or reports that it is missing. A node that is not an
     /// object has already been reported, so its fields are not reported as missing.
-    pub fn need(&self, name: &str, faults: &mut Vec<Fault>) -> Option<&'a Node> {
+    pub fn require(&self, name: &str, faults: &mut Vec<Fault>) -> Option<&'a Node> {
         let found = self.find(name);
         if found.is_none() && matches!(self.node.value, crate::node::Value::Object(_)) {
             faults.push(Fault::new(
--- a/crates/jsonc/src/node.rs
+++ b/crates/jsonc/src/node.rs
@@ -73,15 +73,18 @@
     /// Returns whether two nodes have equal values, regardless of places and of the order
     /// of fields.
     #[must_use]
-    pub fn same(&self, other: &Node) -> bool {
+    pub fn has_same_value(&self, other: &Node) -> bool {
         match (&self.value, &other.value) {
             (Value::List(a), Value::List(b)) => {
-                a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.same(b))
+                a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.has_same_value(b))
             }
             (Value::Object(a), Value::Object(b)) => {
                 a.len() == b.len()
-                    && a.iter()
-                        .all(|f| other.get(&f.name).is_some_and(|n| n.same(&f.node)))
+                    && a.iter().all(|f| {
+                        other
+                            .get(&f.name)
+                            .is_some_and(|n| n.has_same_value(&f.node))
+                    })
             }
             (a, b) => a == b,
         }
--- a/crates/settings/src/direct.rs
+++ b/crates/settings/src/direct.rs
@@ -242,12 +242,12 @@
 }
 
 fn text(fields: &Fields<'_>, name: &str, faults: &mut Vec<Fault>) -> Option<Arc<str>> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     read::name(node, faults).cloned()
 }
 
 fn addr(fields: &Fields<'_>, name: &str, faults: &mut Vec<Fault>) -> Option<SocketAddr> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     read::parsed(node, "an address with a port", "192.0.2.7:8080", faults)
 }
 
@@ -257,12 +257,12 @@
     range: RangeInclusive<u64>,
     faults: &mut Vec<Fault>,
 ) -> Option<u64> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     read::number(node, range, faults)
 }
 
 fn domains(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Option<Vec<(Arc<str>, Arc<str>)>> {
-    let node = fields.need("domains", faults)?;
+    let node = fields.require("domains", faults)?;
     let mut domains = Vec::new();
     for field in read::object(node, faults) {
         if let Some(region) = read::name(&field.node, faults) {
@@ -274,7 +274,7 @@
 }
 
 fn seeds(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Option<Vec<SocketAddr>> {
-    let node = fields.need("seeds", faults)?;
+    let node = fields.require("seeds", faults)?;
     let mut seeds = Vec::new();
     for item in read::list(node, faults) {
         seeds.extend(read::parsed::<SocketAddr>(
@@ -288,7 +288,7 @@
 }
 
 fn listen(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Option<Listen> {
-    let node = fields.need("listen", faults)?;
+    let node = fields.require("listen", faults)?;
     let fields = Fields::open(node, &LISTEN_FIELDS, faults);
     let [callers, ready, directory, peers, heartbeats, operators] =
         LISTEN_FIELDS.map(|name| addr(&fields, name, faults));
@@ -303,7 +303,7 @@
 }
 
 fn bounds(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Option<Bounds> {
-    let node = fields.need("bounds", faults)?;
+    let node = fields.require("bounds", faults)?;
     let fields = Fields::open(node, &BOUND_FIELDS, faults);
     let contact_loss = seconds(&fields, "contact_s", faults);
     let grace = seconds(&fields, "grace_s", faults);
@@ -368,7 +368,7 @@
     range: RangeInclusive<f64>,
     faults: &mut Vec<Fault>,
 ) -> Option<f64> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     let number = match &node.value {
         Value::Number(text) => text.parse::<f64>().ok(),
         _ => None,
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -64,18 +64,18 @@
 }
 
 fn name(fields: &Fields<'_>, name: &str, faults: &mut Vec<Fault>) -> Option<Arc<str>> {
-    let node = fields.need(name, faults)?;
+    let node = fields.require(name, faults)?;
     read::name(node, faults).cloned()
 }
 
 fn listen(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Option<Listen> {
-    let node = fields.need("listen", faults)?;
+    let node = fields.require("listen", faults)?;
     let fields = Fields::open(node, &["callers", "peers", "operators"], faults);
-    let callers = fields.need("callers", faults);
+    let callers = fields.require("callers", faults);
     let callers = callers.and_then(|node| addr(node, faults));
-    let peers = fields.need("peers", faults);
+    let peers = fields.require("peers", faults);
     let peers = peers.and_then(|node| addr(node, faults));
-    let operators = fields.need("operators", faults);
+    let operators = fields.require("operators", faults);
     let operators = operators.and_then(|node| addr(node, faults));
     let listen = Listen {
         callers: callers?,
@@ -109,7 +109,7 @@
 }
 
 fn store(fields: &Fields<'_>, faults: &mut Vec<Fault>) -> Vec<SocketAddr> {
-    let node = fields.need("store", faults);
+    let node = fields.require("store", faults);
     let before = faults.len();
     let store = addrs(node, faults);
     if let Some(node) = node
