--- a/crates/auburnrouter/src/daemon/callers.rs
+++ b/crates/auburnrouter/src/daemon/callers.rs
@@ -129,7 +129,7 @@
             let reason = outcome::Reason::BadRequest;
             return Err(outcome::Refusal::not_run(reason, None));
         };
-        let caller = header(conn, headers::CALLER).map_or_else(
+        let caller = header(conn, headers::CALLER_NAME).map_or_else(
             || lookup::hash_bytes(addr.to_string().as_bytes()),
             |name| lookup::hash_bytes(name.as_bytes()),
         );
@@ -284,7 +284,8 @@
         path: path.into(),
         headers: end_to_end(conn),
         body: body.into(),
-        caller: header(conn, headers::CALLER).map_or_else(|| ip.to_string().into(), truncate_name),
+        caller: header(conn, headers::CALLER_NAME)
+            .map_or_else(|| ip.to_string().into(), truncate_name),
         key: header(conn, headers::IDEMPOTENCY_KEY).map(Arc::from),
         caller_region: None,
     }
--- a/crates/auburnrouter/src/daemon/outbound.rs
+++ b/crates/auburnrouter/src/daemon/outbound.rs
@@ -170,7 +170,7 @@
 async fn receive(name: &str, exchange: pool::Exchange) -> AttemptResult {
     let (response, rest) = exchange.split();
     let (head, body) = response.into_parts();
-    let named = head.headers.get(headers::ATTEMPT);
+    let named = head.headers.get(headers::ATTEMPT_ID);
     let is_own = named.is_some_and(|named| named == name);
     if !is_own && (named.is_some() || !rest.is_first()) {
         return dispatch::AttemptOutcome::BadAnswer.into();
@@ -207,7 +207,7 @@
         .method(&*request.method)
         .uri(&*request.path)
         .header(hyper::header::HOST, attempt.addr.to_string())
-        .header(headers::ATTEMPT, attempt.name)
+        .header(headers::ATTEMPT_ID, attempt.name)
         .header(headers::DEADLINE_MS, attempt.budget.as_millis().to_string());
     if let Some(key) = &request.key {
         builder = builder.header(headers::IDEMPOTENCY_KEY, &**key);
--- a/crates/scenarios/src/script.rs
+++ b/crates/scenarios/src/script.rs
@@ -323,7 +323,7 @@
         let mut call = Call::new(method, self.world.addr(&at)?, &path, &body);
         for (arg, header) in [
             ("key", wire::headers::IDEMPOTENCY_KEY),
-            ("caller", wire::headers::CALLER),
+            ("caller", wire::headers::CALLER_NAME),
             ("deadline", wire::headers::DEADLINE_MS),
         ] {
             if let Some(value) = case.try_take_arg::<String>(arg)? {
--- a/crates/scenarios/src/storm/caller.rs
+++ b/crates/scenarios/src/storm/caller.rs
@@ -176,7 +176,7 @@
     ) -> (Verdict, Option<Duration>) {
         let path = format!("/s/{service}/work");
         let mut call = Call::new(Method::Post, at, &path, body);
-        call.headers.push((headers::CALLER, self.name.clone()));
+        call.headers.push((headers::CALLER_NAME, self.name.clone()));
         let line = key.clone().map(|k| (headers::IDEMPOTENCY_KEY, k));
         call.headers.extend(line);
         let began = self.board.now();
--- a/crates/standin/src/target/calls.rs
+++ b/crates/standin/src/target/calls.rs
@@ -100,7 +100,7 @@
     let deadline = text(headers::DEADLINE_MS).and_then(|ms| ms.parse().ok());
     Request {
         key: text(headers::IDEMPOTENCY_KEY),
-        attempt: text(headers::ATTEMPT),
+        attempt: text(headers::ATTEMPT_ID),
         deadline: deadline.map(Duration::from_millis),
         method: conn.method().to_string(),
         path: conn.path().to_owned(),
@@ -117,7 +117,7 @@
     };
     if let Some(attempt) = &request.attempt {
         let lines = conn.response_headers_mut();
-        lines.insert(headers::ATTEMPT, attempt.clone());
+        lines.insert(headers::ATTEMPT_ID, attempt.clone());
     }
     conn.with_response_header(headers::TARGET_LOAD, load.to_string())
         .with_response_header(headers::TARGET_STATE, state)
@@ -179,7 +179,7 @@
 fn head(echo: &Echo, bytes: usize) -> Vec<u8> {
     let attempt = echo.attempt.as_ref();
     let attempt = attempt.map_or(String::new(), |name| {
-        format!("{}: {name}\r\n", headers::ATTEMPT)
+        format!("{}: {name}\r\n", headers::ATTEMPT_ID)
     });
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n{attempt}\
--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -64,7 +64,7 @@
     smol::block_on(async {
         let target = Target::start(config()).unwrap();
         let request = post(&target, "hello")
-            .with_request_header(headers::ATTEMPT, "a7")
+            .with_request_header(headers::ATTEMPT_ID, "a7")
             .with_request_header(headers::IDEMPOTENCY_KEY, "k1");
         let (status, body) = whole(request).await.unwrap();
         let echo: Echo = serde_json::from_slice(&body).unwrap();
@@ -133,7 +133,7 @@
             ..config()
         };
         let target = Target::start(slow).unwrap();
-        let request = post(&target, "").with_request_header(headers::ATTEMPT, "a1");
+        let request = post(&target, "").with_request_header(headers::ATTEMPT_ID, "a1");
         let running = smol::spawn(whole(request));
         until(|| target.running() == 1).await;
         let url = format!("http://{}/attempts/a1", target.addr());
--- a/crates/wire/src/direct.rs
+++ b/crates/wire/src/direct.rs
@@ -15,7 +15,8 @@
 use steer::process::direct::{StoreContact, health, limit, members, quota, replica};
 use thiserror::Error;
 
-/// Largest datagram in bytes; smaller ones are not fragmented on usual networks.
+/// Intended largest size of a datagram in bytes, at which usual networks don't fragment it.
+/// Encoding and decoding fail only above twice this size.
 pub const DATAGRAM_MAX: usize = 1200;
 
 /// Largest number of targets with in-flight counts in one heartbeat, so that the
@@ -30,7 +31,7 @@
 pub const SUSPECTS_MAX: usize = 16;
 
 /// Encoded steps per unit of a rate.
-const THOUSANDTHS: f64 = 1000.0;
+const RATE_STEPS: f64 = 1000.0;
 
 /// Errors in decoding a message.
 #[derive(Debug, Error)]
@@ -495,7 +496,7 @@
         observations.sort_unstable();
         let limit = |(hash, rate, age): (ShortHash, Option<u32>, u32)| limit::LimitReport {
             target_hash: u32::from_le_bytes(hash),
-            rate: rate.map(|rate| f64::from(rate) / THOUSANDTHS),
+            rate: rate.map(|rate| f64::from(rate) / RATE_STEPS),
             age: Duration::from_millis(age.into()),
         };
         let suspect = |(request, strikes)| (u128::from_le_bytes(request), strikes);
@@ -527,7 +528,7 @@
         clippy::cast_sign_loss,
         reason = "saturates"
     )]
-    let thousandths = |rate: f64| (rate * THOUSANDTHS) as u32;
+    let thousandths = |rate: f64| (rate * RATE_STEPS) as u32;
     let age = u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX);
     let hash = report.target_hash.to_le_bytes();
     (hash, report.rate.map(thousandths), age)
--- a/crates/wire/src/headers.rs
+++ b/crates/wire/src/headers.rs
@@ -7,7 +7,7 @@
 pub const DEADLINE_MS: &str = "Deadline-Ms";
 
 /// Caller → entry: name of the caller; its address is used if absent.
-pub const CALLER: &str = "Caller-Name";
+pub const CALLER_NAME: &str = "Caller-Name";
 
 /// Entry → caller: `ran`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "Outcome";
@@ -22,7 +22,7 @@
 pub const RETRY_AFTER_MS: &str = "Retry-After-Ms";
 
 /// Entry → target: id of an attempt, which `DELETE /attempts/{id}` cancels.
-pub const ATTEMPT: &str = "Attempt-Id";
+pub const ATTEMPT_ID: &str = "Attempt-Id";
 
 /// Target → entry, in answers and refusals: requests that the target reports as
 /// running.
--- a/crates/wire/tests/heartbeat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -13,7 +13,7 @@
 use steer::version::view::{Incarnation, Version};
 use wire::heartbeat::{self, Malformed};
 
-const STAMP: Stamp = Stamp {
+const PROCESS_STAMP: Stamp = Stamp {
     generation: 1_700_000_000_000,
     incarnation: Incarnation(u64::MAX),
 };
@@ -27,7 +27,7 @@
             addr,
             peer: addr,
         },
-        stamp: STAMP,
+        stamp: PROCESS_STAMP,
         serial: 3,
         lifecycle: Lifecycle::Leaving,
     })
@@ -103,7 +103,7 @@
 fn peer_seen() -> Content {
     Content::PeerSeen {
         name: "seq-1-b".into(),
-        stamp: STAMP,
+        stamp: PROCESS_STAMP,
         age: Duration::from_millis(3),
     }
 }
@@ -114,8 +114,8 @@
 #[case::sync(Content::Sync(vec![digest()]))]
 #[case::records_request(Content::RecordsRequest(vec!["seq-2".into()]))]
 #[case::records(Content::Records(vec![record("seq-1-b")]))]
-#[case::superseded(Content::Superseded(STAMP))]
-#[case::succeeded(Content::Succeeded(STAMP))]
+#[case::superseded(Content::Superseded(PROCESS_STAMP))]
+#[case::succeeded(Content::Succeeded(PROCESS_STAMP))]
 #[case::peer_query(Content::PeerQuery("seq-1-b".into()))]
 #[case::peer_seen(peer_seen())]
 #[case::pull(Content::Pull(Version(7)))]
