--- a/crates/settings/src/direct.rs
+++ b/crates/settings/src/direct.rs
@@ -40,21 +40,21 @@
     pub grace: Duration,
     /// Longest time for which callers may cache an answer of the directory.
     pub directory_ttl: Duration,
-    /// Retries per request of a service within the retry window ...
+    /// Retries allowed per request of a service, counted over the window.
     pub retry_ratio: f64,
-    /// Window over which retries are counted.
+    /// Window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// ... plus this number of retries.
+    /// Retries allowed besides, for all instances together.
     pub retry_slack: f64,
-    /// Requests to a cold target in any second as a multiple of its cold rate ...
+    /// Multiple of its cold rate that a cold target may get in any second.
     pub cold_factor: f64,
-    /// ... plus this number of requests.
+    /// Requests that it may get in that second beyond `cold_factor`.
     pub cold_slack: f64,
     /// Window over which requests to a target that reports a limit are counted.
     pub limit_window: Duration,
-    /// Requests to such a target within the window as a multiple of its limit ...
+    /// Multiple of its limit that such a target may get in the window.
     pub limit_factor: f64,
-    /// ... plus this number of requests.
+    /// Requests that it may get in the window beyond `limit_factor`.
     pub limit_slack: f64,
     /// Largest change of the fraction of a region's requests that run in other regions.
     pub shift_max: f64,
@@ -66,9 +66,9 @@
     pub revoke_delay: Option<Duration>,
     /// Window over which a team's requests are counted.
     pub quota_window: Duration,
-    /// Requests admitted beyond a team's quota as a fraction of the quota ...
+    /// Fraction of a team's quota in the window that may be admitted beyond it.
     pub quota_excess: f64,
-    /// ... plus this number of requests.
+    /// Further requests that may be admitted in the window.
     pub quota_slack: f64,
 }
 
