--- a/crates/http1/src/fault.rs
+++ b/crates/http1/src/fault.rs
@@ -13,7 +13,7 @@
     #[error("malformed request head; HTTP/1.1 is expected")]
     Head,
     /// The head is too long or has too many fields.
-    #[error("the request head is too long or has too many fields")]
+    #[error("the request head is too long or has too many fields; send fewer or shorter fields")]
     LongHead,
     /// The length of the body is ambiguous. Another parser on the path could read a
     /// part of the body as a request (request smuggling).
@@ -23,7 +23,7 @@
     #[error("malformed chunk; hexadecimal sizes and lines that end with CR LF are expected")]
     Chunk,
     /// The body is too long.
-    #[error("the request body is too long")]
+    #[error("the request body is too long; send less at a time")]
     LongBody,
 }
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -51,7 +51,9 @@
     #[error("the request was not sent: no connection to the peer; check that it listens")]
     Unsent,
     /// The limit on open connections is reached; nothing was sent.
-    #[error("the limit on open connections to the address is reached; nothing was sent")]
+    #[error(
+        "the limit on open connections to the address is reached; nothing was sent; raise the limit or retry later"
+    )]
     Full,
     /// The connection broke after a byte may have been sent.
     #[error("the connection broke; the request may have been executed")]
