--- a/crates/auburnrouter/tests/direct/harness.rs
+++ b/crates/auburnrouter/tests/direct/harness.rs
@@ -12,6 +12,7 @@
 
 use platform_standin::store::Route;
 use platform_standin::{Store, Target};
+use rustix::process::{Signal, WaitId, WaitIdOptions};
 
 /// Longest time that a test waits for a condition or an answer.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
@@ -120,11 +121,20 @@
         (entry, out)
     }
 
-    pub fn signal(&self, signal: rustix::process::Signal) {
+    pub fn signal(&self, signal: Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(pid, signal).expect("the process runs");
     }
 
+    /// Stops the process and returns once all its threads have stopped, which is later than
+    /// the signal is sent.
+    pub fn freeze(&self) {
+        self.signal(Signal::STOP);
+        let pid = rustix::process::Pid::from_child(&self.child);
+        let stopped = rustix::process::waitid(WaitId::Pid(pid), WaitIdOptions::STOPPED);
+        assert!(stopped.expect("the child was started").is_some());
+    }
+
     /// Waits until the process ends and returns its exit code.
     pub fn wait_exit(&mut self) -> Option<i32> {
         wait_until("the process ends", || {
--- a/crates/auburnrouter/tests/direct/requests.rs
+++ b/crates/auburnrouter/tests/direct/requests.rs
@@ -153,7 +153,7 @@
 fn drop_request_of_disconnected_caller() {
     let harness = Harness::start(1);
     for round in 0..5 {
-        harness.entry.signal(Signal::STOP);
+        harness.entry.freeze();
         let mut stream = TcpStream::connect(harness.entry.callers).expect("the instance listens");
         let left = format!("left{round}");
         let text = request("GET", "/view/x", &left, "");
